--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -1,5 +1,7 @@
 #include "config/config.hpp"
 
+#include <sys/resource.h>
+
 #include <algorithm>
 #include <charconv>
 #include <cmath>
@@ -19,6 +21,8 @@
 }
 namespace {
 
+constexpr std::size_t least_descriptors = 128;  // with fewer there is no room for clients
+
 const json::value* member(const json::value& in, const std::string& key) {
   const json::value* found = in.find(key);
   return found != nullptr && found->what != json::kind::null ? found : nullptr;
@@ -132,6 +136,43 @@
   return all;
 }
 
+void read_limits(const json::value& all, limits& bounds) {
+  const json::value* given = member(all, "limits");
+  if (given == nullptr || given->what != json::kind::object) throw bad_config("limits is no object");
+  const auto limit = [given](const char* key, double least, double most) {
+    const std::string path = std::string("limits.") + key;
+    if (member(*given, key) == nullptr) throw bad_config(path + " is missing");
+    return number_of(*given, key, path, 0, least, most);
+  };
+  constexpr double least_cores = 0.001;
+  constexpr double for_buffers = 0.25;  // of the memory
+  constexpr double bytes_each_mb = 1 << 20;
+  limit("cores", least_cores, 1e6);  // one thread of ours stays under a core; what is wrong is told all the same
+  bounds.buffered = static_cast<std::size_t>(for_buffers * limit("memory_mb", 16, 1e6) * bytes_each_mb);
+  bounds.descriptors = static_cast<std::size_t>(limit("sockets", least_descriptors, 1e6));
+}
+
+// What the program needs itself comes first, then the console, and the clients have the rest.
+void divide_descriptors(config& c) {
+  limits& bounds = c.bounds;
+  std::size_t console = 0;
+  if (c.console) {
+    bounds.console_connections = std::min(bounds.console_connections, bounds.descriptors / bounds.console_share);
+    console = bounds.console_connections;
+  }
+  bounds.connections = bounds.descriptors - bounds.own_descriptors - console;
+}
+
+// A process may have fewer descriptors than the platform's settings say.
+void heed_own_descriptors(limits& bounds) {
+  rlimit own{};
+  if (::getrlimit(RLIMIT_NOFILE, &own) != 0 || own.rlim_cur >= bounds.descriptors) return;
+  if (own.rlim_cur < least_descriptors)
+    throw bad_config("limits.sockets: this process may open " + std::to_string(own.rlim_cur) + " files, and needs " +
+                     std::to_string(least_descriptors));
+  bounds.descriptors = own.rlim_cur;
+}
+
 }  // namespace
 
 config read_config(const std::string& text) {
@@ -146,15 +187,8 @@
   c.seed = seed_of(all);
   const double stop_ms = number_of(all, "stop_ms", "stop_ms", 3200, 1, 600000);
   c.bounds.stop = std::chrono::milliseconds(std::lround(stop_ms));
-  if (const json::value* given = member(all, "limits")) {
-    constexpr double own_descriptors = 64;  // links, logs, the listener and room to say no
-    const double sockets = number_of(*given, "sockets", "limits.sockets", 1024, 128, 1e6);
-    constexpr double for_buffers = 0.25;            // of the memory
-    constexpr double mb = 1 << 20;
-    const double memory_mb = number_of(*given, "memory_mb", "limits.memory_mb", 192, 16, 1e6);
-    c.bounds.buffered = static_cast<std::size_t>(for_buffers * memory_mb * mb);
-    c.bounds.connections = static_cast<std::size_t>(sockets - own_descriptors);
-  }
+  read_limits(all, c.bounds);
+  divide_descriptors(c);
   c.settings = settings_of(all);
   return c;
 }
@@ -200,6 +234,8 @@
   config c = read_config(read_file(path, "PROXY_CONFIG"));
   const char* console = std::getenv("PROXY_CONSOLE");
   if (!c.console && console != nullptr && *console != '\0') c.console = to_endpoint(console, "PROXY_CONSOLE");
+  heed_own_descriptors(c.bounds);
+  divide_descriptors(c);
   return c;
 }
 
--- a/src/config/limits.hpp
+++ b/src/config/limits.hpp
@@ -25,7 +25,9 @@
   unsigned strikes = 8;                                   // bad messages on a connection until it is given up
 
   // What this process holds.
-  std::size_t connections = 900;  // of the descriptors, less what the program needs itself
+  std::size_t descriptors = 1024;     // open files, sockets among them
+  std::size_t own_descriptors = 64;   // of them: links, logs, listeners, files, and room to say no
+  std::size_t connections = 900;      // of the clients; what the program and its console leave
   double kept = 0.75;             // share of them that may stand before the unused are asked to go
   std::size_t uwsgi_connections =
       240;            // as many again may go to uwsgi servers: a flood leaves Thrift its own
@@ -45,7 +47,8 @@
   std::size_t commit_records = 1024;                     // written by one sync of the disk
   unsigned log_lines = 5;                                // of one word in a second
   // The operators' console: its callers are few, and some hold a connection for seconds without a whole line.
-  std::size_t console_connections = 64;
+  std::size_t console_connections = 64;   // at the most, and ...
+  std::size_t console_share = 16;         // ... no more than one of so many descriptors
   std::size_t console_line = 256;                                 // bytes of one call
   duration console_wait = std::chrono::milliseconds(5000);       // for a whole line
   duration console_bind_retry = std::chrono::milliseconds(200);  // while a process before this one holds it
@@ -53,7 +56,9 @@
   // Times.
   duration stop = std::chrono::milliseconds(3200);          // from the notice to leave to the kill
   duration leave_early = std::chrono::milliseconds(600);    // before the kill: asks callers to let go
-  duration exit_early = std::chrono::milliseconds(150);     // before the kill: ends whatever is open
+  duration end_early = std::chrono::milliseconds(250);      // before the kill: ends what callers did not close
+  duration exit_early = std::chrono::milliseconds(150);     // before the kill: the process ends
+  duration last_rounds = std::chrono::milliseconds(50);     // behind that, to read and answer what came late
   duration longest_poll = std::chrono::milliseconds(20);    // a signal is seen within this
   // To the catalog, which forgets after 3 s: a dozen may be lost in a row.
   duration report_every = std::chrono::milliseconds(250);
--- a/src/console/front.cpp
+++ b/src/console/front.cpp
@@ -29,10 +29,8 @@
     say(std::string("400 ") + why + "\n");
   }
 
-  // A connection that waits with no whole line, the longest first; none: it was answered.
-  std::optional<time_point> dispensable() const {
-    return answered_ ? std::nullopt : std::optional<time_point>(since_);
-  }
+  // The least goes first where room is needed: those answered, then those without a whole line, the oldest of each.
+  std::pair<bool, time_point> rank() const { return {!answered_, answered_ ? answered_at_ : since_}; }
 
   server& server_;
   net::stream stream_;
@@ -90,21 +88,22 @@
 server::~server() = default;
 
 void server::accept(const Poco::Net::StreamSocket& socket) {
-  if (connections_.size() >= bounds_.console_connections) {
-    // Guards the console against callers that hold connections without a whole line: the longest waiting goes.
-    connection* oldest = nullptr;
-    connections_.each([&](connection& c) {
-      if (c.dispensable() && (oldest == nullptr || *c.dispensable() < *oldest->dispensable())) oldest = &c;
-    });
-    if (oldest == nullptr) {
-      ++counters_.console_bad;
-      return;  // all were answered and are on their way out; this one is closed at once
-    }
-    oldest->refuse("no whole line in time");
-  }
+  if (connections_.size() >= bounds_.console_connections) make_room();
   connections_.add(std::make_shared<connection>(*this, socket));
 }
 
+// Closes one that was answered and whose caller has not closed, the longest answered first; else the one that has
+// waited longest without a whole line. Guards the console against callers that hold connections, and the process's
+// descriptors against the console.
+void server::make_room() {
+  connection* first = nullptr;
+  connections_.each([&](connection& c) {
+    if (first == nullptr || c.rank() < first->rank()) first = &c;
+  });
+  if (!first->answered_) first->refuse("no whole line in time");
+  drop(*first);
+}
+
 void server::drop(connection& c) {
   c.stream_.close();
   connections_.drop(c);
@@ -136,6 +135,7 @@
 time_point server::step(time_point now) {
   if (now >= next_bind_) try_listen(now);
   if (now < next_sweep_) return std::min(next_sweep_, next_bind_);
+  if (listener_) listener_->resume();
   next_sweep_ = now + bounds_.sweep_every;
   connections_.each([&](connection& c) {
     if (!c.answered_) {
--- a/src/console/front.hpp
+++ b/src/console/front.hpp
@@ -53,6 +53,7 @@
   class connection;
   void accept(const Poco::Net::StreamSocket& socket);
   void drop(connection& c);
+  void make_room();
   std::string answer(ops::console_call call);
 
   net::reactor& reactor_;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -12,6 +12,7 @@
 #include "config/operator_file.hpp"
 #include "keyed/results_command.hpp"
 #include "node/serve.hpp"
+#include "node/signals.hpp"
 #include "pcap/recorder.hpp"
 #include "store/store_command.hpp"
 #include "telemetry/telemetry.hpp"
@@ -23,6 +24,7 @@
 constexpr int usage_error = 2;
 
 void start(const std::string& operators, const std::string& record) {
+  node::catch_signals();
   config settings = load_config();
   if (!operators.empty()) apply_operator_file(settings, operators);
   std::optional<pcap::recorder> recorder;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -3,6 +3,8 @@
 #include <Poco/Exception.h>
 #include <Poco/NObserver.h>
 
+#include <poll.h>
+
 #include <cerrno>
 #include <stdexcept>
 
@@ -22,8 +24,7 @@
     if (sharing == port_sharing::alone && e.code() == EADDRINUSE) throw address_held("listen: " + where + ": held");
     throw std::runtime_error("listen: " + host + ":" + std::to_string(port) + ": " + e.displayText());
   }
-  reactor_.addEventHandler(
-      socket_, Poco::NObserver<listener, Poco::Net::ReadableNotification>(*this, &listener::on_readable));
+  resume();
 }
 
 listener::~listener() {
@@ -33,28 +34,52 @@
 
 void listener::close() {
   if (!open_) return;
+  pause();
   open_ = false;
-  reactor_.removeEventHandler(
-      socket_, Poco::NObserver<listener, Poco::Net::ReadableNotification>(*this, &listener::on_readable));
   try {
     // Guards against requests lost on connections that the system accepted and nobody has taken yet.
-    while (socket_.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ))
-      accepted_(socket_.acceptConnection());
+    while (connection_waits()) accepted_(socket_.acceptConnection());
+  } catch (const Poco::Exception& e) {
+    telemetry::log("accept", "no connection: %s", e.displayText().c_str());
+  }
+  try {
     socket_.close();
   } catch (const Poco::Exception&) {  // it is gone either way
   }
 }
 
+void listener::pause() {
+  if (paused_) return;
+  paused_ = true;
+  reactor_.removeEventHandler(
+      socket_, Poco::NObserver<listener, Poco::Net::ReadableNotification>(*this, &listener::on_readable));
+}
+
+void listener::resume() {
+  if (!open_ || !paused_) return;
+  paused_ = false;
+  reactor_.addEventHandler(
+      socket_, Poco::NObserver<listener, Poco::Net::ReadableNotification>(*this, &listener::on_readable));
+}
+
+// The system's own poll: POCO's opens a descriptor for it, and there may be none.
+bool listener::connection_waits() const {
+  pollfd waits{socket_.impl()->sockfd(), POLLIN, 0};
+  return ::poll(&waits, 1, 0) > 0 && (waits.revents & POLLIN) != 0;
+}
+
 void listener::on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
-  if (!open_) return;
+  if (!open_ || paused_) return;
   reactor_.wake();
   try {
     // More than one a round: hundreds that open at once must not keep others waiting behind them.
     unsigned taken = 0;
     do {
       accepted_(socket_.acceptConnection());
-    } while (open_ && ++taken < bounds_.accepts && socket_.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ));
+    } while (open_ && ++taken < bounds_.accepts && connection_waits());
   } catch (const Poco::Exception& e) {
+    // Guards against a reactor that spins: the connection keeps waiting, and would end every poll at once.
+    pause();
     telemetry::log("accept", "no connection: %s", e.displayText().c_str());
   }
 }
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -35,16 +35,23 @@
   listener(const listener&) = delete;
   listener& operator=(const listener&) = delete;
 
+  // Takes what waits in the backlog, then listens no more.
   void close();
+  // Accepts again where the system had no descriptor for a connection. To be called now and then, about as often as a
+  // caller may be kept waiting for one.
+  void resume();
 
  private:
   void on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&);
+  void pause();
+  bool connection_waits() const;
 
   reactor& reactor_;
   const limits& bounds_;
   handler accepted_;
   Poco::Net::ServerSocket socket_;
   bool open_ = true;
+  bool paused_ = true;  // the reactor does not watch it
 };
 
 }  // namespace marblewharf::net
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -5,6 +5,8 @@
 
 #include <algorithm>
 
+#include "net/closing.hpp"
+
 namespace marblewharf::net {
 
 stream::stream(reactor& r, const limits& bounds, owner& o, Poco::Net::StreamSocket socket)
@@ -60,6 +62,7 @@
 void stream::close() {
   if (!open_) return;
   open_ = false;
+  if (!connecting_) write_rest();
   keep(in_, {});
   keep(out_, {});
   if (tap_ != nullptr) tap_->on_close(this);
@@ -68,9 +71,15 @@
       socket_, Poco::NObserver<stream, Poco::Net::ReadableNotification>(*this, &stream::on_readable));
   reactor_.removeEventHandler(
       socket_, Poco::NObserver<stream, Poco::Net::ErrorNotification>(*this, &stream::on_error));
+  close_in_order(socket_);
+}
+
+// What still waits to be written goes as far as the system takes it; nobody hears of a failure any more.
+void stream::write_rest() {
+  if (out_.empty()) return;
   try {
-    socket_.close();
-  } catch (const Poco::Exception&) {  // it is gone either way
+    socket_.sendBytes(out_.data(), static_cast<int>(out_.size()));
+  } catch (const Poco::Exception&) {  // the other side has gone
   }
 }
 
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -34,6 +34,7 @@
   stream& operator=(const stream&) = delete;
 
   void send(std::string_view bytes);
+  // Closes now, in order (net/closing.hpp).
   void close();
   // Nothing more will be sent: the other side sees the end once all is written. What still comes is thrown away
   // unseen: a close with bytes unread would reset the connection, and the last answer could be lost with it.
@@ -57,6 +58,7 @@
   void on_writable(const writable&);
   void on_error(const error&);
   void flush();
+  void write_rest();
   void watch_writable(bool wanted);
   void lose(const char* why);
 
--- a/src/node/serve.cpp
+++ b/src/node/serve.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 #include <cinttypes>
+#include <cerrno>
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
@@ -27,6 +28,8 @@
 #include "net/reactor.hpp"
 #include "net/waker.hpp"
 #include "node/background.hpp"
+#include "node/signals.hpp"
+#include "ops/departure.hpp"
 #include "ops/drain.hpp"
 #include "ops/figures.hpp"
 #include "ops/handover.hpp"
@@ -39,20 +42,6 @@
 namespace marblewharf::node {
 namespace {
 
-volatile std::sig_atomic_t asked_to_leave = 0;
-volatile std::sig_atomic_t asked_for_counters = 0;
-volatile std::sig_atomic_t asked_to_reload = 0;
-
-void on_signal(int which) {
-  if (which == SIGUSR1) {
-    asked_for_counters = 1;
-  } else if (which == SIGHUP) {
-    asked_to_reload = 1;
-  } else {
-    asked_to_leave = 1;
-  }
-}
-
 // Where the runtime and the catalog are may change while the program runs; a file that cannot be used changes
 // nothing.
 void reload(const config& settings, runtime::link& runtime, catalog::reporter& reporter) {
@@ -132,7 +121,8 @@
     std::ifstream in(path_);
     std::ostringstream text;
     text << in.rdbuf();
-    return ops::successor_took_over(self_, ops::read_mark(text.str()));
+    const std::optional<ops::handover_mark> mark = ops::read_mark(text.str());
+    return ops::successor_took_over(self_, mark) && is_alive(mark->process);
   }
 
  private:
@@ -141,6 +131,11 @@
     return tmp != nullptr && *tmp != '\0' ? tmp : "/tmp";
   }
 
+  // False only where the system knows of no such process: one that may not be asked about is one.
+  static bool is_alive(std::uint64_t process) {
+    return ::kill(static_cast<pid_t>(process), 0) == 0 || errno != ESRCH;
+  }
+
   std::string path_;
   ops::handover_mark self_;
   bool marked_ = false;
@@ -203,11 +198,10 @@
 }  // namespace
 
 void serve(const config& settings, net::tap* tap) {
-  std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGTERM, on_signal);
-  std::signal(SIGINT, on_signal);
-  std::signal(SIGUSR1, on_signal);
-  std::signal(SIGHUP, on_signal);
+  if (told_to_leave()) {
+    telemetry::log("stop", "notice to leave before the start");
+    return;
+  }
   const limits& bounds = settings.bounds;
   telemetry::counters counters;
   net::reactor reactor(bounds);
@@ -279,11 +273,10 @@
     shared.emplace(*fleet, settings, desk, counters, std::move(calls));
   }
   if (background::wanted(settings)) jobs.emplace(settings, counters, [&] { waker->wake(); }, net::steady_now());
-  time_point leave_at = time_point::max();
+  std::optional<ops::departure> leaving;  // from the notice on
   handover_file handover(settings);
   std::uint64_t routed_by = ~std::uint64_t{0};  // the fleet's changes that the routes of calls follow already
   bool writes_looked_after = false;  // the folder's tables are, by background work
-  bool handed_over = false;  // a successor takes the clients: leave at once
   telemetry::log("start", "%s listens on %s:%u", settings.name.c_str(), settings.listen.host.c_str(),
                  static_cast<unsigned>(settings.listen.port));
 
@@ -294,21 +287,17 @@
 
   reactor.serve([&]() -> time_point {
     const time_point now = net::steady_now();
-    if (asked_for_counters != 0) {
-      asked_for_counters = 0;
+    if (take_counters_request()) {
       telemetry::print(counters);
       if (gatherer) gatherer->print();
     }
-    if (asked_to_reload != 0) {
-      asked_to_reload = 0;
-      reload(settings, runtime, reporter);
-    }
+    if (take_reload_request()) reload(settings, runtime, reporter);
     if (operators.ready()) handover.mark_ready();
-    if (asked_to_leave != 0 && !desk.draining()) {
-      handed_over = handover.taken_over();
+    if (told_to_leave() && !leaving) {
+      const bool handed_over = handover.taken_over();
       telemetry::log("drain", "notice to leave, %zu requests open%s", desk.open(),
                      handed_over ? "; a successor takes the clients" : "");
-      leave_at = now + bounds.stop;
+      leaving.emplace(now, handed_over, bounds);
       desk.on_drain(bounds.stop);
     }
     std::vector<double> gauges = runtime.gauges(now);
@@ -347,15 +336,21 @@
     desk.step(now, gauges);
     if (jobs && !jobs->idle(now))
       jobs->step(now, busy && *busy < gauges.size() ? std::optional(gauges[*busy]) : std::nullopt, desk.in_hand().waiting);
-    if (desk.draining()) {
+    if (leaving) {
       // With a successor beside it, every connection this one keeps or takes is one the successor does not.
-      const bool leaving = handed_over || now >= leave_at - bounds.leave_early;
-      if (leaving) front.leave();
-      if (leaving && second_front) second_front->leave();
+      if (leaving->asks_callers_to_go(now)) {
+        front.leave();
+        if (second_front) second_front->leave();
+      }
+      ops::departure::progress connections;
+      if (leaving->ends_connections(now)) {
+        const bool first_ended = front.end_connections();
+        connections.ended = (!second_front || second_front->end_connections()) && first_ended;
+      }
       // A keyed run may end yet though its caller has left, and would be in doubt for nothing.
       const bool kept = !keeper || keeper->known().open() == 0;
-      const bool empty = kept && front.empty() && (!second_front || second_front->empty());
-      if (now >= leave_at - bounds.exit_early || (leaving && empty)) reactor.stop();
+      connections.empty = kept && front.empty() && (!second_front || second_front->empty());
+      if (leaving->is_over(now, connections)) reactor.stop();
     }
     const time_point due =
         std::min({desk.due(), runtime.step(now), reporter.step(now, drained.healthy(desk.healthy())), front.step(now),
--- a/src/node/serve.hpp
+++ b/src/node/serve.hpp
@@ -6,7 +6,7 @@
 
 namespace marblewharf::node {
 
-// Takes the process's signals. Returns when the node has left; throws what keeps it from starting.
+// Heeds the signals that node::catch_signals() notes. Returns when the node has left; throws what keeps it from starting.
 void serve(const config& settings, net::tap* tap);
 
 }  // namespace marblewharf::node
--- a/src/runtime/link.cpp
+++ b/src/runtime/link.cpp
@@ -197,6 +197,7 @@
     moving_ = false;
   }
   state_ = state::syncing;
+  synced_at_ = net::steady_now();
   say(encode_sync(last_serial_));
 }
 
@@ -238,12 +239,16 @@
 }
 
 void link::on(const ready& n) {
+  // `ready` was said after our sync and read now: the runtime started no earlier than `earliest`, no later than
+  // `start`. Guards against the time in which this process stood still, taken for a later start.
+  const time_point earliest = synced_at_ - n.up;
   const time_point start = net::steady_now() - n.up;
   const bool first = runtime_start_.count() == 0;
-  const bool restarted = !first && start > runtime_start_ + config_.bounds.same_start;
+  const bool restarted = !first && earliest > runtime_start_ + config_.bounds.same_start;
   log("runtime", "%s, up for %lld ms, %zu runs", n.starting ? "starting" : "running",
       static_cast<long long>(n.up / std::chrono::milliseconds(1)), calls_.size());
-  runtime_start_ = start;
+  if (first || restarted) runtime_start_ = start;
+  runtime_start_ = std::min(runtime_start_, start);
   if (first) dispatcher_.on_server_up(n.starting, start);
   if (restarted) {
     // Its runs died with it, and its serial numbers may begin anew.
@@ -330,6 +335,7 @@
   state_ = state::up;
   std::vector<std::string> doubtful;
   for (auto& [label, c] : calls_) {
+    if (state_ != state::up) return;  // lost while it is said: the next link settles anew what this one left open
     if (c.start == sent::on_its_way && pauses) {
       c.probing = true;
       c.sure = false;
@@ -345,9 +351,11 @@
     }
   }
   for (const std::string& label : doubtful) {
+    if (state_ != state::up) return;
     say(encode_stop(label));
     finish(calls_.find(label), run_end::lost, {}, {});
   }
+  if (state_ != state::up) return;
   say_held_back();
   if (state_ == state::up) ask(net::steady_now());
 }
@@ -356,6 +364,7 @@
 void link::say_held_back() {
   state_ = state::up;
   for (auto& [label, c] : calls_) {
+    if (state_ != state::up) return;  // lost while it is said: still held back
     if (c.start == sent::no) {
       send_start(c);
     } else if (c.stopped != c.told_stopped && !c.probing) {
--- a/src/runtime/link.hpp
+++ b/src/runtime/link.hpp
@@ -105,6 +105,7 @@
   std::uint64_t questions_ = 0;  // asked for gauges so often
   std::uint64_t settle_at_ = 0;  // the question behind the replayed notices
   time_point runtime_start_{};   // 0 = not heard yet
+  time_point synced_at_{};       // of the present link
   time_point next_try_{};
   time_point since_{};  // of connecting or handing over
   time_point next_question_{};
--- a/src/thrift/front.cpp
+++ b/src/thrift/front.cpp
@@ -5,6 +5,7 @@
 #include <utility>
 #include <vector>
 
+#include "net/closing.hpp"
 #include "thrift/request.hpp"
 
 namespace marblewharf::thrift {
@@ -168,6 +169,7 @@
     if (unused == nullptr) {
       ++counters_.turned_away;
       log("full", "connection closed at once, %zu stand", connections_.size());
+      net::turn_away(socket, encode_closing());
       return;
     }
     ++counters_.made_room;
@@ -229,6 +231,7 @@
 
 time_point server::step(time_point now) {
   if (now < next_sweep_) return next_sweep_;
+  listener_.resume();
   // A sweep that comes late was held up with all else: what came meanwhile is read before anybody is judged.
   const bool stalled = next_sweep_.count() > 0 && now > next_sweep_ + config_.bounds.sweep_every;
   next_sweep_ = now + config_.bounds.sweep_every;
@@ -282,6 +285,20 @@
   }
 }
 
+bool server::end_connections() {
+  bool all_ended = true;
+  connections_.each([&](connection& c) {
+    if (c.finished_) return;
+    const bool owes = !c.open_.empty() || (!c.poisoned_ && c.stream_.unread());
+    if (owes) {
+      all_ended = false;
+    } else {
+      c.finish();
+    }
+  });
+  return all_ended;
+}
+
 void server::leave() {
   if (std::exchange(leaving_, true)) return;
   listener_.close();
--- a/src/uwsgi/front.cpp
+++ b/src/uwsgi/front.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "net/closing.hpp"
 #include "uwsgi/request.hpp"
 
 namespace marblewharf::uwsgi {
@@ -80,6 +81,7 @@
     if (unused == nullptr) {
       ++counters_.turned_away;
       log("full", "uwsgi connection closed at once, %zu stand", connections_.size());
+      net::turn_away(socket, encode_response(503, "Retry-After: 1\r\n"));
       return;
     }
     ++counters_.made_room;
@@ -131,6 +133,7 @@
 
 time_point server::step(time_point now) {
   if (now < next_sweep_) return next_sweep_;
+  listener_.resume();
   // A sweep that comes late was held up with all else: what came meanwhile is read before anybody is judged.
   const bool stalled = next_sweep_.count() > 0 && now > next_sweep_ + config_.bounds.sweep_every;
   next_sweep_ = now + config_.bounds.sweep_every;
@@ -138,6 +141,7 @@
   connections_.each([&](connection& c) {
     const duration patience = c.done_ ? config_.bounds.linger : config_.bounds.half_frame;
     if (c.id_ != 0 || now - c.since_ <= patience) return;
+    if (!c.done_ && c.stream_.unread()) return;  // its bytes are here, and are read in this round
     if (!c.done_) {
       ++counters_.bad_frames;
       log("bad-packet", "uwsgi: a packet that never became whole");
@@ -148,6 +152,20 @@
   return next_sweep_;
 }
 
+bool server::end_connections() {
+  bool all_ended = true;
+  connections_.each([&](connection& c) {
+    if (c.done_) return;
+    const bool owes = c.id_ != 0 || c.stream_.unread();
+    if (owes) {
+      all_ended = false;
+    } else {
+      c.finish({});
+    }
+  });
+  return all_ended;
+}
+
 void server::leave() {
   listener_.close();
 }
--- a/tests/net/harness.hpp
+++ b/tests/net/harness.hpp
@@ -3,15 +3,19 @@
 #pragma once
 
 #include <arpa/inet.h>
+#include <dirent.h>
 #include <fcntl.h>
 #include <poll.h>
 #include <signal.h>
 #include <sys/prctl.h>
+#include <sys/resource.h>
 #include <sys/socket.h>
+#include <sys/stat.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
 #include <algorithm>
+#include <cerrno>
 #include <chrono>
 #include <cstdio>
 #include <cstdlib>
@@ -122,6 +126,20 @@
     }
     return std::exchange(in_, {});
   }
+  // What still comes, and whether the other side ended the stream in order: false where the connection was reset.
+  bool ends_in_order(std::string& rest) {
+    while (true) {
+      pollfd p{fd_, POLLIN, 0};
+      CHECK(::poll(&p, 1, patience_ms) > 0);
+      char chunk[4096];
+      const ssize_t n = ::recv(fd_, chunk, sizeof chunk, 0);
+      if (n <= 0) {
+        rest = std::exchange(in_, {});
+        return n == 0;
+      }
+      in_.append(chunk, static_cast<std::size_t>(n));
+    }
+  }
 
  private:
   int fd_;
@@ -224,6 +242,12 @@
   }
 };
 
+// The program itself, or the one that $MARBLEWHARF_PROGRAM names: to see a test fail on an earlier build.
+inline std::string program_under_test() {
+  const char* other = std::getenv("MARBLEWHARF_PROGRAM");
+  return other != nullptr ? other : MARBLEWHARF;
+}
+
 struct node_options {
   int cores = 4;
   int stop_ms = 3200;
@@ -236,7 +260,10 @@
   int directory_port = 0;              // 0: as the node's own
   int listen_port = 0;                 // 0: one of its own; else beside a node that listens there
   std::string tmpdir{};                // $TMPDIR of the process; empty: as the test's
-  std::string program = MARBLEWHARF;   // the program itself; a measurement may compare two
+  int console_port = 0;                // 0: no console
+  std::string program = program_under_test();  // a measurement may compare two
+  int descriptors = 0;     // the process's own limit on open files; 0: as the test's
+  bool hold_config = false;  // the node waits in its read of the configuration: waits_for_config(), release_config()
 };
 
 class node {
@@ -245,7 +272,11 @@
     char dir[] = "/tmp/marblewharf-test-XXXXXX";
     CHECK(::mkdtemp(dir) != nullptr);
     dir_ = dir;
-    write_config(r, o);
+    if (o.hold_config) {
+      CHECK(::mkfifo((dir_ + "/config.json").c_str(), 0600) == 0);
+    } else {
+      write_config(r, o);
+    }
     if (!o.operators.empty()) std::ofstream(dir_ + "/operators.conf") << o.operators;
     // All that allocates comes before the fork: the test may have threads.
     const std::string log_path = dir_ + "/log";
@@ -266,6 +297,10 @@
     if (pid_ == 0) {
       ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a test that fails leaves no node behind
       ::dup2(::open(log_path.c_str(), O_CREAT | O_WRONLY, 0600), 2);
+      if (o.descriptors > 0) {
+        const rlimit most{static_cast<rlim_t>(o.descriptors), static_cast<rlim_t>(o.descriptors)};
+        ::setrlimit(RLIMIT_NOFILE, &most);
+      }
       ::execve(o.program.c_str(), arguments.data(), environment.data());
       ::_exit(127);
     }
@@ -285,11 +320,46 @@
     std::ofstream(dir_ + "/config.new") << text;
     CHECK(std::rename((dir_ + "/config.new").c_str(), (dir_ + "/config.json").c_str()) == 0);
   }
+  // Ends waits_for_config(). Whoever reads later finds a file of the same text.
+  void release_config(const runtime& r, const node_options& o) {
+    write_config(r, o);
+    const std::string text = (std::ostringstream() << std::ifstream(dir_ + "/config.json").rdbuf()).str();
+    CHECK(::write(held_config_, text.data(), text.size()) == static_cast<ssize_t>(text.size()));
+    ::close(std::exchange(held_config_, -1));
+  }
   void reload(const runtime& r, const node_options& o = {}) {
     write_config(r, o);
     signal(SIGHUP);
   }
   void signal(int which) { ::kill(pid_, which); }
+  pid_t pid() const { return pid_; }
+  // From now on the process may have so many descriptors.
+  void limit_descriptors(int most) const {
+    rlimit now{};
+    CHECK(::prlimit(pid_, RLIMIT_NOFILE, nullptr, &now) == 0);
+    now.rlim_cur = static_cast<rlim_t>(most);
+    CHECK(::prlimit(pid_, RLIMIT_NOFILE, &now, nullptr) == 0);
+  }
+  // With hold_config: until the node reads its configuration, of which nothing is there yet.
+  void waits_for_config() {
+    const auto until = clock::now() + std::chrono::milliseconds(patience_ms);
+    while ((held_config_ = ::open((dir_ + "/config.json").c_str(), O_WRONLY | O_NONBLOCK | O_CLOEXEC)) < 0) {
+      CHECK(errno == ENXIO && clock::now() < until);  // no reader yet
+      std::this_thread::sleep_for(5ms);
+    }
+  }
+  // Asks for the counters until that one stands at `least` or above.
+  void until_counter(const std::string& name, long least) {
+    const auto until = clock::now() + std::chrono::milliseconds(patience_ms);
+    while (true) {
+      signal(SIGUSR1);
+      std::this_thread::sleep_for(100ms);
+      const std::string text = log();
+      const std::size_t at = text.rfind(name + "=");
+      if (at != std::string::npos && std::stol(text.substr(at + name.size() + 1)) >= least) return;
+      CHECK(clock::now() < until);
+    }
+  }
   // Processor time used so far.
   std::chrono::milliseconds used() const {
     std::ifstream stat("/proc/" + std::to_string(pid_) + "/stat");
@@ -306,6 +376,15 @@
     stat >> ns;
     return std::chrono::nanoseconds(ns);
   }
+  // How many descriptors it has open.
+  int descriptors() const {
+    DIR* folder = ::opendir(("/proc/" + std::to_string(pid_) + "/fd").c_str());
+    CHECK(folder != nullptr);
+    int count = -2;  // "." and ".."
+    while (::readdir(folder) != nullptr) ++count;
+    ::closedir(folder);
+    return count;
+  }
   long resident_kb() const {
     std::ifstream statm("/proc/" + std::to_string(pid_) + "/statm");
     long size = 0, resident = 0;
@@ -347,7 +426,9 @@
     const auto tenant = [](const char* name, int quota) {
       return std::string("{\"Name\":\"") + name + "\",\"QuotaPerS\":" + std::to_string(quota) + ".0}";
     };
-    return "{\"name\":\"n0\",\"listen\":" + host + std::to_string(port) + "\",\"runtime\":" + host +
+    const std::string console =
+        o.console_port == 0 ? "" : "\"console\":" + host + std::to_string(o.console_port) + "\",";
+    return "{\"name\":\"n0\"," + console + "\"listen\":" + host + std::to_string(port) + "\",\"runtime\":" + host +
            std::to_string(r.door.port) + "\",\"directory\":" + host +
            std::to_string(o.directory_port != 0 ? o.directory_port : port) +
            "\",\"seed\":\"8c1f\",\"stop_ms\":" + std::to_string(o.stop_ms) +
@@ -368,6 +449,7 @@
 
   std::string dir_;
   pid_t pid_ = -1;
+  int held_config_ = -1;
 };
 
 // ---- Thrift ----------------------------------------------------------------------------------------------
--- a/tests/net/ops_test.cpp
+++ b/tests/net/ops_test.cpp
@@ -3,6 +3,7 @@
 #include <map>
 #include <string>
 
+#include "console_client.hpp"
 #include "harness.hpp"
 
 using namespace harness;
@@ -25,13 +26,6 @@
   node n;
 };
 
-// One call: the whole answer, up to the close.
-std::string call(int port, const std::string& line) {
-  connection c = connection::to(port);
-  c.send(line);
-  return c.rest();
-}
-
 std::string first_line(const std::string& answer) {
   return answer.substr(0, answer.find('\n'));
 }
@@ -55,19 +49,6 @@
   return out;
 }
 
-void wait_console(int port) {
-  const auto until = clock::now() + std::chrono::milliseconds(patience_ms);
-  while (true) {
-    const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    const sockaddr_in a = address_of(port);
-    const bool up = ::connect(fd, reinterpret_cast<const sockaddr*>(&a), sizeof a) == 0;
-    ::close(fd);
-    if (up) return;
-    CHECK(clock::now() < until);
-    std::this_thread::sleep_for(10ms);
-  }
-}
-
 bool health(int port) {
   connection c = connection::to(port);
   c.send(check(1));
--- /dev/null
+++ b/tests/net/races_test.cpp
@@ -0,0 +1,463 @@
+// Races in the node's life, each forced: the stand-in for the runtime or the client holds, cuts or sends at the step
+// named, mostly while the node is stopped (SIGSTOP), so that the bad order comes every time.
+#include <array>
+#include <map>
+
+#include "harness.hpp"
+#include "console_client.hpp"
+
+using namespace harness;
+
+namespace {
+
+void cont_after(node& n, std::chrono::milliseconds pause) {
+  std::this_thread::sleep_for(pause);
+  n.signal(SIGCONT);
+}
+
+// Commands of that name for just these runs, in any order; questions for gauges are answered.
+void expect_all(runtime& r, const std::string& msg, const std::set<std::string>& calls) {
+  std::set<std::string> seen;
+  while (seen.size() < calls.size()) seen.insert(r.expect(msg));
+  CHECK(seen == calls);
+}
+
+// The same without an answer to any question: the node cannot know that they have arrived.
+void expect_all_unconfirmed(runtime& r, const std::string& msg, const std::set<std::string>& calls) {
+  std::set<std::string> seen;
+  while (seen.size() < calls.size()) {
+    const std::string line = r.link.line();
+    if (member(line, "msg") == msg) seen.insert(member(line, "call"));
+  }
+  CHECK(seen == calls);
+}
+
+// ---- The link to the runtime ------------------------------------------------------------------------------
+
+// The runtime answers the question behind the replayed notices, and is gone before the node has said what it then
+// has to say: the first command draws a reset, the second one fails. Guards against a link that counts as up, is not
+// there, and is never sought again: the node listened and served nobody.
+void the_link_breaks_while_runs_are_settled() {
+  runtime r;
+  node n(r);
+  r.up();
+  connection c = connection::to(n.port);
+  std::set<std::string> runs;
+  for (int i = 1; i <= 6; ++i) {
+    c.send(execute(i, usual(i, "kurs-meldung"), "a"));
+    runs.insert(label(i));
+  }
+  expect_all_unconfirmed(r, "start", runs);
+  r.link.close();
+  r.link = r.door.accept();
+  r.link.line();  // sync
+  r.send("{\"msg\":\"ready\",\"how\":\"running\",\"duration\":60000}");
+  const std::string question = r.link.line();
+  n.signal(SIGSTOP);
+  CHECK(r.answer_gauges(question));
+  r.link.close();
+  n.signal(SIGCONT);
+  r.up();  // it comes back
+  expect_all(r, "stop", runs);
+  for (const std::string& run : runs) r.end(run, "broken_off");  // each had started
+  expect_all(r, "cont", runs);
+  for (const std::string& run : runs) r.end(run, "fine", "YQ==");
+  for (int i = 1; i <= 6; ++i) CHECK(read_reply(c).kind == "served");
+}
+
+// The node stands still between the runtime's `ready` and its reading of it. Guards against the delay being taken for
+// a later start of the runtime, and its runs for lost.
+void a_ready_that_is_read_late_is_no_restart() {
+  runtime r;
+  node n(r);
+  r.up();
+  connection c = connection::to(n.port);
+  c.send(execute(1, usual(1, "kurs-meldung"), "a"));
+  r.expect("start");
+  while (!r.answer_gauges(r.link.line())) {
+  }
+  r.link.close();
+  r.link = r.door.accept();
+  r.link.line();  // sync
+  n.signal(SIGSTOP);
+  r.send("{\"msg\":\"ready\",\"how\":\"running\",\"duration\":60200}");
+  cont_after(n, 1800ms);
+  CHECK(r.answer_gauges(r.link.line()));
+  r.end(label(1), "fine", "YQ==");
+  CHECK(read_reply(c).kind == "served");
+}
+
+// Notices come again that were read before the link broke, and one is read for the first time: each run ends once.
+void notices_come_again() {
+  runtime r;
+  node n(r);
+  r.up();
+  connection c = connection::to(n.port);
+  c.send(execute(1, usual(1, "kurs-meldung"), "a") + execute(2, usual(2, "kurs-meldung"), "b"));
+  expect_all(r, "start", {label(1), label(2)});
+  r.end(label(1), "fine", "YQ==");
+  CHECK(read_reply(c).seqid == 1);
+  r.link.close();
+  r.link = r.door.accept();
+  CHECK(member(r.link.line(), "serial") == "1");
+  r.send("{\"msg\":\"ready\",\"how\":\"running\",\"duration\":60000}");
+  r.serial = 0;
+  r.end(label(1), "fault");  // serial 1 again, and not what it said
+  r.end(label(2), "fine", "Yg==");
+  r.serial = 1;
+  r.end(label(2), "fault");  // serial 2 again
+  CHECK(r.answer_gauges(r.link.line()));
+  const reply second = read_reply(c);
+  CHECK(second.seqid == 2 && second.kind == "served" && result(second) == "b");
+  CHECK(!c.readable(200));
+}
+
+// The link accepts and says nothing: requests are answered all the same, by their time.
+void a_silent_runtime_leaves_no_request_unanswered() {
+  runtime r;
+  node n(r, {.aim_ms = 300, .write_aim_ms = 300});
+  const connection link = r.door.accept();
+  connection c = connection::to(n.port);
+  c.send(execute(1, usual(1, "kurs-meldung"), "a"));
+  const reply answer = read_reply(c);
+  CHECK(answer.seqid == 1 && answer.kind != "served");
+}
+
+// ---- The end of the process -------------------------------------------------------------------------------
+
+// The node stands still from before its last step until after it; requests came meanwhile, on connections of both
+// kinds: resting ones and ones that just opened. Guards against a request that the last round of the reactor reads
+// and nobody answers.
+void what_came_before_the_last_step_is_answered() {
+  runtime r;
+  node n(r);
+  r.up();
+  std::vector<connection> resting;
+  for (int i = 0; i < 8; ++i) {
+    resting.push_back(connection::to(n.port));
+    resting.back().send(check(1));
+    read_reply(resting.back());
+  }
+  n.signal(SIGTERM);
+  n.logged("notice to leave");
+  std::this_thread::sleep_for(2000ms);
+  n.signal(SIGSTOP);
+  for (std::size_t i = 0; i < resting.size(); ++i) resting[i].send(execute(2, usual(static_cast<int>(i)), "late"));
+  cont_after(n, 1500ms);
+  for (connection& c : resting) {
+    reply answer;
+    do {
+      CHECK(c.readable(patience_ms));
+      answer = read_reply(c);
+    } while (answer.kind == "closing");
+    CHECK(answer.seqid == 2 && answer.kind == "refused");
+    std::string more;
+    CHECK(c.ends_in_order(more));
+  }
+  CHECK(n.wait() == 0);
+}
+
+// A client that rests until the node ends its connection sees that end in order, and what it writes behind it is
+// neither run nor answered with a reset that could take the last answer along.
+void a_client_that_rests_to_the_end_sees_it_in_order() {
+  runtime r;
+  node n(r, {.stop_ms = 1500});
+  r.up();
+  connection c = connection::to(n.port);
+  c.send(execute(1, usual(1), "a"));
+  r.end(r.expect("start"), "fine", "YQ==");
+  CHECK(read_reply(c).kind == "served");
+  n.signal(SIGTERM);
+  std::string rest;
+  CHECK(c.ends_in_order(rest));  // before the process is gone: it can still hear what comes now
+  c.send(execute(2, usual(2), "b"));
+  CHECK(n.wait() == 0);
+  std::string line;
+  while (r.link.next(line)) CHECK(member(line, "msg") != "start");
+}
+
+// Answers that a client has not taken yet when the notice comes are out before the end.
+void answers_half_written_at_the_notice_come_whole() {
+  runtime r;
+  node n(r, {.stop_ms = 2500});
+  r.up();
+  connection c = connection::to(n.port);
+  const std::string blob(4 * 1024, 'A');  // 3 KiB
+  constexpr int count = 32;
+  for (int i = 1; i <= count; ++i) c.send(execute(i, usual(i), "a"));
+  for (int i = 1; i <= count; ++i) r.end(r.expect("start"), "fine", blob);
+  n.signal(SIGTERM);
+  n.logged("notice to leave");
+  for (int i = 1; i <= count; ++i) CHECK(read_reply(c).kind == "served");
+  std::string rest;
+  CHECK(c.ends_in_order(rest));
+  CHECK(n.wait() == 0);
+}
+
+// SIGHUP and SIGTERM in one moment: both are heeded, a run in flight ends on the new address.
+void two_signals_at_once() {
+  runtime old, next;
+  node n(old);
+  old.up();
+  connection c = connection::to(n.port);
+  c.send(execute(1, usual(1, "kurs-meldung"), "a"));
+  old.expect("start");
+  n.signal(SIGSTOP);
+  n.reload(next);
+  n.signal(SIGTERM);
+  n.signal(SIGUSR1);
+  n.signal(SIGCONT);
+  for (std::string line; old.link.next(line);) CHECK(old.answer_gauges(line));
+  next.up();
+  n.logged("notice to leave");
+  n.logged("counters");
+  next.end(label(1), "fine", "YQ==");
+  CHECK(read_reply(c).kind == "served");
+  c.close();
+  CHECK(n.wait() == 0);
+}
+
+// ---- The start of the process -----------------------------------------------------------------------------
+
+// SIGHUP and SIGUSR1 while the configuration is read: guards against their default, the end of the process.
+void a_reload_during_the_start() {
+  runtime r;
+  const node_options o{.hold_config = true};
+  node n(r, o);
+  n.waits_for_config();
+  n.signal(SIGHUP);
+  n.signal(SIGUSR1);
+  n.release_config(r, o);
+  r.up();
+  n.logged("reload: runtime at");
+  connection c = connection::to(n.port);
+  c.send(execute(1, usual(1), "a"));
+  r.end(r.expect("start"), "fine", "YQ==");
+  CHECK(read_reply(c).kind == "served");
+}
+
+// SIGTERM while the configuration is read: the process ends in order and never listens.
+void a_notice_to_leave_during_the_start() {
+  runtime r;
+  const node_options o{.hold_config = true};
+  node n(r, o);
+  n.waits_for_config();
+  n.signal(SIGTERM);
+  n.release_config(r, o);
+  CHECK(n.wait() == 0);
+  CHECK(n.log().find("listens on") == std::string::npos);
+}
+
+// SIGTERM before the runtime is there: what was read is answered, the process ends by itself.
+void a_notice_to_leave_before_the_runtime_is_up() {
+  runtime r;
+  node n(r, {.stop_ms = 1500});
+  const connection link = r.door.accept();
+  connection c = connection::to(n.port);
+  c.send(execute(1, usual(1, "kurs-meldung"), "a"));
+  n.logged("listens on");
+  n.signal(SIGTERM);
+  reply answer;
+  do answer = read_reply(c);
+  while (answer.kind == "closing");
+  CHECK(answer.seqid == 1 && answer.kind != "served");
+  c.close();
+  CHECK(n.wait() == 0);
+}
+
+// ---- Descriptors ------------------------------------------------------------------------------------------
+
+// Idle clients fill the table and callers the console while nobody hears the reports: the node stays under its limit,
+// its link to the runtime comes back, the console answers, known clients are served, and no thread spins.
+void floods_leave_the_node_its_descriptors() {
+  constexpr int sockets = 160;
+  runtime r;
+  node_options o{.edit_from = "\"memory_mb\":192,\"sockets\":1024", .edit_to = "\"memory_mb\":32,\"sockets\":160"};
+  o.directory_port = free_port();  // discovery is down: nobody is there
+  o.descriptors = sockets;
+  const int console = free_port();
+  o.console_port = console;
+  node n(r, o);
+  r.up();
+  wait_console(console);
+  connection known = connection::to(n.port);
+  for (int i = 1; i <= 3; ++i) {
+    known.send(check(i));
+    read_reply(known);
+  }
+  std::vector<connection> idle;
+  for (int i = 0; i < 2 * sockets; ++i) {
+    idle.push_back(connection::to(n.port));
+    idle.push_back(connection::to(console));
+  }
+  std::this_thread::sleep_for(300ms);
+  CHECK(n.descriptors() <= sockets);
+  const auto before = n.used();
+  std::this_thread::sleep_for(1000ms);
+  CHECK(n.used() - before < 500ms);
+  CHECK(call(console, "ready\n") == "200 yes\n");
+  r.link.close();
+  r.up();  // a descriptor is there for the new link
+  known.send(execute(4, usual(1), "a"));
+  r.end(r.expect("start"), "fine", "YQ==");
+  CHECK(read_reply(known).kind == "served");
+  idle.clear();
+  connection late = connection::to(n.port);
+  late.send(execute(1, usual(2), "a"));
+  r.end(r.expect("start"), "fine", "YQ==");
+  CHECK(read_reply(late).kind == "served");
+}
+
+// The system gives fewer descriptors than the settings name: what the process can have counts.
+void the_process_has_fewer_descriptors_than_the_settings_say() {
+  runtime r;
+  node_options o;  // limits.sockets is 1024
+  o.descriptors = 140;
+  node n(r, o);
+  r.up();
+  std::vector<connection> idle;
+  for (int i = 0; i < 300; ++i) idle.push_back(connection::to(n.port));
+  std::this_thread::sleep_for(300ms);
+  const auto before = n.used();
+  std::this_thread::sleep_for(1000ms);
+  CHECK(n.used() - before < 500ms);
+  r.link.close();
+  r.up();
+  connection late = connection::to(n.port);
+  late.send(execute(1, usual(1), "a"));
+  r.end(r.expect("start"), "fine", "YQ==");
+  CHECK(read_reply(late).kind == "served");
+}
+
+// No descriptor is left to the process though its own table has room: the listener waits instead of spinning, and
+// serves again once there are some.
+void no_descriptor_left_does_not_spin() {
+  runtime r;
+  node n(r);
+  r.up();
+  n.logged("runtime: running");
+  n.limit_descriptors(3);
+  connection waits = connection::to(n.port);
+  waits.send(check(1));
+  n.logged("accept: ");
+  const auto before = n.used();
+  std::this_thread::sleep_for(1000ms);
+  CHECK(n.used() - before < 500ms);
+  n.limit_descriptors(1024);
+  CHECK(read_reply(waits).seqid == 1);
+}
+
+// Every connection has a request open, and one more comes with its request already sent: it is told to go elsewhere
+// and its end comes in order. Guards against a close over unread bytes, whose reset takes the word along.
+void one_connection_too_many_is_ended_in_order() {
+  constexpr int table = 64;
+  runtime r;
+  node n(r, {.edit_from = "\"sockets\":1024", .edit_to = "\"sockets\":128"});
+  r.up();
+  std::vector<connection> busy;
+  for (int i = 0; i < table; ++i) {
+    busy.push_back(connection::to(n.port));
+    busy.back().send(execute(1, usual(i), "a"));
+  }
+  n.until_counter("taken_in", table);
+  n.signal(SIGSTOP);
+  connection one_more = connection::to(n.port);
+  one_more.send(execute(1, usual(1000), "a"));
+  n.signal(SIGCONT);
+  CHECK(read_reply(one_more).kind == "closing");
+  std::string rest;
+  CHECK(one_more.ends_in_order(rest) && rest.empty());
+}
+
+// ---- Replacement ------------------------------------------------------------------------------------------
+
+// The successor said that it takes the clients, and was killed before the first process got its notice: guards against
+// a first process that stops listening for one that is not there.
+void a_successor_that_died_takes_nothing_over() {
+  char folder[] = "/tmp/marblewharf-handover-XXXXXX";
+  CHECK(::mkdtemp(folder) != nullptr);
+  runtime first_runtime, second_runtime;
+  node first(first_runtime, {.tmpdir = folder});
+  first_runtime.up();
+  first.logged("runtime: running");
+  const std::string mark =
+      std::string(folder) + "/marblewharf-n0-" + own_host() + "-" + std::to_string(first.port) + ".ready";
+  const auto marked_by = [&] {
+    std::string words, process;
+    std::ifstream in(mark);
+    in >> words >> words >> process;
+    return process;
+  };
+  const auto until = clock::now() + std::chrono::milliseconds(patience_ms);
+  while (marked_by().empty()) CHECK(clock::now() < until);
+  {
+    node second(second_runtime, {.listen_port = first.port, .tmpdir = folder});
+    second_runtime.up();
+    while (marked_by() != std::to_string(second.pid())) CHECK(clock::now() < until);
+  }  // SIGKILL
+  first.signal(SIGTERM);
+  first.logged("notice to leave");
+  CHECK(first.log().find("a successor takes the clients") == std::string::npos);
+  connection c = connection::to(first.port);
+  c.send(execute(1, usual(1), "a"));
+  first_runtime.end(first_runtime.expect("start"), "fine", "YQ==");
+  CHECK(read_reply(c).kind == "served");
+  c.close();
+  CHECK(first.wait() == 0);
+  ::unlink(mark.c_str());
+  ::rmdir(folder);
+}
+
+// A drain called before a reload and ended behind it: the reload changes nothing of it, and loses nothing.
+void a_drain_round_a_reload() {
+  runtime old, next;
+  node_options o;
+  o.console_port = free_port();
+  node n(old, o);
+  old.up();
+  wait_console(o.console_port);
+  connection c = connection::to(n.port);
+  const auto healthy = [&](int seqid) {
+    c.send(check(seqid));
+    return read_reply(c).rest.find(std::string("\x02\x00\x03\x01", 4)) != std::string::npos;
+  };
+  c.send(execute(1, usual(1, "kurs-meldung"), "a"));
+  old.expect("start");
+  CHECK(call(o.console_port, "drain\n") == "200 draining\n");
+  n.reload(next, o);
+  for (std::string line; old.link.next(line);) CHECK(old.answer_gauges(line));
+  next.up();
+  CHECK(!healthy(2));
+  CHECK(call(o.console_port, "resume\n") == "200 serving\n");
+  CHECK(healthy(3));
+  next.end(label(1), "fine", "YQ==");
+  CHECK(read_reply(c).kind == "served");
+}
+
+}  // namespace
+
+int main(int, char** argv) {
+  const std::map<std::string, void (*)()> tests = {
+      {"settle", the_link_breaks_while_runs_are_settled},
+      {"late_ready", a_ready_that_is_read_late_is_no_restart},
+      {"notices_again", notices_come_again},
+      {"silent_runtime", a_silent_runtime_leaves_no_request_unanswered},
+      {"last_step", what_came_before_the_last_step_is_answered},
+      {"rests_to_the_end", a_client_that_rests_to_the_end_sees_it_in_order},
+      {"half_written", answers_half_written_at_the_notice_come_whole},
+      {"two_signals", two_signals_at_once},
+      {"reload_at_start", a_reload_during_the_start},
+      {"leave_at_start", a_notice_to_leave_during_the_start},
+      {"leave_before_runtime", a_notice_to_leave_before_the_runtime_is_up},
+      {"floods", floods_leave_the_node_its_descriptors},
+      {"fewer_descriptors", the_process_has_fewer_descriptors_than_the_settings_say},
+      {"no_descriptor", no_descriptor_left_does_not_spin},
+      {"too_many", one_connection_too_many_is_ended_in_order},
+      {"dead_successor", a_successor_that_died_takes_nothing_over},
+      {"drain_reload", a_drain_round_a_reload},
+  };
+  const auto found = tests.find(argv[1] != nullptr ? argv[1] : "");
+  CHECK(found != tests.end());
+  found->second();
+  return 0;
+}
