--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -145,13 +145,29 @@
     return number_of(*given, key, path, 0, least, most);
   };
   constexpr double least_cores = 0.001;
-  constexpr double for_buffers = 0.25;  // of the memory
+  constexpr double for_buffers = 0.25;   // of the memory
+  constexpr double for_results = 0.125;  // the same
   constexpr double bytes_each_mb = 1 << 20;
   limit("cores", least_cores, 1e6);  // one thread of ours stays under a core; what is wrong is told all the same
-  bounds.buffered = static_cast<std::size_t>(for_buffers * limit("memory_mb", 16, 1e6) * bytes_each_mb);
+  const double memory = limit("memory_mb", 16, 1e6) * bytes_each_mb;
+  bounds.buffered = static_cast<std::size_t>(for_buffers * memory);
+  bounds.kept_results = static_cast<std::size_t>(for_results * memory);
   bounds.descriptors = static_cast<std::size_t>(limit("sockets", least_descriptors, 1e6));
 }
 
+std::optional<repeats_config> repeats_of(const wrenrill::settings& settings, const limits& bounds) {
+  repeats_config r;
+  r.memory = bounds.kept_results;
+  bool any = false;
+  for (const wrenrill::class_settings& c : settings.classes) {
+    const bool keyed = c.repeats == wrenrill::effect::keyed && c.window.count() > 0;
+    r.windows.push_back(keyed ? c.window + bounds.rule_slack : std::chrono::nanoseconds{});
+    r.longest_wait = std::max(r.longest_wait, c.deadline);
+    any = any || keyed;
+  }
+  return any ? std::optional(std::move(r)) : std::nullopt;
+}
+
 // What the program needs itself comes first, then the console, and the clients have the rest.
 void divide_descriptors(config& c) {
   limits& bounds = c.bounds;
@@ -190,6 +206,7 @@
   read_limits(all, c.bounds);
   divide_descriptors(c);
   c.settings = settings_of(all);
+  c.repeats = repeats_of(c.settings, c.bounds);
   return c;
 }
 
@@ -209,6 +226,7 @@
     c.settings.classes[i].window = c.settings.classes[i].deadline;
   }
   c.keyed = std::move(keys);
+  c.repeats.reset();
 }
 
 void turn_on_dependencies(config& c, dependencies_config all) {
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -62,6 +62,16 @@
   std::chrono::nanoseconds scrub{};  // closed segments are read again that often; 0: never
 };
 
+// Keyed classes of the platform's settings: repeats are known while their window lasts, in memory. Gives way to
+// keyed_config where the operator's file has one.
+struct repeats_config {
+  std::string thrift_field = "unique";            // tells the key; a request without it has none
+  std::size_t longest_key = 255;                  // bytes
+  std::vector<std::chrono::nanoseconds> windows;  // by class, the slack of all times included; 0 = not keyed
+  std::chrono::nanoseconds longest_wait{};        // the longest deadline: nothing is run that waited longer
+  std::size_t memory = 0;                         // bytes
+};
+
 // Budgets and room of background work (docs/scheduler.md), from the operator's file.
 struct background_config {
   unsigned workers = 1;
@@ -177,7 +187,8 @@
   limits bounds;
   wrenrill::settings settings;
   std::optional<uwsgi_config> uwsgi;  // none: that front is off
-  std::optional<keyed_config> keyed;  // none: no request has a key
+  std::optional<keyed_config> keyed;      // none: no results are kept on disk
+  std::optional<repeats_config> repeats;  // none: no class is keyed, or `keyed` has them
   std::optional<dependencies_config> dependencies;  // none: no class is gathered
   std::optional<writes_config> writes;  // none: no write has several participants
   std::optional<fleet_config> fleet;    // none: membership and failover are off
--- a/src/config/limits.hpp
+++ b/src/config/limits.hpp
@@ -36,6 +36,8 @@
   std::size_t write_buffer = std::size_t{144} << 10;
   // All connections together: peers that all stop reading may fill no more than this.
   std::size_t buffered = std::size_t{48} << 20;
+  // Results of keyed requests that are kept in memory (config: repeats).
+  std::size_t kept_results = std::size_t{24} << 20;
   std::size_t read_chunk = std::size_t{16} << 10;     // read of a connection in one round, so that none starves
   std::size_t discard_chunk = std::size_t{64} << 10;  // ... and thrown away, of one that was given up
   unsigned accepts = 64;                              // connections taken in one round
@@ -66,6 +68,8 @@
   duration gauges_stale = std::chrono::milliseconds(1000);  // after this they say nothing
   duration connect = std::chrono::seconds(1);     // until a connection to the runtime stands
   duration same_start = std::chrono::seconds(1);  // two looks at one start of the runtime differ by less
+  // Every time limit of the platform is that much longer; a repeat that comes on the edge of its window is one.
+  duration rule_slack = std::chrono::milliseconds(50);
   duration linger = std::chrono::seconds(2);      // for a caller to close after its answer
   duration sweep_every = std::chrono::milliseconds(100);  // looks at all connections
   duration hand_over = std::chrono::milliseconds(300);  // to a new address of the runtime, then tried again
--- a/src/node/serve.cpp
+++ b/src/node/serve.cpp
@@ -25,6 +25,7 @@
 #include "dependencies/writer.hpp"
 #include "keyed/awaited.hpp"
 #include "keyed/keeper.hpp"
+#include "keyed/memory_results.hpp"
 #include "net/reactor.hpp"
 #include "net/waker.hpp"
 #include "node/background.hpp"
@@ -90,6 +91,18 @@
   return o;
 }
 
+keyed::memory_results_options memory_results_options_of(const config& settings) {
+  const repeats_config& r = *settings.repeats;
+  keyed::memory_results_options o;
+  o.windows = r.windows;
+  o.longest_wait = r.longest_wait;
+  o.memory = r.memory;
+  o.largest_result = settings.bounds.result;
+  o.open = settings.bounds.keyed_open;
+  o.salt = random_number();
+  return o;
+}
+
 // The mark of replacement in $TMPDIR, which a second process beside this one shares. The folder is memory on the
 // platform, and there are two small files a run: the reactor's thread writes and reads them itself.
 class handover_file {
@@ -229,6 +242,13 @@
       next_lock_try = net::steady_now() + settings.keyed->retry_disk;
     }
   }
+  std::optional<keyed::memory_results> repeats;
+  if (settings.repeats) {
+    repeats.emplace(memory_results_options_of(settings), counters);
+    repeats->report_to(desk);
+    // What was given up is stopped at once: nothing of it outlives the process, so nothing is saved by its end.
+    desk.use(*repeats, duration{});
+  }
   runtime::link runtime(reactor, settings, desk, counters);
   catalog::reporter reporter(settings);
   thrift::server front(reactor, settings, desk, runtime, counters);
@@ -321,6 +341,7 @@
       }
     }
     if (keeper) keeper->step(now);
+    if (repeats) repeats->step(now);
     const time_point fleet_due = fleet ? fleet->step(now) : time_point::max();
     if (fleet && fleet->changes() != routed_by) {
       routed_by = fleet->changes();
@@ -359,7 +380,7 @@
                   writer ? writer->step(now) : time_point::max(),
                   console ? console->step(now) : time_point::max(),
                   fleet_due, shared_due, next_lock_try, jobs ? jobs->due() : time_point::max()});
-    return desk.due() < now ? now : due;
+    return desk.due() < now || (repeats && repeats->has_news()) ? now : due;
   });
   telemetry::log("stop", "%zu requests open", desk.open());
   telemetry::print(counters);
--- a/src/telemetry/telemetry.cpp
+++ b/src/telemetry/telemetry.cpp
@@ -75,7 +75,7 @@
       c.connections, c.taken_in, c.sent, c.served, c.refused, c.failed, c.given_up, c.gone, c.bad_requests,
       c.bad_frames, c.checks, c.silent, c.made_room, c.turned_away, c.links_lost, c.nacks, c.console_calls,
       c.console_bad);
-  if (c.results_bytes == 0) return;  // nothing is kept
+  if (c.results_bytes == 0 && c.results_known == 0) return;  // nothing is kept
   log("counters",
       "repeats_answered=%" PRIu64 " repeats_joined=%" PRIu64 " repeats_in_doubt=%" PRIu64 " key_conflicts=%" PRIu64
       " no_room=%" PRIu64 " results_known=%" PRIu64 " results_in_doubt=%" PRIu64 " results_bytes=%" PRIu64
--- a/src/thrift/front.cpp
+++ b/src/thrift/front.cpp
@@ -154,6 +154,7 @@
       counters_(counters),
       connections_(r),
       names_(settings.settings),
+      keys_(key_rules_of(settings)),
       listener_(r, settings.bounds, settings.listen.host, settings.listen.port,
                 [this](const Poco::Net::StreamSocket& socket) { accept(socket); }) {
   d.add(*this);
@@ -186,7 +187,7 @@
 void server::read(connection& from, const execute& what, std::int32_t seqid) {
   request r;
   try {
-    r = to_request(what, names_, net::unix_ms(), config_.keyed ? &*config_.keyed : nullptr);
+    r = to_request(what, names_, net::unix_ms(), keys_);
   } catch (const bad_field& e) {
     ++counters_.bad_requests;
     log("bad-request", "field %s is missing or wrong", e.what());
--- a/src/thrift/front.hpp
+++ b/src/thrift/front.hpp
@@ -12,6 +12,7 @@
 #include "net/listener.hpp"
 #include "net/stream.hpp"
 #include "thrift/codec.hpp"
+#include "thrift/request.hpp"
 
 namespace marblewharf::thrift {
 
@@ -56,6 +57,7 @@
   net::connections<connection> connections_;
   std::unordered_map<request_id, open_request> open_;
   vocabulary names_;
+  key_rules keys_;
   net::listener listener_;
   std::function<bool()> healthy_;
   duration idle_after_{};
--- a/src/thrift/request.cpp
+++ b/src/thrift/request.cpp
@@ -49,9 +49,30 @@
   return *value;
 }
 
+void read_key(const execute& what, const key_rules& keys, request& r) {
+  if (!keys.required && !what.fields.contains(keys.field)) return;
+  r.key = field(what.fields, keys.field.c_str());
+  if (keyed::fault_of_key(r.key, keys.longest) != nullptr) throw bad_field(keys.field);
+  if (!keys.content_counts) return;
+  const std::array<std::string_view, 2> asked = {"thrift", what.body};
+  r.content = keyed::content_hash(asked);
+}
+
 }  // namespace
 
-request to_request(const execute& what, vocabulary& names, std::int64_t now_ms, const keyed_config* keys) {
+key_rules key_rules_of(const config& settings) {
+  if (const auto& kept = settings.keyed)
+    return {.field = kept->thrift_field,
+            .longest = kept->longest_key,
+            .windows = kept->windows,
+            .required = true,
+            .content_counts = true};
+  if (const auto& kept = settings.repeats)
+    return {.field = kept->thrift_field, .longest = kept->longest_key, .windows = kept->windows};
+  return {};
+}
+
+request to_request(const execute& what, vocabulary& names, std::int64_t now_ms, const key_rules& keys) {
   const field_map& f = what.fields;
   request r;
   r.label = field(f, "txn");
@@ -70,12 +91,7 @@
   r.request_class = known(names.class_of(field(f, "verb")), "verb");
   r.tenant = known(names.tenant_of(field(f, "team")), "team");
   r.payload = what.body;
-  if (keys != nullptr && !keys->thrift_field.empty() && keys->windows[r.request_class].count() > 0) {
-    r.key = field(f, keys->thrift_field.c_str());
-    if (keyed::fault_of_key(r.key, keys->longest_key) != nullptr) throw bad_field(keys->thrift_field);
-    const std::array<std::string_view, 2> asked = {"thrift", what.body};
-    r.content = keyed::content_hash(asked);
-  }
+  if (!keys.field.empty() && keys.windows[r.request_class].count() > 0) read_key(what, keys, r);
   return r;
 }
 
--- a/tests/net/races_test.cpp
+++ b/tests/net/races_test.cpp
@@ -434,6 +434,150 @@
   CHECK(read_reply(c).kind == "served");
 }
 
+// ---- Repeats of a keyed class, as the platform's settings have it -------------------------------------------
+
+// The writes are keyed, and a repeat may come within `window_ms`.
+node_options keyed_writes(int window_ms) {
+  return {.edit_from = "\"Effect\":\"unsafe\"",
+          .edit_to = "\"Effect\":\"keyed\",\"Window\":" + std::to_string(window_ms) + "000000"};
+}
+
+// A try of the write that `key` names, which came to the machine so long ago.
+std::string keyed_try(int seqid, const std::string& key, int ms_ago = 0) {
+  static int tries = 0;
+  fields f = usual(++tries, "kurs-meldung", -ms_ago);
+  f.emplace_back("unique", key);
+  return execute(seqid, f, "price");
+}
+
+void starts_nothing(runtime& r) {
+  const auto quiet_until = clock::now() + 200ms;
+  while (clock::now() < quiet_until) {
+    if (r.link.readable(20)) CHECK(r.answer_gauges(r.link.line()));
+  }
+}
+
+// While the first try is held (its runtime is not there yet), runs, has just ended, and after its end, also one that
+// failed: one run, one outcome, one answer each.
+void repeats_share_one_run() {
+  runtime r;
+  node n(r, keyed_writes(60000));
+  connection link = r.door.accept();  // and says nothing
+  connection c = connection::to(n.port);
+  c.send(keyed_try(1, "a") + keyed_try(2, "a"));
+  n.until_counter("repeats_joined", 1);
+  link.close();
+  r.up();
+  const std::string run = r.expect("start");
+  c.send(keyed_try(3, "a"));
+  n.until_counter("repeats_joined", 2);
+  n.signal(SIGSTOP);  // the end and a repeat are read in one round
+  r.end(run, "fine", "YQ==");
+  c.send(keyed_try(4, "a"));
+  n.signal(SIGCONT);
+  std::set<int> answered;
+  for (int i = 1; i <= 4; ++i) {
+    const reply served = read_reply(c);
+    CHECK(served.kind == "served" && result(served) == "a");
+    answered.insert(served.seqid);
+  }
+  CHECK(answered == (std::set<int>{1, 2, 3, 4}));
+  c.send(keyed_try(5, "a"));
+  const reply later = read_reply(c);
+  CHECK(later.seqid == 5 && later.kind == "served" && result(later) == "a");
+  c.send(keyed_try(6, "b"));
+  r.end(r.expect("start"), "fault");
+  CHECK(read_reply(c).kind == "failed");
+  c.send(keyed_try(7, "b"));
+  CHECK(read_reply(c).kind == "failed");
+  starts_nothing(r);
+}
+
+// On either side of the end of the window, which opens as the try that ran came to the machine: guards against a
+// second run of a try that came in time and was read late, and against a result that is given for ever.
+void repeats_round_the_end_of_the_window() {
+  runtime r;
+  node n(r, keyed_writes(1500));
+  r.up();
+  connection c = connection::to(n.port);
+  c.send(keyed_try(1, "a", 3000));  // its window ended 1.5 s ago
+  r.end(r.expect("start"), "fine", "YQ==");
+  CHECK(result(read_reply(c)) == "a");
+  c.send(keyed_try(2, "a", 1600));  // came before that end, and is read now
+  CHECK(result(read_reply(c)) == "a");
+  starts_nothing(r);
+  c.send(keyed_try(3, "a", 1200));  // came after it
+  r.end(r.expect("start"), "fine", "Yg==");
+  CHECK(result(read_reply(c)) == "b");
+  c.send(keyed_try(4, "a"));
+  CHECK(result(read_reply(c)) == "b");
+  starts_nothing(r);
+}
+
+// A first try that never ran leaves nothing behind: its repeat runs. One whose caller left goes on for the repeat.
+void repeats_of_what_never_ran_and_of_what_was_left() {
+  runtime r;
+  node n(r, keyed_writes(60000));
+  connection link = r.door.accept();
+  connection c = connection::to(n.port);
+  c.send(keyed_try(1, "a") + interrupt(2, 1));
+  n.until_counter("gone", 1);
+  link.close();
+  r.up();
+  c.send(keyed_try(3, "a"));
+  const std::string run = r.expect("start");
+  c.send(interrupt(4, 3));
+  n.until_counter("gone", 2);
+  c.send(keyed_try(5, "a"));
+  n.until_counter("repeats_joined", 1);
+  r.end(run, "fine", "YQ==");
+  const reply served = read_reply(c);
+  CHECK(served.seqid == 5 && result(served) == "a");
+  starts_nothing(r);
+}
+
+// The link breaks between the end of the run and the repeat, and brings the end anew.
+void a_repeat_over_a_broken_link() {
+  runtime r;
+  node n(r, keyed_writes(60000));
+  r.up();
+  connection c = connection::to(n.port);
+  c.send(keyed_try(1, "a"));
+  const std::string run = r.expect("start");
+  r.send("{\"msg\":\"end\",\"serial\":1,\"call\":\"" + run + "\",\"how\":\"fi");
+  r.link.close();
+  n.logged("link-lost");
+  c.send(keyed_try(2, "a"));
+  r.link = r.door.accept();
+  r.link.line();  // sync
+  r.send("{\"msg\":\"ready\",\"how\":\"running\",\"duration\":60000}");
+  r.end(run, "fine", "YQ==");
+  CHECK(r.answer_gauges(r.link.line()));
+  for (int i = 1; i <= 2; ++i) CHECK(result(read_reply(c)) == "a");
+  starts_nothing(r);
+}
+
+// A restart forgets what was kept in memory: the repeat runs in the new process, as the protocol has it.
+void a_repeat_after_a_restart_runs_anew() {
+  runtime first_runtime, second_runtime;
+  const int port = free_port();
+  node_options o = keyed_writes(60000);
+  o.listen_port = port;
+  {
+    node first(first_runtime, o);
+    first_runtime.up();
+    connection c = connection::to(port);
+    c.send(keyed_try(1, "a"));
+    first_runtime.expect("start");
+  }  // SIGKILL
+  node second(second_runtime, o);
+  second_runtime.up();
+  connection c = connection::to(port);
+  c.send(keyed_try(1, "a"));
+  second_runtime.end(second_runtime.expect("start"), "fine", "YQ==");
+  CHECK(read_reply(c).kind == "served");
+}
+
 }  // namespace
 
 int main(int, char** argv) {
@@ -455,6 +599,11 @@
       {"too_many", one_connection_too_many_is_ended_in_order},
       {"dead_successor", a_successor_that_died_takes_nothing_over},
       {"drain_reload", a_drain_round_a_reload},
+      {"repeats", repeats_share_one_run},
+      {"repeats_window", repeats_round_the_end_of_the_window},
+      {"repeats_left", repeats_of_what_never_ran_and_of_what_was_left},
+      {"repeats_link", a_repeat_over_a_broken_link},
+      {"repeats_restart", a_repeat_after_a_restart_runs_anew},
   };
   const auto found = tests.find(argv[1] != nullptr ? argv[1] : "");
   CHECK(found != tests.end());
