--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -7,6 +7,7 @@
 #include <cmath>
 #include <cstdlib>
 #include <fstream>
+#include <set>
 #include <sstream>
 
 #include "json/json.hpp"
@@ -89,6 +90,34 @@
   }
 }
 
+bool is_control(char sign) {
+  constexpr char first_printable = 0x20;
+  constexpr char del = 0x7f;
+  return (sign >= 0 && sign < first_printable) || sign == del;
+}
+
+// Names go over wires and into log lines as they are: any text but control signs, and each only once.
+void check_name(const std::string& name, const std::string& key, std::set<std::string>& taken) {
+  if (name.empty()) throw bad_config(key + " is missing");
+  if (std::any_of(name.begin(), name.end(), is_control)) throw bad_config(key + " has a control sign in it");
+  if (!taken.insert(name).second) throw bad_config(key + " is there twice: " + name);
+}
+
+// What the module cannot do without or would misread, by the operators' names and not the module's.
+void check_settings(const wrenrill::settings& s) {
+  if (s.cores == 0) throw bad_config("settings.Extra.NCores is missing or 0");
+  if (s.classes.empty()) throw bad_config("settings.Classes has no class");
+  std::set<std::string> class_names, tenant_names;
+  for (std::size_t i = 0; i < s.classes.size(); ++i) {
+    const std::string at = "settings.Classes." + std::to_string(i) + ".";
+    check_name(s.classes[i].name, at + "Name", class_names);
+    if (s.classes[i].deadline.count() <= 0) throw bad_config(at + "Deadline is missing or 0");
+    if (s.classes[i].deadline < s.classes[i].aim) throw bad_config(at + "Deadline is under its Objective");
+  }
+  for (std::size_t i = 0; i < s.tenants.size(); ++i)
+    check_name(s.tenants[i].name, "settings.Tenants." + std::to_string(i) + ".Name", tenant_names);
+}
+
 wrenrill::settings settings_of(const json::value& all) {
   const json::value* given = member(all, "settings");
   if (given == nullptr || given->what != json::kind::object) throw bad_config("settings is no object");
@@ -100,18 +129,7 @@
   } catch (const std::invalid_argument& e) {
     throw bad_config(std::string("settings.") + e.what());
   }
-  // What the module cannot do without, by the operators' names and not the module's.
-  if (s.cores == 0) throw bad_config("settings.Extra.NCores is missing or 0");
-  if (s.classes.empty()) throw bad_config("settings.Classes has no class");
-  for (std::size_t i = 0; i < s.classes.size(); ++i) {
-    const std::string at = "settings.Classes." + std::to_string(i) + ".";
-    if (s.classes[i].name.empty()) throw bad_config(at + "Name is missing");
-    if (s.classes[i].deadline.count() <= 0) throw bad_config(at + "Deadline is missing or 0");
-  }
-  for (std::size_t i = 0; i < s.tenants.size(); ++i) {
-    if (s.tenants[i].name.empty())
-      throw bad_config("settings.Tenants." + std::to_string(i) + ".Name is missing");
-  }
+  check_settings(s);
   return s;
 }
 
@@ -195,7 +213,10 @@
   const json::value all = parse_object(text, "the configuration");
   config c;
   c.name = text_of(all, "name");
-  if (c.name.find_first_of(" \t\r\n") != std::string::npos) throw bad_config("name has a space in it");
+  // A word of the reports to the catalog, and part of a file's name.
+  const auto fits = [](char sign) { return sign > ' ' && sign <= '~' && sign != '/'; };
+  if (!std::all_of(c.name.begin(), c.name.end(), fits))
+    throw bad_config("name has a space, a slash or a sign that is not ASCII in it");
   c.listen = endpoint_of(all, "listen");
   c.runtime = endpoint_of(all, "runtime");
   c.directory = endpoint_of(all, "directory");
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -23,6 +23,12 @@
     const std::string_view value = text(key);
     return value.empty() ? absent : to_number(key, value);
   }
+  // A number that cannot be negative.
+  double amount(const std::string& key, double absent) const {
+    const double value = number(key, absent);
+    if (value < 0) throw std::invalid_argument(key + " is negative");
+    return value;
+  }
   duration time(const std::string& key, duration absent = {}) const {
     const double value = number(key, static_cast<double>(absent.count()));
     if (value < 0 || value > 9e17) throw std::invalid_argument(key + " is no usable time");
@@ -63,14 +69,16 @@
   const setting_paths& values_;
 };
 
+// One of a few words; the first is meant where the key is absent.
 template <typename T>
-T pick(const environment_reader& env, const std::string& key, T absent,
+T pick(const environment_reader& env, const std::string& key,
        std::initializer_list<std::pair<std::string_view, T>> words) {
   const std::string_view value = env.text(key);
+  if (value.empty()) return words.begin()->second;
   for (const auto& [word, meaning] : words) {
     if (value == word) return meaning;
   }
-  return absent;
+  throw std::invalid_argument(key + " is none of its words: " + std::string(value));
 }
 
 std::vector<std::string> class_list(const environment_reader& env, const std::string& key,
@@ -96,11 +104,11 @@
     c.name = env.text(at + "Name");
     c.aim = env.time(at + "Objective");
     c.deadline = env.time(at + "Deadline");
-    c.aim_stretch = env.number(at + "AimStretch", 0);
-    c.worth = env.number(at + "Credit", 1);
+    c.aim_stretch = env.amount(at + "AimStretch", 0);
+    c.worth = env.amount(at + "Credit", 1);
     c.late_worth = env.number(at + "LateValue", 0);
     c.repeats =
-        pick(env, at + "Effect", effect::safe, {{"keyed", effect::keyed}, {"unsafe", effect::unsafe}});
+        pick<effect>(env, at + "Effect", {{"safe", effect::safe}, {"keyed", effect::keyed}, {"unsafe", effect::unsafe}});
     c.window = env.time(at + "Window");
     c.calls = !calls.empty() && calls[i] == "true";
     c.worth_without = without.empty() ? 0 : environment_reader::to_number("Extra.WorthWithout", without[i]);
@@ -109,20 +117,20 @@
   const unsigned tenants = env.count("Tenants.count", 0);
   for (unsigned i = 0; i < tenants; ++i) {
     const std::string at = "Tenants." + std::to_string(i) + ".";
-    s.tenants.push_back({std::string(env.text(at + "Name")), env.number(at + "QuotaPerS", 0)});
+    s.tenants.push_back({std::string(env.text(at + "Name")), env.amount(at + "QuotaPerS", 0)});
   }
   s.servers = env.count("GroupSize", 1);
   s.callers = env.count("Extra.Upstreams", 1);
   s.cores = env.count("Extra.NCores", 0);
   s.cold = env.flag("Extra.Cold", false);
-  s.cold_speed = env.number("Safety.StartCapacity", 1);
+  s.cold_speed = env.amount("Safety.StartCapacity", 1);
   s.warm_within = env.time("Safety.Cold");
-  s.crowd_factor = env.number("Safety.OverloadFactor", 0);
+  s.crowd_factor = env.amount("Safety.OverloadFactor", 0);
   s.crowd_period = env.time("Safety.Fall");
-  s.memory_kb = env.number("Extra.RamKb", 0);
-  s.run_factor = env.number("Extra.RunFactor", 1);
-  s.key_kb = env.number("Extra.KbPerKey", 0);
-  s.fair_calls = env.number("Extra.FairCalls", 0);
+  s.memory_kb = env.amount("Extra.RamKb", 0);
+  s.run_factor = env.amount("Extra.RunFactor", 1);
+  s.key_kb = env.amount("Extra.KbPerKey", 0);
+  s.fair_calls = env.amount("Extra.FairCalls", 0);
   s.calls_period = env.time("Extra.CallsOver");
   s.call_linger = env.time("Extra.Lingers");
   s.fresh = env.time("Extra.Fresh");
@@ -132,10 +140,17 @@
   s.max_retry_after = env.time("Bounds.MaxRetryAfter");
   s.retry_after = env.flag("Bounds.RetryAfter", false);
   s.tick = env.time("Tick");
-  s.halt = pick(env, "Extra.Halt", halt_mode::none, {{"drop", halt_mode::drop}, {"pause", halt_mode::pause}});
-  s.signal =
-      pick(env, "Extra.Say", signal_kind::none,
-           {{"level", signal_kind::level}, {"credit", signal_kind::credit}, {"weight", signal_kind::weight}});
+  s.halt = pick<halt_mode>(env, "Extra.Halt",
+                           {{"silent", halt_mode::none},
+                            {"none", halt_mode::none},
+                            {"drop", halt_mode::drop},
+                            {"pause", halt_mode::pause}});
+  s.signal = pick<signal_kind>(env, "Extra.Say",
+                               {{"silent", signal_kind::none},
+                                {"none", signal_kind::none},
+                                {"level", signal_kind::level},
+                                {"credit", signal_kind::credit},
+                                {"weight", signal_kind::weight}});
   s.gauges = env.list("Extra.Gauges");
   return s;
 }
--- a/tests/fleet/fleet.hpp
+++ b/tests/fleet/fleet.hpp
@@ -12,6 +12,7 @@
 #include <string>
 #include <vector>
 
+#include "../net/console_client.hpp"
 #include "../net/harness.hpp"
 #include "relay.hpp"
 
@@ -45,13 +46,6 @@
   std::vector<int> fds_;
 };
 
-// One call on a console.
-inline std::string call(int port, const std::string& line) {
-  connection c = connection::to(port);
-  c.send(line);
-  return c.rest();
-}
-
 // A figure of show-stat, by name.
 inline long figure(int console, const std::string& name) {
   const std::string text = call(console, "show-stat\n");
--- a/tests/net/node_test.cpp
+++ b/tests/net/node_test.cpp
@@ -612,6 +612,27 @@
       {"\"sockets\":1024", "\"sockets\":3", "limits.sockets"},
       {"\"memory_mb\":192", "\"memory_mb\":1", "limits.memory_mb"},
       {"\"listen\":\"", "\"listen\":\"nowhere", "listen"},
+      {"\"Classes\":[", "\"Classes\":[],\"Others\":[", "settings.Classes has no class"},
+      {"\"Effect\":\"unsafe\"", "\"Effect\":\"sometimes\"", "settings.Classes.1.Effect"},
+      {"\"Objective\":20000000000", "\"Objective\":60000000001", "settings.Classes.0.Deadline is under"},
+      {"\"Deadline\":60000000000,", "", "settings.Classes.0.Deadline is missing"},
+      {"\"Deadline\":60000000000", "\"Deadline\":-1", "settings.Classes.0.Deadline"},
+      {"\"limits\"", "\"bounds\"", "limits is no object"},
+      {"\"sockets\":1024", "\"sockets\":-1024", "limits.sockets"},
+      {"\"cores\":1.0,\"memory_mb\":192", "\"cores\":1.0", "limits.memory_mb is missing"},
+      {",\"sockets\":1024", "", "limits.sockets is missing"},
+      {"\"cores\":1.0", "\"cores\":0", "limits.cores"},
+      {"\"Name\":\"kurs-abfrage\"", "\"Name\":\"kurs\\nabfrage\"", "settings.Classes.0.Name has a control sign"},
+      {"\"Name\":\"kurs-abfrage\"", "\"Name\":\"kurs-meldung\"", "settings.Classes.1.Name is there twice"},
+      {"\"Name\":\"lech-vermoegen\"", "\"Name\":\"isar-invest\"", "settings.Tenants.1.Name is there twice"},
+      {"\"Name\":\"isar-invest\"", "\"Name\":\"\"", "settings.Tenants.0.Name is missing"},
+      {"\"QuotaPerS\":100.0", "\"QuotaPerS\":-1.0", "settings.Tenants.0.QuotaPerS"},
+      {"\"Credit\":1", "\"Credit\":-1", "settings.Classes.0.Credit"},
+      {"\"OverloadFactor\":5.0", "\"OverloadFactor\":-5.0", "settings.Safety.OverloadFactor"},
+      {"\"RunFactor\":8.0", "\"RunFactor\":-8.0", "settings.Extra.RunFactor"},
+      {"\"Halt\":\"pause\"", "\"Halt\":\"maybe\"", "settings.Extra.Halt"},
+      {"\"DrainGrace\":2500000000", "\"DrainGrace\":-1", "settings.Safety.DrainGrace"},
+      {"\"name\":\"n0\"", "\"name\":\"n/0\"", "name has a space, a slash"},
       {"{", "[", "no JSON"}};
   for (const auto& w : wrong) {
     runtime r;
@@ -626,6 +647,31 @@
   }
 }
 
+// Unusual, and legal: each starts and serves.
+void unusual_settings_serve() {
+  const std::vector<std::pair<std::string, std::string>> legal = {
+      {"\"Name\":\"lech-vermoegen\"", "\"Name\":\"Lech & Söhne / KG: \\\"1\\\"\""},
+      {"\"Objective\":20000000000", "\"Objective\":60000000000"},  // the deadline itself
+      {"\"Objective\":20000000000,", ""},
+      {"\"Effect\":\"safe\",", ""},
+      {"\"QuotaPerS\":100.0", "\"QuotaPerS\":0"},
+      {"\"OverloadFactor\":5.0", "\"OverloadFactor\":0"},
+      {"\"Halt\":\"pause\"", "\"Halt\":\"silent\""},
+      {"\"NCores\":4", "\"NCores\":1"},
+      {"\"StartCapacity\":0.21,\"Cold\":18000000000", "\"StartCapacity\":1"},
+      {"\"Tick\":2000000", "\"Tick\":2000000,\"Unheard\":{\"of\":[1,2,{\"x\":null}]}"},
+      {"\"name\":\"n0\"", "\"name\":\"node_0.muc-1:a\""}};
+  for (const auto& [from, to] : legal) {
+    runtime r;
+    node n(r, {.edit_from = from, .edit_to = to});
+    r.up();
+    connection c = connection::to(n.port);
+    c.send(execute(1, usual(1), "a") + execute(2, usual(2, "kurs-meldung"), "b"));
+    for (int i = 0; i < 2; ++i) r.end(r.expect("start"), "fine", "YQ==");
+    for (int i = 0; i < 2; ++i) CHECK(read_reply(c).kind == "served");
+  }
+}
+
 }  // namespace
 
 int main(int, char** argv) {
@@ -659,6 +705,7 @@
       {"full", a_full_table_closes_nobody_whose_request_is_here},
       {"counters", prints_counters_on_request},
       {"config", names_the_faulty_key},
+      {"unusual", unusual_settings_serve},
   };
   tests.at(argv[1])();
   return 0;
--- a/tests/net/races_test.cpp
+++ b/tests/net/races_test.cpp
@@ -123,6 +123,28 @@
   CHECK(answer.seqid == 1 && answer.kind != "served");
 }
 
+// A deadline that is shorter than the node's own timers: each request has its one answer, and nobody else's waits.
+void deadlines_shorter_than_the_timers() {
+  runtime r;
+  node n(r, {.edit_from = "\"Objective\":20000000000,\"Deadline\":60000000000",
+             .edit_to = "\"Objective\":5000000,\"Deadline\":8000000"});
+  r.up();
+  connection c = connection::to(n.port);
+  constexpr int count = 20;
+  for (int i = 1; i <= count; ++i) c.send(execute(i, usual(i), "a"));
+  c.send(execute(count + 1, usual(count + 1, "kurs-meldung"), "b"));
+  std::set<int> answered;
+  while (!answered.contains(count + 1)) {
+    if (c.readable(5)) CHECK(answered.insert(read_reply(c).seqid).second);
+    if (!r.link.readable(0)) continue;
+    const std::string line = r.link.line();
+    if (!r.answer_gauges(line) && member(line, "msg") == "start" && member(line, "service") == "kurs-meldung")
+      r.end(member(line, "call"), "fine", "YQ==");
+  }
+  while (answered.size() < count + 1) CHECK(answered.insert(read_reply(c).seqid).second);
+  CHECK(!c.readable(200));
+}
+
 // ---- The end of the process -------------------------------------------------------------------------------
 
 // The node stands still from before its last step until after it; requests came meanwhile, on connections of both
@@ -586,6 +608,7 @@
       {"late_ready", a_ready_that_is_read_late_is_no_restart},
       {"notices_again", notices_come_again},
       {"silent_runtime", a_silent_runtime_leaves_no_request_unanswered},
+      {"short_deadline", deadlines_shorter_than_the_timers},
       {"last_step", what_came_before_the_last_step_is_answered},
       {"rests_to_the_end", a_client_that_rests_to_the_end_sees_it_in_order},
       {"half_written", answers_half_written_at_the_notice_come_whole},
