--- a/tests/ops/units_test.cpp
+++ b/tests/ops/units_test.cpp
@@ -4,6 +4,7 @@
 
 #include "../check.hpp"
 #include "ops/console_line.hpp"
+#include "ops/departure.hpp"
 #include "ops/drain.hpp"
 #include "ops/figures.hpp"
 #include "ops/handover.hpp"
@@ -67,12 +68,30 @@
   CHECK(ops::mark_path("/t", "n3", "127.0.0.2", 9000) != ops::mark_path("/t", "n3", "127.0.0.2", 9001));
 }
 
+void departure() {
+  limits bounds;
+  bounds.stop = 3200ms;
+  const ops::departure::progress standing{}, ended{.empty = false, .ended = true}, empty{.empty = true, .ended = true};
+  ops::departure alone(10s, false, bounds);
+  CHECK(!alone.asks_callers_to_go(12s) && !alone.is_over(12s, empty));  // still serving
+  CHECK(alone.asks_callers_to_go(12600ms) && alone.is_over(12600ms, empty));
+  CHECK(!alone.ends_connections(12900ms) && !alone.is_over(12900ms, ended));
+  CHECK(alone.ends_connections(12950ms) && !alone.is_over(12950ms, ended));  // callers may see the end and close
+  CHECK(alone.is_over(13050ms, ended) && !alone.is_over(13050ms, standing));
+  CHECK(alone.is_over(13100ms, standing));  // the kill is near
+  ops::departure replaced(10s, true, bounds);
+  CHECK(replaced.asks_callers_to_go(10s) && replaced.is_over(10s, empty) && !replaced.is_over(10s, ended));
+  ops::departure late(10s, false, bounds);  // stood still until after the kill was due
+  CHECK(late.asks_callers_to_go(14s) && late.ends_connections(14s));
+  CHECK(!late.is_over(14s, standing) && late.is_over(14010ms, ended) && late.is_over(14050ms, standing));
+}
+
 }  // namespace
 
 int main(int, char** argv) {
   const std::map<std::string, void (*)()> tests = {
       {"drain_state", drain_state}, {"console_lines", console_lines}, {"figures", figures},
-      {"handover", handover_marks}};
+      {"handover", handover_marks}, {"departure", departure}};
   const auto found = tests.find(argv[1] != nullptr ? argv[1] : "");
   CHECK(found != tests.end());
   found->second();
