--- a/src/keyed/memory_results.cpp
+++ b/src/keyed/memory_results.cpp
@@ -9,6 +9,7 @@
 namespace {
 
 constexpr duration age_every = std::chrono::milliseconds(100);
+constexpr std::uint64_t same_content = 0;  // it is in the key
 constexpr std::size_t entry_bytes = 512;  // of the tables, beside a result's own bytes
 
 ledger_options ledger_options_of(const memory_results_options& o) {
@@ -36,9 +37,9 @@
   const duration window = options_.windows.at(what.request_class);
   const std::string tenant = std::to_string(what.tenant);
   const std::string request_class = std::to_string(what.request_class);
-  const key_id key = hash_of(tenant, request_class, what.key, options_.salt);
+  const key_id key = hash_of(tenant, request_class, what.key + std::to_string(what.content), options_.salt);
   // By the time at which it arrived, not when it is read: the window opens and ends by arrivals.
-  const keyed::opinion o = ledger_.arrive(key, what.content, id, window, what.arrived.count());
+  const keyed::opinion o = ledger_.arrive(key, same_content, id, window, what.arrived.count());
   switch (o.how) {
     case keyed::standing::first:
       leaders_[id] = key;
@@ -50,13 +51,11 @@
       ++counters_.repeats_answered;
       answered_[id] = {key, what.arrived};
       return {.how = standing::answered};
-    case keyed::standing::conflict:
-      ++counters_.key_conflicts;
-      return {.how = standing::conflict};
     case keyed::standing::in_doubt:
     case keyed::standing::asks:  // there is nobody to ask
       ++counters_.repeats_in_doubt;
       return {.how = standing::in_doubt};
+    case keyed::standing::conflict:  // there is none: other content is another key
     case keyed::standing::no_room: break;
   }
   ++counters_.no_room;
--- a/src/keyed/memory_results.hpp
+++ b/src/keyed/memory_results.hpp
@@ -1,6 +1,9 @@
 // Keeps the results of keyed requests in memory, for as long as a repeat may come: the idempotency table of a node whose
 // settings name keyed classes and whose operator's file names no folder. A restart forgets it.
 //
+// What a request asks for is a part of its key: only the backend can tell whose request it is, so one that has somebody
+// else's key is no repeat, and neither gets that one's result nor stands in its way.
+//
 // The ledger decides; nothing here touches a disk, a clock or a socket. What the dispatcher asks for is answered at the
 // next step(), never in the call itself. One thread, the one that calls step().
 #pragma once
--- a/src/thrift/request.cpp
+++ b/src/thrift/request.cpp
@@ -53,7 +53,6 @@
   if (!keys.required && !what.fields.contains(keys.field)) return;
   r.key = field(what.fields, keys.field.c_str());
   if (keyed::fault_of_key(r.key, keys.longest) != nullptr) throw bad_field(keys.field);
-  if (!keys.content_counts) return;
   const std::array<std::string_view, 2> asked = {"thrift", what.body};
   r.content = keyed::content_hash(asked);
 }
@@ -65,8 +64,7 @@
     return {.field = kept->thrift_field,
             .longest = kept->longest_key,
             .windows = kept->windows,
-            .required = true,
-            .content_counts = true};
+            .required = true};
   if (const auto& kept = settings.repeats)
     return {.field = kept->thrift_field, .longest = kept->longest_key, .windows = kept->windows};
   return {};
--- a/tests/keyed/memory_results_test.cpp
+++ b/tests/keyed/memory_results_test.cpp
@@ -34,8 +34,9 @@
                  counters) {
     book.report_to(events);
   }
-  standing arrive(request_id id, const std::string& key, time_point at) {
+  standing arrive(request_id id, const std::string& key, time_point at, std::uint64_t content = 1) {
     request r;
+    r.content = content;
     r.request_class = 1;
     r.key = key;
     r.arrived = at;
@@ -128,11 +129,27 @@
   CHECK(t.arrive(4, "a", 12s) == standing::first);  // past the window
 }
 
+// Somebody else's key with other content, before the one whose key it is and behind it: each for itself.
+void taken_keys() {
+  table t;
+  CHECK(t.arrive(1, "a", 10s, 99) == standing::first);
+  CHECK(t.arrive(2, "a", 10s, 1) == standing::first);
+  CHECK(t.arrive(3, "a", 10s, 1) == standing::joins);
+  t.book.release(1);  // the backend knows no such request
+  t.book.close(1);
+  t.book.intend(2, {});
+  t.book.step(10s);
+  CHECK(t.book.record(2, true, "result"));
+  t.book.step(10s);
+  CHECK(t.arrive(4, "a", 10s, 99) == standing::first);
+  CHECK(t.arrive(5, "a", 10s, 1) == standing::answered);
+}
+
 }  // namespace
 
 int main(int, char** argv) {
   const std::map<std::string, void (*)()> tests = {
-      {"bounded", bounded}, {"bounded_open", bounded_open}, {"window", window}, {"in_doubt", in_doubt}};
+      {"bounded", bounded}, {"bounded_open", bounded_open}, {"window", window}, {"in_doubt", in_doubt}, {"taken_keys", taken_keys}};
   const auto found = tests.find(argv[1] != nullptr ? argv[1] : "");
   CHECK(found != tests.end());
   found->second();
--- a/tests/net/races_test.cpp
+++ b/tests/net/races_test.cpp
@@ -579,6 +579,40 @@
   starts_nothing(r);
 }
 
+// Somebody sends another one's key with a body of his own, behind its run and before it: guards against a result that
+// goes to whom it does not belong, and against an honest request that fails for it. The runtime knows who is who.
+void a_taken_key_harms_only_who_took_it() {
+  runtime r;
+  node n(r, keyed_writes(60000));
+  r.up();
+  connection good = connection::to(n.port), bad = connection::to(n.port);
+  int tries = 1000;
+  const auto forged = [&](int seqid, const std::string& key) {
+    fields f = usual(++tries, "kurs-meldung");
+    f.emplace_back("unique", key);
+    bad.send(execute(seqid, f, "forged"));
+    return label(tries);
+  };
+  const auto unknown = [&](const std::string& call) {
+    r.send("{\"msg\":\"nack\",\"how\":\"start\",\"call\":\"" + call + "\"}");
+    CHECK(read_reply(bad).kind == "failed");
+  };
+  good.send(keyed_try(1, "a"));
+  r.end(r.expect("start"), "fine", "YQ==");
+  CHECK(read_reply(good).kind == "served");
+  const std::string behind = forged(1, "a");
+  CHECK(r.expect("start") == behind);
+  unknown(behind);
+  const std::string before = forged(2, "b");
+  CHECK(r.expect("start") == before);
+  good.send(keyed_try(2, "b"));
+  r.end(r.expect("start"), "fine", "Yg==");  // while nobody knows yet of the other
+  CHECK(result(read_reply(good)) == "b");
+  unknown(before);
+  good.send(keyed_try(3, "a") + keyed_try(4, "b"));
+  CHECK(result(read_reply(good)) == "a" && result(read_reply(good)) == "b");
+}
+
 // A restart forgets what was kept in memory: the repeat runs in the new process, as the protocol has it.
 void a_repeat_after_a_restart_runs_anew() {
   runtime first_runtime, second_runtime;
@@ -626,6 +660,7 @@
       {"repeats_window", repeats_round_the_end_of_the_window},
       {"repeats_left", repeats_of_what_never_ran_and_of_what_was_left},
       {"repeats_link", a_repeat_over_a_broken_link},
+      {"taken_keys", a_taken_key_harms_only_who_took_it},
       {"repeats_restart", a_repeat_after_a_restart_runs_anew},
   };
   const auto found = tests.find(argv[1] != nullptr ? argv[1] : "");
