--- a/tests/net/harness.hpp
+++ b/tests/net/harness.hpp
@@ -87,6 +87,20 @@
       bytes.remove_prefix(static_cast<std::size_t>(n));
     }
   }
+  // False where the other side has gone.
+  bool try_send(std::string_view bytes) {
+    while (!bytes.empty()) {
+      const ssize_t n = ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
+      if (n <= 0) return false;
+      bytes.remove_prefix(static_cast<std::size_t>(n));
+    }
+    return true;
+  }
+  // The system keeps little of what comes and is not read.
+  void keep_little() {
+    const int bytes = 4096;
+    CHECK(::setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes) == 0);
+  }
   bool readable(int ms) const {
     pollfd p{fd_, POLLIN, 0};
     return !in_.empty() || ::poll(&p, 1, ms) > 0;
--- a/tests/net/races_test.cpp
+++ b/tests/net/races_test.cpp
@@ -239,6 +239,185 @@
   CHECK(n.wait() == 0);
 }
 
+// SIGTERM while half of a request is read: its rest still comes, and it is answered.
+void a_notice_to_leave_in_the_middle_of_a_request() {
+  runtime r;
+  node n(r, {.stop_ms = 2000});
+  r.up();
+  connection c = connection::to(n.port), read = connection::to(n.port);
+  const std::string whole = execute(1, usual(1, "kurs-meldung"), "a");
+  c.send(whole.substr(0, whole.size() / 2));
+  read.send(check(1));
+  CHECK(read_reply(read).seqid == 1);  // so the half that came before it is read, too
+  n.signal(SIGTERM);
+  n.logged("notice to leave");
+  c.send(whole.substr(whole.size() / 2));
+  r.end(r.expect("start"), "fine", "YQ==");
+  CHECK(read_reply(c).kind == "served");
+  c.close();
+  read.close();
+  CHECK(n.wait() == 0);
+}
+
+// The new address of the runtime does not answer, and SIGTERM comes while the node tries it: what runs ends on the old
+// one.
+void a_notice_to_leave_during_a_reload() {
+  runtime old, gone;
+  gone.door.close();
+  node n(old, {.stop_ms = 2500});
+  old.up();
+  connection c = connection::to(n.port);
+  c.send(execute(1, usual(1, "kurs-meldung"), "a"));
+  old.expect("start");
+  n.reload(gone);
+  n.logged("reload: runtime at");
+  n.signal(SIGTERM);
+  n.logged("notice to leave");
+  c.send(execute(2, usual(2, "kurs-meldung"), "b"));
+  old.end(label(1), "fine", "YQ==");
+  CHECK(read_reply(c).seqid == 1);
+  old.end(old.expect("start"), "fine", "Yg==");
+  CHECK(read_reply(c).kind == "served");
+  c.close();
+  CHECK(n.wait() == 0);
+}
+
+// A run that was given up and paused, then SIGHUP and SIGTERM: it stays as it is on the new link, and holds nothing up.
+void signals_while_a_run_is_paused() {
+  runtime old, next;
+  node n(old, {.write_aim_ms = 300});
+  old.up();
+  connection c = connection::to(n.port);
+  c.send(execute(1, usual(1, "kurs-meldung"), "a"));
+  old.expect("start");
+  CHECK(read_reply(c).kind == "failed");
+  CHECK(old.expect("stop") == label(1));
+  n.reload(next);
+  // The stop is said again now and then while the runtime has not told of an end; nothing else is of that run.
+  const auto is_stop = [](const std::string& line) {
+    return member(line, "msg") == "stop" && member(line, "call") == label(1);
+  };
+  for (std::string line; old.link.next(line);) CHECK(old.answer_gauges(line) || is_stop(line));
+  next.up();
+  c.send(execute(2, usual(2), "b"));
+  std::string line = next.command();
+  while (is_stop(line)) line = next.command();
+  CHECK(member(line, "msg") == "start" && member(line, "call") == label(2));
+  next.end(label(2), "fine", "Yg==");
+  CHECK(read_reply(c).kind == "served");
+  n.signal(SIGTERM);
+  n.logged("notice to leave");
+  c.close();
+  CHECK(n.wait() == 0);
+}
+
+// A drain by the console, then SIGTERM: the node leaves as ever.
+void a_notice_to_leave_during_a_drain() {
+  runtime r;
+  node_options o{.stop_ms = 2000};
+  o.console_port = free_port();
+  node n(r, o);
+  r.up();
+  wait_console(o.console_port);
+  CHECK(call(o.console_port, "drain\n") == "200 draining\n");
+  connection c = connection::to(n.port);
+  c.send(execute(1, usual(1), "a"));
+  r.expect("start");
+  n.signal(SIGTERM);
+  n.logged("notice to leave");
+  r.end(label(1), "fine", "YQ==");
+  CHECK(read_reply(c).kind == "served");
+  c.close();
+  CHECK(n.wait() == 0);
+}
+
+// SIGKILL at each state of a write, and a new process on its address with the same runtime: it serves, and starts
+// nothing of what the old one had.
+void killed_at_each_state() {
+  enum class state { unread, half_read, held, running, ended };
+  for (const state at : {state::unread, state::half_read, state::held, state::running, state::ended}) {
+    runtime r;
+    node_options o;
+    o.listen_port = free_port();
+    connection silent;  // outlives the first node, which would connect anew
+    {
+      node first(r, o);
+      if (at == state::held) {
+        silent = r.door.accept();
+      } else {
+        r.up();
+      }
+      first.logged("listens on");
+      connection c = connection::to(o.listen_port);
+      const std::string whole = execute(1, usual(1, "kurs-meldung"), "a");
+      if (at == state::unread) first.signal(SIGSTOP);
+      c.send(at == state::half_read ? whole.substr(0, 50) : whole);
+      if (at == state::held) first.until_counter("taken_in", 1);
+      if (at == state::running || at == state::ended) r.expect("start");
+      if (at == state::ended) r.end(label(1), "fine", "YQ==");
+    }  // SIGKILL
+    r.link.close();
+    r.serial = 0;
+    node second(r, o);
+    r.up();
+    connection c = connection::to(o.listen_port);
+    c.send(execute(1, usual(2), "b"));
+    CHECK(r.expect("start") == label(2));
+    r.end(label(2), "fine", "Yg==");
+    CHECK(read_reply(c).kind == "served");
+  }
+}
+
+// ---- Clients that are slow ----------------------------------------------------------------------------------
+
+// Requests that come byte by byte, also with those of others between them, are read as any other.
+void a_request_that_comes_byte_by_byte() {
+  runtime r;
+  node n(r);
+  r.up();
+  connection slow = connection::to(n.port), other = connection::to(n.port);
+  const std::string whole = execute(1, usual(1), "a") + check(2);
+  for (std::size_t i = 0; i < whole.size(); ++i) {
+    slow.send(whole.substr(i, 1));
+    if (i % 50 != 0) continue;
+    other.send(check(static_cast<int>(i) + 1));  // answered behind the bytes before it
+    CHECK(read_reply(other).seqid == static_cast<int>(i) + 1);
+  }
+  r.end(r.expect("start"), "fine", "YQ==");
+  std::set<int> answered = {read_reply(slow).seqid, read_reply(slow).seqid};
+  CHECK(answered == (std::set<int>{1, 2}));
+}
+
+// A client that asks and never reads is given up once its answers fill its buffer; others never notice.
+void a_client_that_never_reads() {
+  runtime r;
+  node n(r);
+  r.up();
+  connection deaf = connection::to(n.port);
+  deaf.keep_little();
+  const std::string blob(4 * 1024, 'A');  // 3 KiB
+  connection other = connection::to(n.port);
+  int asked = 0;
+  while (deaf.try_send(execute(asked + 1, usual(asked + 1), "a"))) {
+    CHECK(++asked < 4000);
+    const auto until = clock::now() + 500ms;  // given up meanwhile: it never starts, and the next send fails
+    for (bool started = false; !started && clock::now() < until;) {
+      if (!r.link.readable(50)) continue;
+      const std::string line = r.link.line();
+      started = !r.answer_gauges(line) && member(line, "msg") == "start";
+      if (started) r.end(member(line, "call"), "fine", blob);
+    }
+    if (asked % 100 != 0) continue;
+    other.send(check(asked));
+    CHECK(read_reply(other).seqid == asked);
+  }
+  other.send(execute(1, usual(5000), "b"));
+  std::string run;
+  while (run != label(5000)) run = r.expect("start");
+  r.end(run, "fine", "Yg==");
+  CHECK(result(read_reply(other)) == "b");
+}
+
 // ---- The start of the process -----------------------------------------------------------------------------
 
 // SIGHUP and SIGUSR1 while the configuration is read: guards against their default, the end of the process.
@@ -647,6 +826,13 @@
       {"rests_to_the_end", a_client_that_rests_to_the_end_sees_it_in_order},
       {"half_written", answers_half_written_at_the_notice_come_whole},
       {"two_signals", two_signals_at_once},
+      {"half_request", a_notice_to_leave_in_the_middle_of_a_request},
+      {"leave_in_reload", a_notice_to_leave_during_a_reload},
+      {"paused", signals_while_a_run_is_paused},
+      {"leave_in_drain", a_notice_to_leave_during_a_drain},
+      {"killed", killed_at_each_state},
+      {"byte_by_byte", a_request_that_comes_byte_by_byte},
+      {"never_reads", a_client_that_never_reads},
       {"reload_at_start", a_reload_during_the_start},
       {"leave_at_start", a_notice_to_leave_during_the_start},
       {"leave_before_runtime", a_notice_to_leave_before_the_runtime_is_up},
