--- a/bench/dependencies_bench.cpp
+++ b/bench/dependencies_bench.cpp
@@ -1,5 +1,6 @@
-// Measures gathered answers with one of four dependencies slowed eightfold, beside a plain client with one time-out for all
-// and a fixed number of retries; and the node's own cost for 1, 4 and 16 dependencies. One table, one run.
+// Measures gathered answers with one of four dependencies slowed eightfold, beside a plain client with one
+// time-out for all and a fixed number of retries; and the node's own cost for 1, 4 and 16 dependencies. One
+// table, one run.
 #include <algorithm>
 #include <atomic>
 #include <cstdio>
@@ -36,7 +37,8 @@
     auto first = std::min_element(free_.begin(), free_.end());
     const auto begin = std::max(*first, now);
     const double spread = std::uniform_real_distribution<double>(0.7, 1.3)(random_);
-    *first = begin + std::chrono::microseconds(static_cast<long>(spread * factor * static_cast<double>(each_.count())));
+    *first = begin + std::chrono::microseconds(
+                         static_cast<long>(spread * factor * static_cast<double>(each_.count())));
     return {std::chrono::duration_cast<std::chrono::microseconds>(*first - now), manner::whole, "101.42"};
   }
 
@@ -52,7 +54,8 @@
     for (int d = 0; d < 4; ++d) {
       for (int e = 0; e < 2; ++e) {
         slots.push_back(std::make_unique<slotted>(8, 10ms));
-        servers.push_back(std::make_unique<uwsgi_server>([s = slots.back().get()](const uwsgi_request&) { return (*s)(); }));
+        servers.push_back(std::make_unique<uwsgi_server>(
+            [s = slots.back().get()](const uwsgi_request&) { return (*s)(); }));
       }
     }
   }
@@ -88,7 +91,8 @@
   for (int w = 0; w < workers; ++w) {
     threads.emplace_back([&] {
       for (int n; (n = next++) < total;) {
-        const auto due = begin + std::chrono::duration_cast<clock::duration>(std::chrono::duration<double>(n / rate));
+        const auto due =
+            begin + std::chrono::duration_cast<clock::duration>(std::chrono::duration<double>(n / rate));
         std::this_thread::sleep_until(due);
         const std::string fresh = ask();
         const double s = seconds(clock::now() - due);
@@ -134,7 +138,8 @@
 }
 
 std::string bytes_of() {
-  return uwsgi_peer::packet({{"PATH_INFO", "/kurs/liste"}, {"REMOTE_USER", "isar-invest"}, {"CONTENT_LENGTH", "0"}}, "");
+  return uwsgi_peer::packet(
+      {{"PATH_INFO", "/kurs/liste"}, {"REMOTE_USER", "isar-invest"}, {"CONTENT_LENGTH", "0"}}, "");
 }
 
 // What a plain client does: all parts at once, one time-out, two retries.
@@ -144,7 +149,8 @@
   for (std::size_t d = 0; d < 4; ++d) {
     parts.emplace_back([&, d] {
       for (std::size_t attempt = 0; attempt < 3; ++attempt) {
-        if (exchange(f.servers[2 * d + attempt % 2]->port(), bytes_of(), 950).rfind("HTTP/1.1 200", 0) != 0) continue;
+        if (exchange(f.servers[2 * d + attempt % 2]->port(), bytes_of(), 950).rfind("HTTP/1.1 200", 0) != 0)
+          continue;
         fresh |= 1u << d;
         return;
       }
@@ -159,8 +165,9 @@
 }
 
 std::string operators(int uwsgi_port, const std::vector<std::vector<std::string>>& dependencies) {
-  std::string text = "uwsgi {\n listen = \"" + own_host() + ":" + std::to_string(uwsgi_port) + "\"\n servers = {\"" +
-                     own_host() + ":1\"}\n class_var = PATH_INFO\n tenant_var = REMOTE_USER\n}\n" +
+  std::string text = "uwsgi {\n listen = \"" + own_host() + ":" + std::to_string(uwsgi_port) +
+                     "\"\n servers = {\"" + own_host() +
+                     ":1\"}\n class_var = PATH_INFO\n tenant_var = REMOTE_USER\n}\n" +
                      "class kurs-abfrage {\n uwsgi_values = {\"/kurs/liste\"}\n}\n" +
                      "class kurs-meldung {\n uwsgi_values = {\"/kurs/meldung\"}\n}\n";
   for (std::size_t d = 0; d < dependencies.size(); ++d) {
@@ -185,15 +192,17 @@
   const std::string a = exchange(port, bytes_of(), 10000);
   std::string names = a.rfind("HTTP/1.1 200", 0) == 0 ? "x" : "";
   for (int d = 0; d < 4; ++d) {
-    if (a.find("Part: p" + std::to_string(d) + "\r\nPart-State: fresh") != std::string::npos) names += std::to_string(d);
+    if (a.find("Part: p" + std::to_string(d) + "\r\nPart-State: fresh") != std::string::npos)
+      names += std::to_string(d);
   }
   return names;
 }
 
 void print(const char* what, const figures& r, const figures& calm) {
-  std::printf("%-24s %6d %9.2f%% %9.1f%% %8.1f%% %8.3f %8.1f %8.1f\n", what, r.asked, 100.0 * r.in_time / r.asked,
-              100.0 * r.healthy / (3.0 * r.asked) / (calm.healthy / (3.0 * calm.asked)), 100.0 * r.all / r.asked,
-              r.calls, r.p50 * 1e3, r.p99 * 1e3);
+  std::printf("%-24s %6d %9.2f%% %9.1f%% %8.1f%% %8.3f %8.1f %8.1f\n", what, r.asked,
+              100.0 * r.in_time / r.asked,
+              100.0 * r.healthy / (3.0 * r.asked) / (calm.healthy / (3.0 * calm.asked)),
+              100.0 * r.all / r.asked, r.calls, r.p50 * 1e3, r.p99 * 1e3);
   std::fflush(stdout);
 }
 
@@ -227,12 +236,14 @@
 
 int main(int argc, char** argv) {
   const double rate = argc > 1 ? std::atof(argv[1]) : 300;
-  std::printf("seed %u; %g requests a second, four dependencies with two endpoints of 8 slots and 10 ms each\n", seed, rate);
+  std::printf(
+      "seed %u; %g requests a second, four dependencies with two endpoints of 8 slots and 10 ms each\n", seed,
+      rate);
   four f;
   std::vector<std::vector<std::string>> at(4);
   for (std::size_t i = 0; i < 8; ++i) at[i / 2].push_back(f.servers[i]->address());
-  std::printf("%-24s %6s %10s %10s %9s %8s %8s %8s\n", "", "asked", "in 2.9 s", "healthy", "complete", "calls", "p50 ms",
-              "p99 ms");
+  std::printf("%-24s %6s %10s %10s %9s %8s %8s %8s\n", "", "asked", "in 2.9 s", "healthy", "complete",
+              "calls", "p50 ms", "p99 ms");
   {
     runtime r;
     const int port = free_port();
--- a/bench/failover_bench.cpp
+++ b/bench/failover_bench.cpp
@@ -1,6 +1,7 @@
-// Measures failover against fleets of nine real processes: time from a zone's loss to every member's agreed view over 50
-// seeded faults, false declarations under 20% loss, the share of routed calls that stay in their zone when all is well,
-// and what a node costs with membership off beside an earlier build of the program. One table, one run.
+// Measures failover against fleets of nine real processes: time from a zone's loss to every member's agreed
+// view over 50 seeded faults, false declarations under 20% loss, the share of routed calls that stay in their
+// zone when all is well, and what a node costs with membership off beside an earlier build of the program.
+// One table, one run.
 //
 //   marblewharf_failover_bench [EARLIER_PROGRAM [cost]]
 //
@@ -65,26 +66,33 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  std::printf("seed %llu; fleets of nine processes, probe interval %d ms\n", static_cast<unsigned long long>(seed()), probe_ms);
+  std::printf("seed %llu; fleets of nine processes, probe interval %d ms\n",
+              static_cast<unsigned long long>(seed()), probe_ms);
   std::printf("| measure | figure |\n| --- | --- |\n");
   if (argc > 1) {
     // One after the other, in turn first and second: the machine's own drift hits both alike.
     std::vector<double> now, before, ratios;
     for (int round = 0; round < 25; ++round) {
       const bool first = round % 2 == 0;
-      const double a = cost_us(first ? MARBLEWHARF : argv[1], 8000), b = cost_us(first ? argv[1] : MARBLEWHARF, 8000);
+      const double a = cost_us(first ? MARBLEWHARF : argv[1], 8000),
+                   b = cost_us(first ? argv[1] : MARBLEWHARF, 8000);
       now.push_back(first ? a : b);
       before.push_back(first ? b : a);
       ratios.push_back(now.back() / before.back());
     }
-    std::printf("| cost of a request with membership off, over the earlier program (median of 25 pairs; least, most) | "
-                "%.3f (%.3f, %.3f) |\n", at(ratios, 0.5), at(ratios, 0), at(ratios, 1));
-    std::printf("| the same of the two medians, us of the reactor | %.2f / %.2f |\n", at(now, 0.5), at(before, 0.5));
+    std::printf(
+        "| cost of a request with membership off, over the earlier program (median of 25 pairs; least, most) "
+        "| "
+        "%.3f (%.3f, %.3f) |\n",
+        at(ratios, 0.5), at(ratios, 0), at(ratios, 1));
+    std::printf("| the same of the two medians, us of the reactor | %.2f / %.2f |\n", at(now, 0.5),
+                at(before, 0.5));
     std::printf("| the same of the least of each, which other load on the machine moves least | %.3f |\n",
                 at(now, 0) / at(before, 0));
   }
   if (argc > 2 && std::string(argv[2]) == "cost") return 0;
-  std::printf("| routed calls that stay in their zone, all well (2,000 calls) | %.4f |\n", share_in_zone(2000));
+  std::printf("| routed calls that stay in their zone, all well (2,000 calls) | %.4f |\n",
+              share_in_zone(2000));
   std::fflush(stdout);
   const auto looks = lossy(0.2, 0, 0ms, 60, fleets, probe_ms);
   long declared = 0, suspect = 0, dead = 0;
@@ -112,10 +120,14 @@
       if (*how == '\0') wrong += r.wrong;
     }
     if (agreed.empty()) continue;
-    std::printf("| zone %s (%zu faults): loss to agreed view, probe intervals: median, 99th percentile | %.1f, %.1f |\n",
-                *how != '\0' ? how : "lost", agreed.size(), at(agreed, 0.5), at(agreed, 0.99));
-    std::printf("| ... first member to last: median, 99th; heal to whole again (hold-down %d): median, 99th | "
-                "%.1f, %.1f; %.1f, %.1f |\n", 1000 / probe_ms, at(spread, 0.5), at(spread, 0.99), at(back, 0.5), at(back, 0.99));
+    std::printf(
+        "| zone %s (%zu faults): loss to agreed view, probe intervals: median, 99th percentile | %.1f, %.1f "
+        "|\n",
+        *how != '\0' ? how : "lost", agreed.size(), at(agreed, 0.5), at(agreed, 0.99));
+    std::printf(
+        "| ... first member to last: median, 99th; heal to whole again (hold-down %d): median, 99th | "
+        "%.1f, %.1f; %.1f, %.1f |\n",
+        1000 / probe_ms, at(spread, 0.5), at(spread, 0.99), at(back, 0.5), at(back, 0.99));
   }
   std::printf("| verdicts on healthy zones in these faults | %ld |\n", wrong);
   return 0;
--- a/bench/keyed_bench.cpp
+++ b/bench/keyed_bench.cpp
@@ -1,6 +1,7 @@
 // Measures the keyed results: one table, each line a ratio or a figure of this run on this machine.
 //
-//   marblewharf_keyed_bench [FOLDER]    FOLDER: on the disk to measure; a new folder is made in it (default /tmp)
+//   marblewharf_keyed_bench [FOLDER]    FOLDER: on the disk to measure; a new folder is made in it (default
+//   /tmp)
 #include <malloc.h>
 
 #include <algorithm>
@@ -48,7 +49,8 @@
 double commits_a_second(const std::string& folder, std::size_t batch, std::size_t in_flight) {
   store::posix_file_system fs;
   auto log = std::make_unique<store::log>(
-      fs, store::log_options{folder, 8u << 20, 4ull << 30, 1}, [](std::uint32_t, std::string_view) { return 1; },
+      fs, store::log_options{folder, 8u << 20, 4ull << 30, 1},
+      [](std::uint32_t, std::string_view) { return 1; },
       [](std::uint32_t, std::string_view, const store::position&) {});
   log->open(1);
   store::committer_options o;
@@ -56,11 +58,13 @@
   std::mutex guard;
   std::condition_variable some;
   bool poked = false;
-  store::committer c(std::move(log), o, [] { return 1; }, [&] {
-    const std::lock_guard lock(guard);
-    poked = true;
-    some.notify_one();
-  });
+  store::committer c(
+      std::move(log), o, [] { return 1; },
+      [&] {
+        const std::lock_guard lock(guard);
+        poked = true;
+        some.notify_one();
+      });
   std::uint64_t ticket = 0, written = 0;
   const auto write = [&] { CHECK(c.write(++ticket, {{1, std::string(300, 'x')}, 1ll << 60})); };
   for (std::size_t i = 0; i < in_flight; ++i) write();
@@ -135,12 +139,13 @@
   CHECK(k.known().size() == entries);
   line("recovery of 1,000,000 entries", took, "s", "(aim: under 2)");
   const double slack = 8.0 * static_cast<double>(k.known().buckets());
-  line("memory for an entry, beside the index's slots", (static_cast<double>(after - before) - slack) / entries, "bytes",
-       "(aim: 160 or less)");
+  line("memory for an entry, beside the index's slots",
+       (static_cast<double>(after - before) - slack) / entries, "bytes", "(aim: 160 or less)");
   line("the index's slots, for an entry", slack / entries, "bytes");
 }
 
-// ---- The reactor's step while the disk is slow -------------------------------------------------------------
+// ---- The reactor's step while the disk is slow
+// -------------------------------------------------------------
 
 class slow_disk : public store::posix_file_system {
  public:
@@ -190,8 +195,11 @@
 std::pair<double, double> steps(const std::string& folder, bool keyed_on, duration sync, int& served) {
   wrenrill::settings s;
   s.cores = 8;
-  s.classes.push_back({.name = "kurs-meldung", .aim = 5s, .deadline = 10s,
-                       .repeats = keyed_on ? wrenrill::effect::keyed : wrenrill::effect::unsafe, .window = 10s});
+  s.classes.push_back({.name = "kurs-meldung",
+                       .aim = 5s,
+                       .deadline = 10s,
+                       .repeats = keyed_on ? wrenrill::effect::keyed : wrenrill::effect::unsafe,
+                       .window = 10s});
   s.tick = 1ms;
   desk_rig rig(s);
   slow_disk disk(sync);
@@ -228,7 +236,8 @@
   }
   served = rig.served;
   std::sort(took.begin(), took.end());
-  return {took[took.size() * 999 / 1000], std::accumulate(took.begin(), took.end(), 0.0) / static_cast<double>(took.size())};
+  return {took[took.size() * 999 / 1000],
+          std::accumulate(took.begin(), took.end(), 0.0) / static_cast<double>(took.size())};
 }
 
 // ---- The whole program ------------------------------------------------------------------------------------
--- a/bench/ops_bench.cpp
+++ b/bench/ops_bench.cpp
@@ -147,7 +147,8 @@
   const long before = load.answered;
   const auto loaded_since = clock::now();
   const times loaded = console_calls(first->console_port, 3s);
-  const double rate = static_cast<double>(load.answered - before) / std::chrono::duration<double>(clock::now() - loaded_since).count();
+  const double rate = static_cast<double>(load.answered - before) /
+                      std::chrono::duration<double>(clock::now() - loaded_since).count();
 
   // Replacement under the same load.
   const long asked_before = load.asked, door_before = load.at_the_door;
@@ -161,14 +162,18 @@
   const long asked = load.asked - asked_before, at_door = load.at_the_door - door_before;
 
   std::printf("| measure | idle | under load | ratio |\n| --- | --- | --- | --- |\n");
-  std::printf("| console answer p50, ms | %.2f | %.2f | %.2f |\n", idle.p50, loaded.p50, loaded.p50 / idle.p50);
-  std::printf("| console answer p99, ms | %.2f | %.2f | %.2f |\n", idle.p99, loaded.p99, loaded.p99 / idle.p99);
-  std::printf("| console answer, longest, ms | %.2f | %.2f | %.2f |\n", idle.most, loaded.most, loaded.most / idle.most);
+  std::printf("| console answer p50, ms | %.2f | %.2f | %.2f |\n", idle.p50, loaded.p50,
+              loaded.p50 / idle.p50);
+  std::printf("| console answer p99, ms | %.2f | %.2f | %.2f |\n", idle.p99, loaded.p99,
+              loaded.p99 / idle.p99);
+  std::printf("| console answer, longest, ms | %.2f | %.2f | %.2f |\n", idle.most, loaded.most,
+              loaded.most / idle.most);
   std::printf("| console answers not 200 | %d | %d | |\n", idle.wrong, loaded.wrong);
   std::printf("\nclient load: %.0f requests a second served\n", rate);
-  std::printf("replacement: %ld requests asked from start of the second process to 1 s after the first ended "
-              "(exit %d); %ld ended at the door, a share of %.4f\n",
-              asked, status, at_door, asked > 0 ? static_cast<double>(at_door) / static_cast<double>(asked) : 0.0);
+  std::printf(
+      "replacement: %ld requests asked from start of the second process to 1 s after the first ended "
+      "(exit %d); %ld ended at the door, a share of %.4f\n",
+      asked, status, at_door, asked > 0 ? static_cast<double>(at_door) / static_cast<double>(asked) : 0.0);
   ::unlink((std::string(folder) + "/marblewharf-n0.ready").c_str());
   ::rmdir(folder);
   return 0;
--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -1,6 +1,6 @@
-// Measures the store of tables beside its own first form (segments without cleaning): writes and reads a second, how long a
-// commit takes while the store cleans and while it does not, starts, and what space and cleaning cost under a skewed load. One
-// table, one run; figures are ratios within it.
+// Measures the store of tables beside its own first form (segments without cleaning): writes and reads a
+// second, how long a commit takes while the store cleans and while it does not, starts, and what space and
+// cleaning cost under a skewed load. One table, one run; figures are ratios within it.
 #include <algorithm>
 #include <atomic>
 #include <chrono>
@@ -25,8 +25,12 @@
 constexpr int in_flight = 64, value_size = 200;
 constexpr auto each = std::chrono::seconds(4);
 
-std::int64_t unix_now() { return std::chrono::system_clock::now().time_since_epoch() / std::chrono::nanoseconds(1); }
-double seconds_since(clock_type::time_point t) { return std::chrono::duration<double>(clock_type::now() - t).count(); }
+std::int64_t unix_now() {
+  return std::chrono::system_clock::now().time_since_epoch() / std::chrono::nanoseconds(1);
+}
+double seconds_since(clock_type::time_point t) {
+  return std::chrono::duration<double>(clock_type::now() - t).count();
+}
 
 struct scratch {
   scratch() {
@@ -42,7 +46,8 @@
 };
 
 // Keeps so many requests open for a while. `ask` starts one, `collect` gives the tickets of those that ended.
-load drive(const std::function<bool(std::uint64_t)>& ask, const std::function<void(std::vector<std::uint64_t>&)>& collect) {
+load drive(const std::function<bool(std::uint64_t)>& ask,
+           const std::function<void(std::vector<std::uint64_t>&)>& collect) {
   std::map<std::uint64_t, clock_type::time_point> open;
   std::vector<double> took;
   const auto begin = clock_type::now();
@@ -60,7 +65,9 @@
     if (ended.empty()) std::this_thread::sleep_for(std::chrono::microseconds(20));
   }
   std::sort(took.begin(), took.end());
-  const auto at = [&](double q) { return took.empty() ? 0 : took[static_cast<std::size_t>(q * static_cast<double>(took.size() - 1))]; };
+  const auto at = [&](double q) {
+    return took.empty() ? 0 : took[static_cast<std::size_t>(q * static_cast<double>(took.size() - 1))];
+  };
   return {static_cast<double>(took.size()) / seconds_since(begin), at(0.5), at(0.99), at(1)};
 }
 
@@ -76,18 +83,22 @@
 
 load first_form(const std::string& folder) {
   posix_file_system fs;
-  auto l = std::make_unique<marblewharf::store::log>(fs, log_options{folder, std::uint64_t{8} << 20, std::uint64_t{4} << 30, 7, {}},
-                                 [](std::uint32_t, std::string_view) { return never; },
-                                 [](std::uint32_t, std::string_view, const position&) {});
+  auto l = std::make_unique<marblewharf::store::log>(
+      fs, log_options{folder, std::uint64_t{8} << 20, std::uint64_t{4} << 30, 7, {}},
+      [](std::uint32_t, std::string_view) { return never; },
+      [](std::uint32_t, std::string_view, const position&) {});
   l->open(unix_now());
   committer c(std::move(l), {}, unix_now, [] {});
   skewed key{20'000};
-  return drive([&](std::uint64_t t) { return c.write(t, {{1, "k" + std::to_string(key()) + std::string(value_size, 'v')}, never}); },
-               [&](std::vector<std::uint64_t>& ended) {
-                 std::vector<committer::done> out;
-                 c.collect(out);
-                 for (const auto& d : out) ended.push_back(d.ticket);
-               });
+  return drive(
+      [&](std::uint64_t t) {
+        return c.write(t, {{1, "k" + std::to_string(key()) + std::string(value_size, 'v')}, never});
+      },
+      [&](std::vector<std::uint64_t>& ended) {
+        std::vector<committer::done> out;
+        c.collect(out);
+        for (const auto& d : out) ended.push_back(d.ticket);
+      });
 }
 
 tables_options options(const std::string& folder, double amplification = 2) {
@@ -111,7 +122,8 @@
 };
 table_loads tables_form(const std::string& folder) {
   posix_file_system fs;
-  table_service s(std::make_shared<posix_file_system>(), folder, std::make_unique<tables>(fs, options(folder, 1.5), unix_now()), {}, unix_now, [] {});
+  table_service s(std::make_shared<posix_file_system>(), folder,
+                  std::make_unique<tables>(fs, options(folder, 1.5), unix_now()), {}, unix_now, [] {});
   skewed key{20'000};
   const auto write = [&](std::uint64_t t) {
     batch b;
@@ -121,7 +133,8 @@
   const auto ended = [&](std::vector<std::uint64_t>& e) { collect(s, e); };
   table_loads out;
   out.writes = drive(write, ended);
-  // What the loads leave is cleaned away beside the next: slice upon slice, then one every few milliseconds, as budgets allow.
+  // What the loads leave is cleaned away beside the next: slice upon slice, then one every few milliseconds,
+  // as budgets allow.
   const auto beside = [&](std::chrono::milliseconds pause, std::uint64_t& cleaned) {
     std::atomic<bool> over = false;
     const std::uint64_t before = s.show().cleaned;
@@ -169,8 +182,8 @@
     with = seconds_since(begin);
     read = t.show().read;
   }
-  std::printf("%9zu keys | log %7.3f s | checkpoint %7.3f s | ratio %.2f | records read behind it %llu\n", keys, plain, with,
-              with / plain, static_cast<unsigned long long>(read));
+  std::printf("%9zu keys | log %7.3f s | checkpoint %7.3f s | ratio %.2f | records read behind it %llu\n",
+              keys, plain, with, with / plain, static_cast<unsigned long long>(read));
 }
 
 void amplification(double a) {
@@ -192,9 +205,14 @@
     }
   }
   const auto f = t.show();
-  const auto segments = [&](double over) { return over * static_cast<double>(f.disk.live) / static_cast<double>(o.disk.segment); };
-  std::printf("amplification %.1f | most space over what counts %.2f (%.1f segments beyond it) | written for one %.2f of %.2f\n", a,
-              worst, segments(worst - a), static_cast<double>(f.written + f.copied) / static_cast<double>(f.written), a / (a - 1));
+  const auto segments = [&](double over) {
+    return over * static_cast<double>(f.disk.live) / static_cast<double>(o.disk.segment);
+  };
+  std::printf(
+      "amplification %.1f | most space over what counts %.2f (%.1f segments beyond it) | written for one "
+      "%.2f of %.2f\n",
+      a, worst, segments(worst - a),
+      static_cast<double>(f.written + f.copied) / static_cast<double>(f.written), a / (a - 1));
 }
 
 }  // namespace
@@ -210,19 +228,22 @@
     scratch here;
     now = tables_form(here.path + "/tables");
   }
-  std::printf("durable writes, %d in flight    | a second |  over |  p50 ms |  p99 ms | worst ms\n", in_flight);
+  std::printf("durable writes, %d in flight    | a second |  over |  p50 ms |  p99 ms | worst ms\n",
+              in_flight);
   const auto line = [&](const char* what, const load& l) {
-    std::printf("%-32s| %8.0f | %5.2f | %7.2f | %7.2f | %7.2f\n", what, l.a_second, l.a_second / before.a_second, l.p50_ms, l.p99_ms,
-                l.worst_ms);
+    std::printf("%-32s| %8.0f | %5.2f | %7.2f | %7.2f | %7.2f\n", what, l.a_second,
+                l.a_second / before.a_second, l.p50_ms, l.p99_ms, l.worst_ms);
   };
   line("segments, no cleaning", before);
   line("tables", now.writes);
   line("tables, cleaning on end", now.on_end);
   line("tables, a slice each 10 ms", now.paced);
   line("tables, reads", now.reads);
-  std::printf("p99 of a commit over that without cleaning: on end %.2f (%llu segments cleaned), paced %.2f (%llu)\n\n",
-              now.on_end.p99_ms / now.writes.p99_ms, static_cast<unsigned long long>(now.cleaned_on_end),
-              now.paced.p99_ms / now.writes.p99_ms, static_cast<unsigned long long>(now.cleaned_paced));
+  std::printf(
+      "p99 of a commit over that without cleaning: on end %.2f (%llu segments cleaned), paced %.2f "
+      "(%llu)\n\n",
+      now.on_end.p99_ms / now.writes.p99_ms, static_cast<unsigned long long>(now.cleaned_on_end),
+      now.paced.p99_ms / now.writes.p99_ms, static_cast<unsigned long long>(now.cleaned_paced));
   for (const std::size_t keys : {10'000, 100'000, 1'000'000}) starts(keys);
   std::printf("\n");
   for (const double a : {1.5, 2.0, 4.0}) amplification(a);
--- a/examples/guarded_server.cpp
+++ b/examples/guarded_server.cpp
@@ -1,6 +1,7 @@
 // A Poco HTTP server whose handlers run behind the admission module. Serves GET /kurs on 127.0.0.1 until its
-// standard input ends; the port is the first argument, 0 for any, and is printed. With a folder as the second one it
-// also takes POST /meldung, keyed by Idempotency-Key: a repeat gets the first response, also after a restart.
+// standard input ends; the port is the first argument, 0 for any, and is printed. With a folder as the second
+// one it also takes POST /meldung, keyed by Idempotency-Key: a repeat gets the first response, also after a
+// restart.
 #include <Poco/Net/HTTPRequestHandler.h>
 #include <Poco/Net/HTTPServer.h>
 #include <Poco/Net/HTTPServerParams.h>
--- a/include/marblewharf/gathering.hpp
+++ b/include/marblewharf/gathering.hpp
@@ -1,7 +1,7 @@
-// One answer from several sources, for handlers behind the middleware or any other code: each source under its own time
-// budget, with further attempts and second copies within shares, a limit on calls in flight that follows latency, endpoints
-// that fail held out, and stand-ins. The decisions are those of the daemon (docs/dependencies.md); the calls are functions
-// of the embedder's.
+// One answer from several sources, for handlers behind the middleware or any other code: each source under
+// its own time budget, with further attempts and second copies within shares, a limit on calls in flight that
+// follows latency, endpoints that fail held out, and stand-ins. The decisions are those of the daemon
+// (docs/dependencies.md); the calls are functions of the embedder's.
 #pragma once
 
 #include <atomic>
@@ -33,8 +33,8 @@
 enum class nearness { own_zone, own_region, elsewhere };
 struct near_rules {
   double overprovisioning = 1.4;  // a level keeps all calls while at least 1/1.4 of it can take them
-  double panic_threshold = 0.5;   // where the levels cannot take all calls and fewer than this share of all endpoints
-                                  // can, calls go over all alike
+  double panic_threshold = 0.5;   // where the levels cannot take all calls and fewer than this share of all
+                                  // endpoints can, calls go over all alike
   unsigned most_each = 0;         // calls at once at one endpoint before further ones go on; 0: no bound
 };
 
@@ -42,17 +42,18 @@
   std::string name;
   std::vector<source_call> endpoints;
   std::chrono::nanoseconds budget = std::chrono::seconds(1);  // for one part, all attempts together
-  unsigned tries = 2;            // first call and further attempts; 1 where a call may not be made twice
-  double hedge_share = 0;        // second copies of slow calls for each first call; 0 = none
-  unsigned threads = 8;          // calls at once, at most: a source that hangs takes no more
-  std::vector<nearness> where{}; // by endpoint; empty: all alike
+  unsigned tries = 2;             // first call and further attempts; 1 where a call may not be made twice
+  double hedge_share = 0;         // second copies of slow calls for each first call; 0 = none
+  unsigned threads = 8;           // calls at once, at most: a source that hangs takes no more
+  std::vector<nearness> where{};  // by endpoint; empty: all alike
   near_rules near{};
 };
 
 struct stand_in_for {
-  std::string source;                 // another source; or, where empty,
-  std::chrono::nanoseconds oldest{};  // the last good part of the same subject, no older than this; or, where 0,
-  std::string fixed;                  // these bytes
+  std::string source;  // another source; or, where empty,
+  std::chrono::nanoseconds
+      oldest{};       // the last good part of the same subject, no older than this; or, where 0,
+  std::string fixed;  // these bytes
 };
 
 struct part_of {
@@ -76,8 +77,8 @@
 
 class gathering {
  public:
-  // Throws std::invalid_argument for a plan that could not be kept: unknown names, a source twice in one chain, budgets
-  // that do not fit `aim`.
+  // Throws std::invalid_argument for a plan that could not be kept: unknown names, a source twice in one
+  // chain, budgets that do not fit `aim`.
   gathering(std::vector<source> sources, std::vector<part_of> parts, std::chrono::nanoseconds aim,
             std::size_t cache_bytes = std::size_t{1} << 20, std::uint64_t seed = 0);
   // Waits for calls that still run.
@@ -85,11 +86,13 @@
   gathering(const gathering&) = delete;
   gathering& operator=(const gathering&) = delete;
 
-  // Blocks until all parts are there or replaced, `within` has passed, or a required part is missing. From any thread.
+  // Blocks until all parts are there or replaced, `within` has passed, or a required part is missing. From
+  // any thread.
   gathered gather(std::uint64_t subject, std::chrono::nanoseconds within);
 
-  // What the embedder knows of an endpoint's place: its zone is out, its process is suspected. Calls go there again
-  // once it is said to be reachable. Only for a source with `where`. From any thread. Throws std::invalid_argument.
+  // What the embedder knows of an endpoint's place: its zone is out, its process is suspected. Calls go there
+  // again once it is said to be reachable. Only for a source with `where`. From any thread. Throws
+  // std::invalid_argument.
   void set_reachable(const std::string& source, std::size_t endpoint, bool reachable);
 
  private:
--- a/include/marblewharf/middleware.hpp
+++ b/include/marblewharf/middleware.hpp
@@ -1,7 +1,8 @@
 // Admission in front of the handlers of a Poco::Net::HTTPServer. A request waits here until the decision
 // module lets it run, then the wrapped handler runs in the server's own thread; what is turned away is
-// answered 503 with Retry-After, what waited past its time 504. Of keyed requests also: 400 no usable key, 409 with
-// Outcome: unknown where a run began and nobody knows how it ended, 413, 422 the key was used with other content.
+// answered 503 with Retry-After, what waited past its time 504. Of keyed requests also: 400 no usable key,
+// 409 with Outcome: unknown where a run began and nobody knows how it ended, 413, 422 the key was used with
+// other content.
 #pragma once
 
 #include <Poco/Net/HTTPRequestHandlerFactory.h>
@@ -32,18 +33,20 @@
   std::uint64_t taken_in = 0, started = 0, served = 0, refused = 0, failed = 0;
 };
 
-// Results of keyed requests kept in a folder, across restarts: a repeat gets the first response again, and its handler
-// does not run. A repeat while the first waits or runs waits for it in its own thread. The response is on disk before
-// it is sent, so a handler of a keyed class writes into memory: its response has a bound.
+// Results of keyed requests kept in a folder, across restarts: a repeat gets the first response again, and
+// its handler does not run. A repeat while the first waits or runs waits for it in its own thread. The
+// response is on disk before it is sent, so a handler of a keyed class writes into memory: its response has a
+// bound.
 struct keyed_settings {
-  std::string folder;                              // this process's alone, on a lasting disk
-  std::vector<std::chrono::nanoseconds> windows;   // by class: how long a repeat may come; 0 = not keyed
-  std::string header = "Idempotency-Key";          // empty: only the classifier tells keys
-  std::size_t longest_key = 255;                   // bytes; 400 where it is longer, or missing
-  std::size_t largest_body = std::size_t{64} << 10;      // of a keyed request; 413 where it is larger
-  std::size_t largest_response = std::size_t{64} << 10;  // with its head; what is larger is not kept: in doubt
-  std::uint64_t space = std::uint64_t{1} << 30;    // bytes of the folder
-  std::uint64_t entries = 1'000'000;               // keys known at once
+  std::string folder;                                // this process's alone, on a lasting disk
+  std::vector<std::chrono::nanoseconds> windows;     // by class: how long a repeat may come; 0 = not keyed
+  std::string header = "Idempotency-Key";            // empty: only the classifier tells keys
+  std::size_t longest_key = 255;                     // bytes; 400 where it is longer, or missing
+  std::size_t largest_body = std::size_t{64} << 10;  // of a keyed request; 413 where it is larger
+  std::size_t largest_response = std::size_t{64}
+                                 << 10;          // with its head; what is larger is not kept: in doubt
+  std::uint64_t space = std::uint64_t{1} << 30;  // bytes of the folder
+  std::uint64_t entries = 1'000'000;             // keys known at once
 };
 
 namespace detail {
--- a/src/budgets/allocator.hpp
+++ b/src/budgets/allocator.hpp
@@ -53,12 +53,14 @@
     std::vector<double> committed;  // the larger of what it holds and what it was last granted
     std::vector<double> held, demand, granted;
     time_point asked{};  // its latest request
-    time_point over{};   // from then on its lease is surely over; what was in flight then ends within the settling
+    time_point
+        over{};  // from then on its lease is surely over; what was in flight then ends within the settling
   };
   using session = std::pair<std::string, std::uint64_t>;  // address and process
 
   void forget(time_point now);
-  // From when on nothing of budget i is in force that an allocator before this one granted and nobody has told since.
+  // From when on nothing of budget i is in force that an allocator before this one granted and nobody has
+  // told since.
   time_point known_from(std::size_t i) const { return leases_over_ + budgets_[i].settle; }
   double target(std::size_t i, const session& of, time_point now) const;
 
--- a/src/budgets/message.hpp
+++ b/src/budgets/message.hpp
@@ -34,7 +34,8 @@
   std::uint64_t digest = 0;    // of the budgets as the sender's file has them
   std::vector<entry> entries;  // by budget, in the order of the file
   bool leading = false;        // ask: the sender has the chair
-  std::string answer_to = {};  // request: where the answer goes, if not to `from` (a process that waits for its address)
+  std::string answer_to =
+      {};  // request: where the answer goes, if not to `from` (a process that waits for its address)
   bool operator==(const message&) const = default;
 };
 
--- a/src/budgets/office.cpp
+++ b/src/budgets/office.cpp
@@ -19,7 +19,8 @@
 std::uint64_t digest_of(const std::vector<budget>& budgets, const std::set<std::string>& members) {
   std::uint64_t hash = 0xcbf29ce484222325ull;
   for (const budget& b : budgets)
-    add(hash, b.name + ' ' + std::to_string(b.whole) + ' ' + std::to_string(b.safe) + ' ' + std::to_string(b.settle.count()));
+    add(hash, b.name + ' ' + std::to_string(b.whole) + ' ' + std::to_string(b.safe) + ' ' +
+                  std::to_string(b.settle.count()));
   for (const std::string& m : members) add(hash, m);
   return hash;
 }
--- a/src/budgets/office.hpp
+++ b/src/budgets/office.hpp
@@ -39,8 +39,8 @@
 class office {
  public:
   // Begins as a process that is not the member yet: it asks for shares, and has no voice and no safe share
-  // until join(). `members`: configured, `self` among them. `session`: of this process, above those before it (its start in
-  // Unix ms). Throws std::invalid_argument where `self` is not among them.
+  // until join(). `members`: configured, `self` among them. `session`: of this process, above those before it
+  // (its start in Unix ms). Throws std::invalid_argument where `self` is not among them.
   office(office_options o, std::vector<budget> budgets, std::set<std::string> members, std::string self,
          std::uint64_t session, time_point now);
   // The member's address is this process's own from now on: the one before it has let go of it.
--- a/src/budgets/wire.cpp
+++ b/src/budgets/wire.cpp
@@ -46,9 +46,10 @@
 }  // namespace
 
 std::string encode(const std::string& fleet, const message& m) {
-  wire_message w{
-      fleet, wire_version, static_cast<std::uint8_t>(m.what), m.from, m.term, m.sequence, m.session, m.digest,
-      {},    m.leading,    m.answer_to};
+  wire_message w{fleet,     wire_version, static_cast<std::uint8_t>(m.what),
+                 m.from,    m.term,       m.sequence,
+                 m.session, m.digest,     {},
+                 m.leading, m.answer_to};
   for (const entry& e : m.entries) w.entries.push_back({e.held, e.demand, e.leased});
   msgpack::sbuffer buffer;
   msgpack::pack(buffer, w);
@@ -71,7 +72,15 @@
       return {std::nullopt, wire_fault::undecodable};
     const auto w = o.as<wire_message>();
     if (!known(w.what) || w.entries.size() > budgets_most) return {std::nullopt, wire_fault::undecodable};
-    message m{static_cast<kind>(w.what), w.from, w.term, w.sequence, w.session, w.digest, {}, w.leading, w.answer_to};
+    message m{static_cast<kind>(w.what),
+              w.from,
+              w.term,
+              w.sequence,
+              w.session,
+              w.digest,
+              {},
+              w.leading,
+              w.answer_to};
     for (const wire_entry& e : w.entries) {
       // Guards the books: no number that is none, and no share below zero that would make room for others.
       if (!std::isfinite(e.held) || !std::isfinite(e.demand) || e.held < 0 || e.demand < 0 ||
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -166,7 +166,8 @@
   constexpr double for_buffers = 0.25;   // of the memory
   constexpr double for_results = 0.125;  // the same
   constexpr double bytes_each_mb = 1 << 20;
-  limit("cores", least_cores, 1e6);  // one thread of ours stays under a core; what is wrong is told all the same
+  limit("cores", least_cores,
+        1e6);  // one thread of ours stays under a core; what is wrong is told all the same
   const double memory = limit("memory_mb", 16, 1e6) * bytes_each_mb;
   bounds.buffered = static_cast<std::size_t>(for_buffers * memory);
   bounds.kept_results = static_cast<std::size_t>(for_results * memory);
@@ -191,7 +192,8 @@
   limits& bounds = c.bounds;
   std::size_t console = 0;
   if (c.console) {
-    bounds.console_connections = std::min(bounds.console_connections, bounds.descriptors / bounds.console_share);
+    bounds.console_connections =
+        std::min(bounds.console_connections, bounds.descriptors / bounds.console_share);
     console = bounds.console_connections;
   }
   bounds.connections = bounds.descriptors - bounds.own_descriptors - console;
@@ -202,8 +204,8 @@
   rlimit own{};
   if (::getrlimit(RLIMIT_NOFILE, &own) != 0 || own.rlim_cur >= bounds.descriptors) return;
   if (own.rlim_cur < least_descriptors)
-    throw bad_config("limits.sockets: this process may open " + std::to_string(own.rlim_cur) + " files, and needs " +
-                     std::to_string(least_descriptors));
+    throw bad_config("limits.sockets: this process may open " + std::to_string(own.rlim_cur) +
+                     " files, and needs " + std::to_string(least_descriptors));
   bounds.descriptors = own.rlim_cur;
 }
 
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -115,8 +115,8 @@
   }
 
  private:
-  std::uint64_t within(const char* key, std::optional<std::uint64_t> value, const char* what, std::uint64_t least,
-                       std::uint64_t most) const {
+  std::uint64_t within(const char* key, std::optional<std::uint64_t> value, const char* what,
+                       std::uint64_t least, std::uint64_t most) const {
     if (!value) fail(key, what, text(key));
     if (*value < least || *value > most)
       fail(key, "is not from " + std::to_string(least) + " to " + std::to_string(most), text(key));
@@ -132,7 +132,8 @@
 class operator_file {
  public:
   explicit operator_file(const std::string& path) : path_(path) {
-    // The table of what may stand in the file. Values are texts: units and bounds are judged by us, with the line.
+    // The table of what may stand in the file. Values are texts: units and bounds are judged by us, with the
+    // line.
     static cfg_opt_t uwsgi[] = {CFG_STR("listen", nullptr, CFGF_NONE),
                                 CFG_STR_LIST("servers", nullptr, CFGF_NONE),
                                 CFG_STR("class_var", nullptr, CFGF_NONE),
@@ -141,10 +142,13 @@
                                 CFG_STR("held", "40KiB", CFGF_NONE),
                                 CFG_END()};
     static cfg_opt_t request_class[] = {CFG_STR_LIST("uwsgi_values", nullptr, CFGF_NONE),
-                                        CFG_STR("uwsgi_cost", nullptr, CFGF_NONE), CFG_STR("keyed", "no", CFGF_NONE),
-                                        CFG_STR("window", "24h", CFGF_NONE), CFG_STR("reserve", "50ms", CFGF_NONE),
+                                        CFG_STR("uwsgi_cost", nullptr, CFGF_NONE),
+                                        CFG_STR("keyed", "no", CFGF_NONE),
+                                        CFG_STR("window", "24h", CFGF_NONE),
+                                        CFG_STR("reserve", "50ms", CFGF_NONE),
                                         CFG_STR("worth_without", "0", CFGF_NONE),
-                                        CFG_STR_LIST("participants", nullptr, CFGF_NONE), CFG_END()};
+                                        CFG_STR_LIST("participants", nullptr, CFGF_NONE),
+                                        CFG_END()};
     static cfg_opt_t tenant[] = {CFG_STR_LIST("uwsgi_values", nullptr, CFGF_NONE), CFG_END()};
     static cfg_opt_t keyed[] = {CFG_STR("folder", nullptr, CFGF_NONE),
                                 CFG_STR("scrub", "0s", CFGF_NONE),
@@ -161,8 +165,8 @@
                                 CFG_STR("inquiry_tries", "3", CFGF_NONE),
                                 CFG_STR("inquiry_pause", "200ms", CFGF_NONE),
                                 CFG_END()};
-    static cfg_opt_t common[] = {CFG_STR("budget_var", nullptr, CFGF_NONE), CFG_STR("cache", "8MiB", CFGF_NONE),
-                                 CFG_END()};
+    static cfg_opt_t common[] = {CFG_STR("budget_var", nullptr, CFGF_NONE),
+                                 CFG_STR("cache", "8MiB", CFGF_NONE), CFG_END()};
     static cfg_opt_t dependency[] = {CFG_STR_LIST("endpoints", nullptr, CFGF_NONE),
                                      CFG_STR("path", nullptr, CFGF_NONE),
                                      CFG_STR("budget", "1s", CFGF_NONE),
@@ -183,61 +187,87 @@
                                      CFG_STR("panic", "0.5", CFGF_NONE),
                                      CFG_STR("most_each", "0", CFGF_NONE),
                                      CFG_END()};
-    static cfg_opt_t writes[] = {CFG_STR("folder", nullptr, CFGF_NONE),     CFG_STR("segment", "8MiB", CFGF_NONE),
-                                 CFG_STR("space", "256MiB", CFGF_NONE),     CFG_STR("step_var", nullptr, CFGF_NONE),
-                                 CFG_STR("id_var", nullptr, CFGF_NONE),     CFG_STR("retry", "200ms", CFGF_NONE),
-                                 CFG_STR("longest_retry", "5s", CFGF_NONE),
-                                 CFG_STR("outcomes", "1000000", CFGF_NONE), CFG_STR("scrub", "0s", CFGF_NONE),
-                                 CFG_END()};
-    static cfg_opt_t background[] = {CFG_STR("workers", "1", CFGF_NONE),  CFG_STR("cpu", "0.1", CFGF_NONE),
-                                     CFG_STR("read", "16MiB", CFGF_NONE), CFG_STR("quiet", "0.5", CFGF_NONE),
-                                     CFG_STR("busy", "0.85", CFGF_NONE),  CFG_STR("calm", "1s", CFGF_NONE),
-                                     CFG_STR("deadline", "24h", CFGF_NONE), CFG_END()};
+    static cfg_opt_t writes[] = {
+        CFG_STR("folder", nullptr, CFGF_NONE),     CFG_STR("segment", "8MiB", CFGF_NONE),
+        CFG_STR("space", "256MiB", CFGF_NONE),     CFG_STR("step_var", nullptr, CFGF_NONE),
+        CFG_STR("id_var", nullptr, CFGF_NONE),     CFG_STR("retry", "200ms", CFGF_NONE),
+        CFG_STR("longest_retry", "5s", CFGF_NONE), CFG_STR("outcomes", "1000000", CFGF_NONE),
+        CFG_STR("scrub", "0s", CFGF_NONE),         CFG_END()};
+    static cfg_opt_t background[] = {
+        CFG_STR("workers", "1", CFGF_NONE),    CFG_STR("cpu", "0.1", CFGF_NONE),
+        CFG_STR("read", "16MiB", CFGF_NONE),   CFG_STR("quiet", "0.5", CFGF_NONE),
+        CFG_STR("busy", "0.85", CFGF_NONE),    CFG_STR("calm", "1s", CFGF_NONE),
+        CFG_STR("deadline", "24h", CFGF_NONE), CFG_END()};
     static cfg_opt_t part[] = {CFG_STR("class", nullptr, CFGF_NONE), CFG_STR("from", nullptr, CFGF_NONE),
-                               CFG_STR("required", "no", CFGF_NONE), CFG_STR_LIST("fallback", nullptr, CFGF_NONE),
-                               CFG_END()};
-    static cfg_opt_t fleet[] = {CFG_STR("name", nullptr, CFGF_NONE),           CFG_STR("listen", nullptr, CFGF_NONE),
-                                CFG_STR("advertise", nullptr, CFGF_NONE),      CFG_STR("zone", nullptr, CFGF_NONE),
-                                CFG_STR_LIST("seeds", nullptr, CFGF_NONE),     CFG_STR("probe_interval", "500ms", CFGF_NONE),
-                                CFG_STR("probe_timeout", "200ms", CFGF_NONE),  CFG_STR("indirect_probes", "3", CFGF_NONE),
+                               CFG_STR("required", "no", CFGF_NONE),
+                               CFG_STR_LIST("fallback", nullptr, CFGF_NONE), CFG_END()};
+    static cfg_opt_t fleet[] = {CFG_STR("name", nullptr, CFGF_NONE),
+                                CFG_STR("listen", nullptr, CFGF_NONE),
+                                CFG_STR("advertise", nullptr, CFGF_NONE),
+                                CFG_STR("zone", nullptr, CFGF_NONE),
+                                CFG_STR_LIST("seeds", nullptr, CFGF_NONE),
+                                CFG_STR("probe_interval", "500ms", CFGF_NONE),
+                                CFG_STR("probe_timeout", "200ms", CFGF_NONE),
+                                CFG_STR("indirect_probes", "3", CFGF_NONE),
                                 CFG_STR("suspicion_min_rounds", "4", CFGF_NONE),
                                 CFG_STR("suspicion_max_factor", "6", CFGF_NONE),
                                 CFG_STR("suspicion_confirmations", "3", CFGF_NONE),
-                                CFG_STR("retransmits", "4", CFGF_NONE),        CFG_STR("gossip_per_message", "8", CFGF_NONE),
+                                CFG_STR("retransmits", "4", CFGF_NONE),
+                                CFG_STR("gossip_per_message", "8", CFGF_NONE),
                                 CFG_STR("refresh_per_message", "2", CFGF_NONE),
-                                CFG_STR("health_most", "8", CFGF_NONE),        CFG_STR("reconnect_every", "5", CFGF_NONE),
-                                CFG_STR("hold_down", "10s", CFGF_NONE),        CFG_STR("vote_lease", "10s", CFGF_NONE),
-                                CFG_STR("votes_per_message", "12", CFGF_NONE), CFG_STR("start_grace", "5s", CFGF_NONE),
+                                CFG_STR("health_most", "8", CFGF_NONE),
+                                CFG_STR("reconnect_every", "5", CFGF_NONE),
+                                CFG_STR("hold_down", "10s", CFGF_NONE),
+                                CFG_STR("vote_lease", "10s", CFGF_NONE),
+                                CFG_STR("votes_per_message", "12", CFGF_NONE),
+                                CFG_STR("start_grace", "5s", CFGF_NONE),
                                 CFG_END()};
-    static cfg_opt_t zone[] = {CFG_STR("region", nullptr, CFGF_NONE), CFG_STR_LIST("members", nullptr, CFGF_NONE),
-                               CFG_END()};
-    static cfg_opt_t budget_rules[] = {CFG_STR("lease", "2s", CFGF_NONE),     CFG_STR("renew", "500ms", CFGF_NONE),
-                                       CFG_STR("settle", nullptr, CFGF_NONE), CFG_STR("drift", "0.01", CFGF_NONE),
-                                       CFG_STR("reserve", "0.05", CFGF_NONE), CFG_STR("clock_rate", "1", CFGF_NONE),
-                                       CFG_STR("audit", "no", CFGF_NONE),     CFG_END()};
-    static cfg_opt_t budget[] = {CFG_STR("unit", nullptr, CFGF_NONE),   CFG_STR("whole", nullptr, CFGF_NONE),
-                                 CFG_STR("safe", "0", CFGF_NONE),       CFG_STR("weight", "1", CFGF_NONE),
-                                 CFG_STR("tenant", nullptr, CFGF_NONE), CFG_STR("class", nullptr, CFGF_NONE),
+    static cfg_opt_t zone[] = {CFG_STR("region", nullptr, CFGF_NONE),
+                               CFG_STR_LIST("members", nullptr, CFGF_NONE), CFG_END()};
+    static cfg_opt_t budget_rules[] = {
+        CFG_STR("lease", "2s", CFGF_NONE),     CFG_STR("renew", "500ms", CFGF_NONE),
+        CFG_STR("settle", nullptr, CFGF_NONE), CFG_STR("drift", "0.01", CFGF_NONE),
+        CFG_STR("reserve", "0.05", CFGF_NONE), CFG_STR("clock_rate", "1", CFGF_NONE),
+        CFG_STR("audit", "no", CFGF_NONE),     CFG_END()};
+    static cfg_opt_t budget[] = {CFG_STR("unit", nullptr, CFGF_NONE),
+                                 CFG_STR("whole", nullptr, CFGF_NONE),
+                                 CFG_STR("safe", "0", CFGF_NONE),
+                                 CFG_STR("weight", "1", CFGF_NONE),
+                                 CFG_STR("tenant", nullptr, CFGF_NONE),
+                                 CFG_STR("class", nullptr, CFGF_NONE),
                                  CFG_STR("dependency", nullptr, CFGF_NONE),
-                                 CFG_STR("settle", nullptr, CFGF_NONE), CFG_END()};
-    static cfg_opt_t all[] = {CFG_SEC("uwsgi", uwsgi, CFGF_NODEFAULT), CFG_SEC("keyed", keyed, CFGF_NODEFAULT),
-                              CFG_SEC("background", background, CFGF_NODEFAULT),
-                              CFG_SEC("fleet", fleet, CFGF_NODEFAULT),
-                              CFG_SEC("budgets", budget_rules, CFGF_NODEFAULT),
-                              CFG_SEC("budget", budget, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES),
-                              CFG_SEC("zone", zone, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES),
-                              CFG_SEC("class", request_class, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES),
-                              CFG_SEC("dependencies", common, CFGF_NODEFAULT),
-                              CFG_SEC("writes", writes, CFGF_NODEFAULT),
-                              CFG_SEC("dependency", dependency, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES),
-                              CFG_SEC("part", part, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES),
-                              CFG_SEC("tenant", tenant, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES), CFG_END()};
+                                 CFG_STR("settle", nullptr, CFGF_NONE),
+                                 CFG_END()};
+    static cfg_opt_t all[] = {
+        CFG_SEC("uwsgi", uwsgi, CFGF_NODEFAULT),
+        CFG_SEC("keyed", keyed, CFGF_NODEFAULT),
+        CFG_SEC("background", background, CFGF_NODEFAULT),
+        CFG_SEC("fleet", fleet, CFGF_NODEFAULT),
+        CFG_SEC("budgets", budget_rules, CFGF_NODEFAULT),
+        CFG_SEC("budget", budget, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES),
+        CFG_SEC("zone", zone, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES),
+        CFG_SEC("class", request_class, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES),
+        CFG_SEC("dependencies", common, CFGF_NODEFAULT),
+        CFG_SEC("writes", writes, CFGF_NODEFAULT),
+        CFG_SEC("dependency", dependency, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES),
+        CFG_SEC("part", part, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES),
+        CFG_SEC("tenant", tenant, CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES),
+        CFG_END()};
     cfg_.reset(cfg_init(all, CFGF_NONE));
     cfg_set_error_function(cfg_.get(), note_fault);
-    for (const auto& [name, options] :
-         {std::pair{"uwsgi", uwsgi}, {"keyed", keyed}, {"class", request_class}, {"tenant", tenant},
-          {"dependencies", common}, {"writes", writes}, {"dependency", dependency}, {"part", part},
-          {"background", background}, {"fleet", fleet}, {"zone", zone}, {"budgets", budget_rules}, {"budget", budget}}) {
+    for (const auto& [name, options] : {std::pair{"uwsgi", uwsgi},
+                                        {"keyed", keyed},
+                                        {"class", request_class},
+                                        {"tenant", tenant},
+                                        {"dependencies", common},
+                                        {"writes", writes},
+                                        {"dependency", dependency},
+                                        {"part", part},
+                                        {"background", background},
+                                        {"fleet", fleet},
+                                        {"zone", zone},
+                                        {"budgets", budget_rules},
+                                        {"budget", budget}}) {
       for (const cfg_opt_t* o = options; o->name != nullptr; ++o)
         cfg_set_validate_func(cfg_.get(), (std::string(name) + "|" + o->name).c_str(), note_line);
     }
@@ -245,7 +275,8 @@
     const int how = cfg_parse(cfg_.get(), path.c_str());
     current = nullptr;
     if (how == CFG_FILE_ERROR) throw bad_config(path + ": cannot be read: " + std::strerror(errno));
-    if (how != CFG_SUCCESS) throw bad_config(path + ":" + (notes_.fault.empty() ? "0: no settings" : notes_.fault));
+    if (how != CFG_SUCCESS)
+      throw bad_config(path + ":" + (notes_.fault.empty() ? "0: no settings" : notes_.fault));
   }
 
   void apply(config& c) const {
@@ -303,7 +334,8 @@
       if (!s.text("uwsgi_cost").empty())
         second.default_cost[i] =
             std::chrono::duration<double, std::milli>(s.time("uwsgi_cost", {}, most_cost)).count();
-      if (const double worth = s.number("worth_without", 0, 1); worth > 0) known.classes[i].worth_without = worth;
+      if (const double worth = s.number("worth_without", 0, 1); worth > 0)
+        known.classes[i].worth_without = worth;
       if (!s.flag("keyed")) return;
       // A request may be open for its whole deadline: a key that ages out before could run twice.
       keys.windows[i] = s.time("window", known.classes[i].deadline * 2, longest);
@@ -329,7 +361,8 @@
     k.folder = s.needed("folder");
     k.uwsgi_var = s.text("uwsgi_var");
     k.thrift_field = s.text("thrift_field");
-    if (k.uwsgi_var.empty() && k.thrift_field.empty()) s.fail("uwsgi_var", "and thrift_field are both missing");
+    if (k.uwsgi_var.empty() && k.thrift_field.empty())
+      s.fail("uwsgi_var", "and thrift_field are both missing");
     if (c.uwsgi && k.uwsgi_var.empty()) s.fail("uwsgi_var", "is missing, and uwsgi is on");
     k.longest_key = s.count("longest_key", 8, 1024);
     k.segment = s.bytes("segment", 64 << 10, std::uint64_t{1} << 30);
@@ -393,7 +426,8 @@
         s.fail("class", "names nothing in the settings", s.text("class"));
       }();
       const wrenrill::class_settings& k = c.settings.classes[request_class];
-      if (k.repeats != wrenrill::effect::safe) s.fail("class", "has an effect: only reads are gathered", k.name);
+      if (k.repeats != wrenrill::effect::safe)
+        s.fail("class", "has an effect: only reads are gathered", k.name);
       auto plan = std::find_if(all.plans.begin(), all.plans.end(),
                                [&](const dependencies::plan& p) { return p.request_class == k.name; });
       if (plan == all.plans.end()) {
@@ -422,8 +456,10 @@
     return all;
   }
 
-  // Where a dependency's endpoints are, in the fleet's own terms: each a zone, or a member, whose zone counts then.
-  void read_places(const section& s, const config& c, dependency_config& d, dependencies::dependency_rules& r) const {
+  // Where a dependency's endpoints are, in the fleet's own terms: each a zone, or a member, whose zone counts
+  // then.
+  void read_places(const section& s, const config& c, dependency_config& d,
+                   dependencies::dependency_rules& r) const {
     d.places = s.list("places");
     r.near.rules.overprovisioning = s.number("overprovisioning", 1, 10);
     r.near.rules.panic_threshold = s.number("panic", 0, 1);
@@ -489,7 +525,8 @@
       f.zones.push_back(std::move(one));
     });
     if (!self_configured)
-      s.fail(s.text("advertise").empty() ? "listen" : "advertise", "is no member of the zone named in zone", f.zone);
+      s.fail(s.text("advertise").empty() ? "listen" : "advertise", "is no member of the zone named in zone",
+             f.zone);
     c.fleet = std::move(f);
   }
 
@@ -513,7 +550,8 @@
   void read_budgets(config& c) const {
     using namespace std::chrono_literals;
     if (cfg_size(cfg_.get(), "budget") == 0) {
-      if (cfg_size(cfg_.get(), "budgets") > 0) only("budgets").fail(nullptr, "is set, and no budget is named");
+      if (cfg_size(cfg_.get(), "budgets") > 0)
+        only("budgets").fail(nullptr, "is set, and no budget is named");
       return;
     }
     budgets_config all;
@@ -557,7 +595,8 @@
       } else if (unit == "requests") {
         b.unit = budget_unit::requests;
         b.tenant = static_cast<unsigned>(named(s, "tenant", c.settings.tenants));
-        if (!s.text("class").empty()) b.request_class = static_cast<int>(named(s, "class", c.settings.classes));
+        if (!s.text("class").empty())
+          b.request_class = static_cast<int>(named(s, "class", c.settings.classes));
       } else if (unit == "calls") {
         b.unit = budget_unit::calls;
         if (!c.dependencies) s.fail("dependency", "names no dependency", s.text("dependency"));
@@ -609,18 +648,22 @@
       w.plans.push_back(std::move(p));
     });
     if (w.plans.empty()) return;
-    if (cfg_size(cfg_.get(), "writes") == 0) throw bad_config(path_ + ":0: writes is missing, and a class has participants");
+    if (cfg_size(cfg_.get(), "writes") == 0)
+      throw bad_config(path_ + ":0: writes is missing, and a class has participants");
     const section s = only("writes");
     w.folder = s.needed("folder");
     w.step_var = s.needed("step_var");
     w.id_var = s.needed("id_var");
-    // A batch is at most a quarter of a segment, and a result may take write_buffer; cleaning needs room to turn.
+    // A batch is at most a quarter of a segment, and a result may take write_buffer; cleaning needs room to
+    // turn.
     w.segment = s.bytes("segment", 1 << 20, std::uint64_t{1} << 30);
     // Guards against an outcome that no batch can hold: its write could never be over.
     for (const write_plan& p : w.plans) {
       const std::uint64_t result = p.participants.size() * (c.bounds.result + c.bounds.response_head);
-      const std::uint64_t most = std::max<std::uint64_t>(result, c.bounds.write_buffer) + c.keyed->longest_key + (8 << 10);
-      if (most > w.segment / 4) s.fail("segment", "is too small for the results of so many participants", s.text("segment"));
+      const std::uint64_t most =
+          std::max<std::uint64_t>(result, c.bounds.write_buffer) + c.keyed->longest_key + (8 << 10);
+      if (most > w.segment / 4)
+        s.fail("segment", "is too small for the results of so many participants", s.text("segment"));
     }
     w.space = s.bytes("space", store::least_segments * w.segment, std::uint64_t{1} << 50);
     w.retry = s.time("retry", 10ms, 60s);
@@ -654,7 +697,8 @@
     if (what == "dependency") return {kind::dependency, dependency_of(s, "fallback", rest, all), {}, {}};
     if (what == "fixed") return {kind::fixed, 0, {}, rest};
     const auto age = parse_time(rest);
-    if (what != "stale" || !age) s.fail("fallback", "is none of 'dependency NAME', 'stale AGE', 'fixed TEXT'", text);
+    if (what != "stale" || !age)
+      s.fail("fallback", "is none of 'dependency NAME', 'stale AGE', 'fixed TEXT'", text);
     return {kind::stale, 0, *age, {}};
   }
 
--- a/src/config/operator_file.hpp
+++ b/src/config/operator_file.hpp
@@ -1,6 +1,6 @@
-// The operator's file: settings of our own parts, in lines of `name = value` within sections, `#` comments, and
-// units (`90s`, `64MiB`). libconfuse reads it; what a value means is decided here, and whatever is wrong with one
-// is said with file, line and key.
+// The operator's file: settings of our own parts, in lines of `name = value` within sections, `#` comments,
+// and units (`90s`, `64MiB`). libconfuse reads it; what a value means is decided here, and whatever is wrong
+// with one is said with file, line and key.
 #pragma once
 
 #include <string>
--- a/src/config/units.cpp
+++ b/src/config/units.cpp
@@ -47,7 +47,8 @@
   std::uint64_t value = 0;
   const char* end = text.data() + text.size();
   const auto [stopped, error] = std::from_chars(text.data(), end, value);
-  if (text.empty() || error != std::errc{} || stopped != end || value > (std::uint64_t{1} << 53)) return std::nullopt;
+  if (text.empty() || error != std::errc{} || stopped != end || value > (std::uint64_t{1} << 53))
+    return std::nullopt;
   return value;
 }
 
--- a/src/console/front.cpp
+++ b/src/console/front.cpp
@@ -29,7 +29,8 @@
     say(std::string("400 ") + why + "\n");
   }
 
-  // The least goes first where room is needed: those answered, then those without a whole line, the oldest of each.
+  // The least goes first where room is needed: those answered, then those without a whole line, the oldest of
+  // each.
   std::pair<bool, time_point> rank() const { return {!answered_, answered_ ? answered_at_ : since_}; }
 
   server& server_;
@@ -60,21 +61,19 @@
   return bytes.size();
 }
 
-server::server(net::reactor& r, const limits& bounds, const endpoint& at, desk& d, telemetry::counters& counters)
-    : reactor_(r),
-      bounds_(bounds),
-      desk_(d),
-      counters_(counters),
-      connections_(r),
-      at_(at) {
+server::server(net::reactor& r, const limits& bounds, const endpoint& at, desk& d,
+               telemetry::counters& counters)
+    : reactor_(r), bounds_(bounds), desk_(d), counters_(counters), connections_(r), at_(at) {
   try_listen(net::steady_now());
 }
 
 void server::try_listen(time_point now) {
   try {
-    listener_.emplace(reactor_, bounds_, at_.host, at_.port,
-                      [this](const Poco::Net::StreamSocket& socket) { accept(socket); }, net::port_sharing::alone);
-    if (next_bind_ != time_point::max()) log("console", "%s:%u let go: listening", at_.host.c_str(), unsigned{at_.port});
+    listener_.emplace(
+        reactor_, bounds_, at_.host, at_.port,
+        [this](const Poco::Net::StreamSocket& socket) { accept(socket); }, net::port_sharing::alone);
+    if (next_bind_ != time_point::max())
+      log("console", "%s:%u let go: listening", at_.host.c_str(), unsigned{at_.port});
     next_bind_ = time_point::max();
   } catch (const net::address_held&) {
     // Guards a replacement: the process before this one keeps its console until it leaves.
@@ -92,9 +91,9 @@
   connections_.add(std::make_shared<connection>(*this, socket));
 }
 
-// Closes one that was answered and whose caller has not closed, the longest answered first; else the one that has
-// waited longest without a whole line. Guards the console against callers that hold connections, and the process's
-// descriptors against the console.
+// Closes one that was answered and whose caller has not closed, the longest answered first; else the one that
+// has waited longest without a whole line. Guards the console against callers that hold connections, and the
+// process's descriptors against the console.
 void server::make_room() {
   connection* first = nullptr;
   connections_.each([&](connection& c) {
--- a/src/console/front.hpp
+++ b/src/console/front.hpp
@@ -1,7 +1,8 @@
 // The operators' console: a second listening address, one line a connection, one answer, then the close.
 //
-// Runs on the reactor's thread beside the fronts, with its own listener and its own bound on connections, so that
-// callers of the console and clients never hold each other up. Owned by the node; the desk it asks outlives it.
+// Runs on the reactor's thread beside the fronts, with its own listener and its own bound on connections, so
+// that callers of the console and clients never hold each other up. Owned by the node; the desk it asks
+// outlives it.
 #pragma once
 
 #include <functional>
@@ -22,10 +23,10 @@
 class desk {
  public:
   virtual ~desk() = default;
-  virtual bool ready() = 0;            // this process takes clients
-  virtual std::string figures() = 0;   // lines of `name=value`, each ending in "\n"
-  virtual std::string drain() = 0;     // the text after "200 "
-  virtual std::string resume() = 0;    // the same
+  virtual bool ready() = 0;           // this process takes clients
+  virtual std::string figures() = 0;  // lines of `name=value`, each ending in "\n"
+  virtual std::string drain() = 0;    // the text after "200 "
+  virtual std::string resume() = 0;   // the same
   // Lines of the fleet, each ending in "\n"; none where the node is in no fleet.
   virtual std::optional<std::string> members() = 0;
   virtual std::optional<std::string> zones() = 0;
@@ -37,15 +38,15 @@
  public:
   // Binds `at` alone (no SO_REUSEPORT): two processes never share one console, so an answer always comes from
   // the process that was asked. Where a process before this one still holds the address (a replacement), the
-  // console opens once it lets go, tried again every `console_bind_retry` from step(). Throws std::runtime_error
-  // naming the address that cannot be listened on for any other reason.
+  // console opens once it lets go, tried again every `console_bind_retry` from step(). Throws
+  // std::runtime_error naming the address that cannot be listened on for any other reason.
   server(net::reactor& r, const limits& bounds, const endpoint& at, desk& d, telemetry::counters& counters);
   ~server();
   server(const server&) = delete;
   server& operator=(const server&) = delete;
 
-  // Ends connections that brought no whole line in time, binds where the address was held; returns when it wants
-  // to be called again.
+  // Ends connections that brought no whole line in time, binds where the address was held; returns when it
+  // wants to be called again.
   time_point step(time_point now);
   bool listening() const { return listener_.has_value(); }
 
--- a/src/core/admission.hpp
+++ b/src/core/admission.hpp
@@ -80,7 +80,8 @@
 struct close_idle {
   duration after{};  // 0 = as long as callers like
 };
-using decision = std::variant<run, pause, resume, refuse, fail, keep, forget, share, place, skip, health, close_idle>;
+using decision =
+    std::variant<run, pause, resume, refuse, fail, keep, forget, share, place, skip, health, close_idle>;
 
 class admission {
  public:
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -60,8 +60,10 @@
 dispatcher::load dispatcher::in_hand() const {
   load l;
   for (const auto& [id, e] : table_) {
-    if (e.started) ++l.running;
-    else if (!e.answered) ++l.waiting;
+    if (e.started)
+      ++l.running;
+    else if (!e.answered)
+      ++l.waiting;
   }
   return l;
 }
@@ -176,7 +178,8 @@
 
 void dispatcher::apply(const place& d) {
   const auto at = table_.find(d.id);
-  if (at != table_.end() && at->second.started && at->second.to != nullptr) at->second.to->place_call(d.id, d.limit);
+  if (at != table_.end() && at->second.started && at->second.to != nullptr)
+    at->second.to->place_call(d.id, d.limit);
 }
 
 void dispatcher::apply(const skip& d) {
@@ -208,7 +211,8 @@
   if (at == table_.end()) return;
   const bool over = !at->second.started || at->second.to == nullptr;
   if (!at->second.answered && at->second.to != nullptr) ++counters_.given_up;
-  const answer final{.how = verdict::failed, .retry_after = d.retry_after, .overdue = at->second.to != nullptr};
+  const answer final{
+      .how = verdict::failed, .retry_after = d.retry_after, .overdue = at->second.to != nullptr};
   if (at->second.leads) {
     fail_leader(at, final);
     return;
@@ -231,7 +235,7 @@
   }
   // The operators' figures by class, counted here and nowhere else, so that each answer counts once.
   const unsigned k = at->second.what.request_class;
-  std::vector<std::uint64_t>& by_class = final.how == verdict::served   ? counters_.served_by_class
+  std::vector<std::uint64_t>& by_class = final.how == verdict::served    ? counters_.served_by_class
                                          : final.how == verdict::refused ? counters_.refused_by_class
                                                                          : counters_.failed_by_class;
   if (k < by_class.size()) ++by_class[k];
--- a/src/core/dispatcher.hpp
+++ b/src/core/dispatcher.hpp
@@ -2,9 +2,9 @@
 // them does: one final answer for each request, no refusal once it was handed to a backend, and an effect is
 // handed over at most once.
 //
-// Of requests with a key, one leads and those that repeat it follow: one run, one answer to each. The intent is on disk
-// before the run is handed over, the result before anybody hears 'served'; a leader whose caller has left goes on for
-// those that follow, and one that was handed over goes on for those to come.
+// Of requests with a key, one leads and those that repeat it follow: one run, one answer to each. The intent
+// is on disk before the run is handed over, the result before anybody hears 'served'; a leader whose caller
+// has left goes on for those that follow, and one that was handed over goes on for those to come.
 #pragma once
 
 #include <functional>
@@ -39,8 +39,8 @@
   virtual void run(request_id id, const request& what) = 0;
   virtual void pause(request_id id) = 0;
   virtual void resume(request_id id) = 0;
-  // Asks what became of a write whose run nobody heard the end of, once; dispatcher::on_inquired() is told. False: it
-  // cannot be asked.
+  // Asks what became of a write whose run nobody heard the end of, once; dispatcher::on_inquired() is told.
+  // False: it cannot be asked.
   virtual bool inquire(request_id, const request&) { return false; }
   // A run that asked to call, by dispatcher::on_call_needed: it may, for so long; or it goes on without.
   virtual void place_call(request_id, duration) {}
@@ -56,8 +56,8 @@
 
   void add(front& f) { fronts_.push_back(&f); }
 
-  // Requests with a key are kept by it; a keyed run that was given up may go on for `finish_within`, as an effect that
-  // is broken off is one that nobody knows the outcome of.
+  // Requests with a key are kept by it; a keyed run that was given up may go on for `finish_within`, as an
+  // effect that is broken off is one that nobody knows the outcome of.
   void use(key_book& keys, duration finish_within);
 
   // What the server behind says of its own start. Until then it counts as cold, which is the safe guess.
@@ -66,7 +66,8 @@
   request_id on_arrival(front& from, backend& to, request what);
   void on_gone(request_id id);  // no answer is owed any longer
   void on_end(request_id id, run_end how, std::string_view result, duration elapsed);
-  // A backend has no room for a run that it was handed, and nothing of it began: refused, with the time to return.
+  // A backend has no room for a run that it was handed, and nothing of it began: refused, with the time to
+  // return.
   void on_turned_away(request_id id, duration come_back);
   // A run cannot go on before it has called others; it has what it called for, or gave up on it.
   void on_call_needed(request_id id);
@@ -93,10 +94,11 @@
   bool healthy() const { return healthy_; }
   bool draining() const { return draining_; }
   std::size_t open() const { return table_.size(); }
-  // Requests read whose caller is still owed an answer; runs that go on after their answer are not among them.
-  // Looks at each entry: for the operators' figures, not for each request.
+  // Requests read whose caller is still owed an answer; runs that go on after their answer are not among
+  // them. Looks at each entry: for the operators' figures, not for each request.
   std::size_t unanswered() const;
-  // Requests handed to a backend that have not ended, and those that wait to be, all of them. Looks at each entry.
+  // Requests handed to a backend that have not ended, and those that wait to be, all of them. Looks at each
+  // entry.
   struct load {
     std::size_t running = 0, waiting = 0;
   };
@@ -107,11 +109,11 @@
   struct lead {
     enum class stage { held, intending, handed, recording, asking };
     stage where = stage::held;
-    bool kept = false;            // the module keeps its key
-    bool in_module = true;        // the module waits to hear its end
-    bool served = false;          // while recording
-    std::string result;           // while recording
-    time_point answer_by{};       // while recording: the module thinks it over
+    bool kept = false;               // the module keeps its key
+    bool in_module = true;           // the module waits to hear its end
+    bool served = false;             // while recording
+    std::string result;              // while recording
+    time_point answer_by{};          // while recording: the module thinks it over
     std::vector<request_id> joined;  // share its outcome
   };
   struct entry {
@@ -164,9 +166,10 @@
   std::vector<front*> fronts_;
   key_book* keys_ = nullptr;
   duration finish_within_{};
-  std::vector<std::pair<request_id, answer>> prompt_;     // answered at the next step, unseen by the module
-  std::set<std::pair<time_point, request_id>> recording_;  // by the time when the leader's caller is answered anyhow
-  std::set<std::pair<time_point, request_id>> asks_;       // inquiries to come
+  std::vector<std::pair<request_id, answer>> prompt_;  // answered at the next step, unseen by the module
+  std::set<std::pair<time_point, request_id>>
+      recording_;  // by the time when the leader's caller is answered anyhow
+  std::set<std::pair<time_point, request_id>> asks_;  // inquiries to come
   time_point now_{};
   time_point answer_all_by_ = time_point::max();  // once it drains
   request_id last_id_ = 0;
--- a/src/core/dispatcher_keys.cpp
+++ b/src/core/dispatcher_keys.cpp
@@ -1,4 +1,5 @@
-// The dispatcher's part for requests with a key: who leads, who follows, and what has to be on disk before what.
+// The dispatcher's part for requests with a key: who leads, who follows, and what has to be on disk before
+// what.
 #include <algorithm>
 #include <utility>
 
@@ -42,7 +43,9 @@
     // Nothing is let in: the front hears at the next step, once it knows the request by its number.
     case standing::in_doubt: prompt_.push_back({id, {.how = verdict::failed, .in_doubt = true}}); break;
     case standing::conflict: prompt_.push_back({id, {.how = verdict::failed, .conflict = true}}); break;
-    case standing::no_room: prompt_.push_back({id, {.how = verdict::refused, .retry_after = o.come_back}}); break;
+    case standing::no_room:
+      prompt_.push_back({id, {.how = verdict::refused, .retry_after = o.come_back}});
+      break;
   }
 }
 
@@ -109,7 +112,8 @@
   }
 }
 
-// Its intent is on disk, and is taken back: after a crash before that the key is in doubt, and the backend knows better.
+// Its intent is on disk, and is taken back: after a crash before that the key is in doubt, and the backend
+// knows better.
 void dispatcher::turn_leader_away(table::iterator at, const answer& final) {
   if (at->second.leads->where != lead::stage::handed) return;
   keys_->release(at->first);
--- a/src/core/keys.hpp
+++ b/src/core/keys.hpp
@@ -1,5 +1,5 @@
-// What the dispatcher asks of whoever keeps the results of keyed requests, and what it is told later. Nothing here
-// waits for a disk: what takes one is answered through key_events.
+// What the dispatcher asks of whoever keeps the results of keyed requests, and what it is told later. Nothing
+// here waits for a disk: what takes one is answered through key_events.
 #pragma once
 
 #include <string_view>
@@ -30,7 +30,8 @@
 
   // Of a leader. Has the intent written: on_intended() says whether it is on disk.
   virtual void intend(request_id leader, const request& what) = 0;
-  // Its run ended with this result: on_recorded() says when that is on disk. False: another one was recorded before.
+  // Its run ended with this result: on_recorded() says when that is on disk. False: another one was recorded
+  // before.
   virtual bool record(request_id leader, bool served, std::string_view result) = 0;
   virtual void doubt(request_id leader) = 0;    // nothing more will be heard of its run
   virtual void release(request_id leader) = 0;  // proven never to have run
--- a/src/core/request.hpp
+++ b/src/core/request.hpp
@@ -21,8 +21,8 @@
   unsigned caller = 0;
   std::uint64_t subject = 0;  // what a read is about; 0 = not stated
   double held_kb = 0;
-  duration work{};    // expected; 0 = not stated
-  duration waited{};  // since it reached the machine
+  duration work{};       // expected; 0 = not stated
+  duration waited{};     // since it reached the machine
   time_point arrived{};  // at the machine, by the dispatcher's clock
   double rank = 0;
   std::string key;            // by which its sender knows a repeat; empty: it has none
--- a/src/dependencies/adaptive_limit.cpp
+++ b/src/dependencies/adaptive_limit.cpp
@@ -6,14 +6,16 @@
 namespace marblewharf::dependencies {
 namespace {
 
-constexpr double mean_memory = 8;      // calls over which latency is averaged
-constexpr double tolerance = 2;        // times the best: slower than chance makes a healthy one
-constexpr double cut = 0.7;            // factor a round trip: a jam is left in a few of them
-constexpr double best_creep = 1.0005;  // factor a call: the best is forgotten far more slowly than a stall lasts
-constexpr double best_settle = 0.2;    // of a gain that is taken over a call: not the luck of one
-constexpr double best_give_way = 1.05; // factor a call at the floor: with hardly any in flight it is not a crowd that is slow
-constexpr double floor_is = 2;         // times the least: so few in flight are no crowd
-constexpr double used = 0.5;           // share of the limit in flight: below it, more room tells nothing
+constexpr double mean_memory = 8;  // calls over which latency is averaged
+constexpr double tolerance = 2;    // times the best: slower than chance makes a healthy one
+constexpr double cut = 0.7;        // factor a round trip: a jam is left in a few of them
+constexpr double best_creep =
+    1.0005;  // factor a call: the best is forgotten far more slowly than a stall lasts
+constexpr double best_settle = 0.2;  // of a gain that is taken over a call: not the luck of one
+constexpr double best_give_way =
+    1.05;  // factor a call at the floor: with hardly any in flight it is not a crowd that is slow
+constexpr double floor_is = 2;  // times the least: so few in flight are no crowd
+constexpr double used = 0.5;    // share of the limit in flight: below it, more room tells nothing
 
 }  // namespace
 
@@ -36,10 +38,12 @@
   if (!late && s < best_) {
     best_ += (s - best_) * best_settle;
   } else if (!late && mean_ <= tolerance * best_) {
-    best_ *= best_creep;  // guards against one lucky call; not while it is jammed, or the jam becomes the rule
+    best_ *=
+        best_creep;  // guards against one lucky call; not while it is jammed, or the jam becomes the rule
   }
-  // A dependency that stays slow with hardly any call in flight has become slow: that is its best now, and more calls may
-  // do it no harm. Guards against a limit that keeps at its floor for as long as a machine runs at an eighth of its speed.
+  // A dependency that stays slow with hardly any call in flight has become slow: that is its best now, and
+  // more calls may do it no harm. Guards against a limit that keeps at its floor for as long as a machine
+  // runs at an eighth of its speed.
   if (!late && best_ > 0 && mean_ > tolerance * best_ && limit_ <= floor_is * least_) best_ *= best_give_way;
   const bool slow = best_ > 0 && mean_ > tolerance * best_;
   if (slow || late) {
--- a/src/dependencies/call_book.hpp
+++ b/src/dependencies/call_book.hpp
@@ -1,5 +1,6 @@
-// Calls at dependencies that writes take beside those that gather parts. A write has one at each of its participants from
-// its begin to its end: a step that was begun is never kept back, so the room for all of them is taken before the first.
+// Calls at dependencies that writes take beside those that gather parts. A write has one at each of its
+// participants from its begin to its end: a step that was begun is never kept back, so the room for all of
+// them is taken before the first.
 //
 // Free of I/O and clocks. One thread at a time.
 #pragma once
@@ -13,7 +14,8 @@
 
 class call_book {
  public:
-  // By dependency: writes that may be open there at once. `gathering`: calls in flight there that gather parts.
+  // By dependency: writes that may be open there at once. `gathering`: calls in flight there that gather
+  // parts.
   call_book(std::vector<double> most, std::function<std::size_t(std::size_t)> gathering)
       : most_(std::move(most)),
         gathering_(std::move(gathering)),
@@ -23,8 +25,8 @@
 
   // This node's share of calls at a dependency that a fleet divides.
   void set_share(std::size_t dependency, double most) { share_[dependency] = most; }
-  // One at each of them, or none at any: then what was in the way is counted as turned away, but for a write that
-  // was found on disk, which waits.
+  // One at each of them, or none at any: then what was in the way is counted as turned away, but for a write
+  // that was found on disk, which waits.
   bool take(const std::vector<std::size_t>& participants, bool waits = false);
   void give_back(const std::vector<std::size_t>& participants);
 
--- a/src/dependencies/compose.cpp
+++ b/src/dependencies/compose.cpp
@@ -11,8 +11,9 @@
   std::string boundary = "part";
   for (unsigned n = 0;; ++n) {
     const std::string tried = boundary + std::to_string(n);
-    const bool stands =
-        std::any_of(parts.begin(), parts.end(), [&](const part_result& p) { return p.bytes.find("--" + tried) != std::string::npos; });
+    const bool stands = std::any_of(parts.begin(), parts.end(), [&](const part_result& p) {
+      return p.bytes.find("--" + tried) != std::string::npos;
+    });
     if (!stands) return tried;
   }
 }
@@ -36,14 +37,16 @@
   for (std::size_t i = 0; i < parts.size(); ++i) {
     const part_result& part = parts[i];
     partial = partial || part.how != part_is::fresh;
-    body += "--" + boundary + "\r\nPart: " + p.parts[i].name + "\r\nPart-State: " + name_of(part.how) + "\r\n";
+    body +=
+        "--" + boundary + "\r\nPart: " + p.parts[i].name + "\r\nPart-State: " + name_of(part.how) + "\r\n";
     if (part.how == part_is::stale)
       body += "Age: " + std::to_string(std::chrono::ceil<std::chrono::seconds>(part.age).count()) + "\r\n";
     body += "Content-Length: " + std::to_string(part.bytes.size()) + "\r\n\r\n" + part.bytes + "\r\n";
   }
   body += "--" + boundary + "--\r\n";
-  return "HTTP/1.1 200 OK\r\nContent-Type: multipart/mixed; boundary=" + boundary + "\r\nPartial: " +
-         (partial ? "yes" : "no") + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+  return "HTTP/1.1 200 OK\r\nContent-Type: multipart/mixed; boundary=" + boundary +
+         "\r\nPartial: " + (partial ? "yes" : "no") + "\r\nContent-Length: " + std::to_string(body.size()) +
+         "\r\n\r\n" + body;
 }
 
 }  // namespace marblewharf::dependencies
--- a/src/dependencies/compose.hpp
+++ b/src/dependencies/compose.hpp
@@ -1,5 +1,5 @@
-// Parts to one response: HTTP-shaped, `multipart/mixed` (RFC 2046), each part with its state and its length, whatever bytes
-// it has. docs/dependencies.md has the form.
+// Parts to one response: HTTP-shaped, `multipart/mixed` (RFC 2046), each part with its state and its length,
+// whatever bytes it has. docs/dependencies.md has the form.
 #pragma once
 
 #include <string>
@@ -9,7 +9,8 @@
 
 namespace marblewharf::dependencies {
 
-// Of a gathering that lacks no required part. `Partial: yes` stands in its head where not all parts are fresh.
+// Of a gathering that lacks no required part. `Partial: yes` stands in its head where not all parts are
+// fresh.
 std::string compose(const plan& p, const std::vector<part_result>& parts);
 
 const char* name_of(part_is how);
--- a/src/dependencies/conductor.cpp
+++ b/src/dependencies/conductor.cpp
@@ -12,9 +12,15 @@
   for (dependency_rules& r : rules) {
     // Starts in the middle: a dependency that is slow already is not met by all that it could take when well.
     const double start = (r.least_in_flight + r.most_in_flight) / 4;
-    dependencies_.push_back({r, endpoints(r.endpoints, r.health, r.near),
-                             adaptive_limit(r.least_in_flight, r.most_in_flight, start), {},
-                             share_cap(r.retry_share, r.retry_floor), share_cap(r.hedge_share, 0), 0, {}, {}});
+    dependencies_.push_back({r,
+                             endpoints(r.endpoints, r.health, r.near),
+                             adaptive_limit(r.least_in_flight, r.most_in_flight, start),
+                             {},
+                             share_cap(r.retry_share, r.retry_floor),
+                             share_cap(r.hedge_share, 0),
+                             0,
+                             {},
+                             {}});
   }
 }
 
@@ -30,7 +36,8 @@
   return at == gatherings_.end() ? nullptr : &at->second;
 }
 
-void conductor::begin(gathering_id id, std::size_t which, std::uint64_t subject, time_point by, time_point now) {
+void conductor::begin(gathering_id id, std::size_t which, std::uint64_t subject, time_point by,
+                      time_point now) {
   const std::size_t parts = plans_[which].parts.size();
   gathering& g = gatherings_[id];
   g.plan = which;
@@ -158,7 +165,8 @@
   d.where.on_start(endpoint);
   ++d.in_flight;
   ++d.counts.calls;
-  if (!d.rules.near.where.empty()) ++d.counts.at_level[static_cast<std::size_t>(d.rules.near.where[endpoint])];
+  if (!d.rules.near.where.empty())
+    ++d.counts.at_level[static_cast<std::size_t>(d.rules.near.where[endpoint])];
   timers_.emplace(p.give_up, due_timer{timer::call_over, number, 0, 0});
   if (p.calls.size() == 1 && d.rules.hedge_quantile > 0 && d.rules.endpoints > 1) {
     if (const auto slow = d.times.quantile(d.rules.hedge_quantile))
@@ -289,8 +297,8 @@
   for (std::size_t d = 0; d < dependencies_.size(); ++d) admit_waiting(d, now);
 }
 
-// Room in flight goes to who came last: it has its time before it. First come first served would spend the room on those
-// whose time is nearly over, and all would come late.
+// Room in flight goes to who came last: it has its time before it. First come first served would spend the
+// room on those whose time is nearly over, and all would come late.
 void conductor::admit_waiting(std::size_t which, time_point now) {
   source& d = dependencies_[which];
   while (!d.waiting.empty() && d.in_flight < d.allowed()) {
--- a/src/dependencies/conductor.hpp
+++ b/src/dependencies/conductor.hpp
@@ -1,10 +1,11 @@
-// Decides on the calls of all requests that gather parts: which goes where and when, how often, how long it is waited for,
-// and what stands in. Free of I/O; time and randomness are handed in. Facts go in (begin, on_result, cancel, step), actions
-// come out in their order (pick). One thread at a time.
+// Decides on the calls of all requests that gather parts: which goes where and when, how often, how long it
+// is waited for, and what stands in. Free of I/O; time and randomness are handed in. Facts go in (begin,
+// on_result, cancel, step), actions come out in their order (pick). One thread at a time.
 //
-// What it promises, whatever comes: one `finished` for each gathering that was not cancelled, no later than its end; no
-// call is waited for past its budget; further attempts and second copies stay within their shares; calls in flight within
-// each dependency's limit; whatever call is still out when its part has come or its gathering is over is cancelled.
+// What it promises, whatever comes: one `finished` for each gathering that was not cancelled, no later than
+// its end; no call is waited for past its budget; further attempts and second copies stay within their
+// shares; calls in flight within each dependency's limit; whatever call is still out when its part has come
+// or its gathering is over is cancelled.
 #pragma once
 
 #include <array>
@@ -41,7 +42,7 @@
 enum class part_is { missing, fresh, stale, stand_in };
 struct part_result {
   part_is how = part_is::missing;
-  duration age{};     // stale
+  duration age{};  // stale
   std::string bytes;
 };
 
@@ -69,8 +70,8 @@
 
 struct dependency_counts {
   std::uint64_t calls = 0, retries = 0, hedges = 0, good = 0, failed = 0, late = 0, not_now = 0;
-  std::uint64_t no_room = 0;    // parts that the limit let wait in vain
-  std::uint64_t held_out = 0;   // times that an endpoint was
+  std::uint64_t no_room = 0;                                      // parts that the limit let wait in vain
+  std::uint64_t held_out = 0;                                     // times that an endpoint was
   std::uint64_t fresh = 0, stale = 0, stand_in = 0, missing = 0;  // parts
   std::chrono::nanoseconds stale_age{};                           // of the stale parts, together
   std::chrono::nanoseconds spent{};                               // in calls
@@ -80,7 +81,8 @@
 class conductor {
  public:
   // Plans and rules that check_plans() takes.
-  conductor(std::vector<plan> plans, std::vector<dependency_rules> rules, std::size_t cache_bytes, std::uint64_t seed);
+  conductor(std::vector<plan> plans, std::vector<dependency_rules> rules, std::size_t cache_bytes,
+            std::uint64_t seed);
 
   // `subject`: what the request is about, for stale parts. `by`: when `finished` is wanted at the latest.
   void begin(gathering_id id, std::size_t which, std::uint64_t subject, time_point by, time_point now);
@@ -89,13 +91,14 @@
   void step(time_point now);
   time_point due() const { return timers_.empty() ? time_point::max() : timers_.begin()->first; }
 
-  // Whether calls may go to an endpoint, as the view of the fleet has it (its zone declared out, its member suspected).
+  // Whether calls may go to an endpoint, as the view of the fleet has it (its zone declared out, its member
+  // suspected).
   void set_reachable(std::size_t dependency, std::size_t endpoint, bool reachable) {
     dependencies_[dependency].where.set_reachable(endpoint, reachable);
   }
 
-  // A bound beside the limit that adapts: this node's share of calls that a fleet divides. Below one, parts are not waited
-  // for: what stands in does so at once.
+  // A bound beside the limit that adapts: this node's share of calls that a fleet divides. Below one, parts
+  // are not waited for: what stands in does so at once.
   void set_share(std::size_t dependency, double most) { dependencies_[dependency].share = most; }
   std::size_t waiting(std::size_t of) const { return dependencies_[of].waiting.size(); }
 
@@ -126,11 +129,11 @@
   };
   struct part_run {
     bool done = false;
-    std::size_t step = 0;     // 0 = its dependency, then its stand-ins
-    std::size_t from = 0;     // the dependency of this step
-    unsigned tries = 0;       // of this step
-    time_point give_up{};     // of this step
-    bool waits = false;       // in the dependency's queue
+    std::size_t step = 0;                  // 0 = its dependency, then its stand-ins
+    std::size_t from = 0;                  // the dependency of this step
+    unsigned tries = 0;                    // of this step
+    time_point give_up{};                  // of this step
+    bool waits = false;                    // in the dependency's queue
     std::optional<std::size_t> not_there;  // the endpoint that failed last
     std::vector<call_id> calls;            // in flight
     part_result result;
--- a/src/dependencies/endpoints.cpp
+++ b/src/dependencies/endpoints.cpp
@@ -7,9 +7,10 @@
 namespace marblewharf::dependencies {
 namespace {
 
-constexpr double mean_memory = 8;    // calls
-constexpr double least_weight = 0.1; // share of calls right after it is back
-constexpr double unknown_s = 1e-3;   // taken for one that was asked and has not answered, where nothing better is known
+constexpr double mean_memory = 8;     // calls
+constexpr double least_weight = 0.1;  // share of calls right after it is back
+constexpr double unknown_s =
+    1e-3;  // taken for one that was asked and has not answered, where nothing better is known
 constexpr unsigned most_doublings = 16;
 
 }  // namespace
@@ -25,16 +26,20 @@
 
 double endpoints::weight(const one& e, time_point now) const {
   if (e.where != endpoint_state::ramping) return 1;
-  const double done = std::chrono::duration<double>(now - e.since) / std::chrono::duration<double>(rules_.ramp);
+  const double done =
+      std::chrono::duration<double>(now - e.since) / std::chrono::duration<double>(rules_.ramp);
   return std::clamp(done, least_weight, 1.0);
 }
 
-// Guards against an endpoint that was slow once: passed over for that, it would never show that it no longer is.
+// Guards against an endpoint that was slow once: passed over for that, it would never show that it no longer
+// is.
 double endpoints::left_of_mean(duration unasked) const {
-  return std::exp2(-std::max(0.0, std::chrono::duration<double>(unasked) / std::chrono::duration<double>(rules_.fade)));
+  return std::exp2(
+      -std::max(0.0, std::chrono::duration<double>(unasked) / std::chrono::duration<double>(rules_.fade)));
 }
 
-// Those among which the call goes, all of one level: the level by the levels' able shares (failover/locality).
+// Those among which the call goes, all of one level: the level by the levels' able shares
+// (failover/locality).
 std::vector<std::size_t> endpoints::near_ones(time_point now, std::uint64_t random,
                                               std::optional<std::size_t> not_this) const {
   std::vector<failover::endpoint_state> states(all_.size());
@@ -53,7 +58,8 @@
   std::vector<std::size_t> at;
   const auto take = [&](failover::level l) {
     for (std::size_t i = 0; i < all_.size(); ++i)
-      if (i != not_this && states[i].where == l && (states[i].able || (shares.panic && !closed[i]))) at.push_back(i);
+      if (i != not_this && states[i].where == l && (states[i].able || (shares.panic && !closed[i])))
+        at.push_back(i);
   };
   if (drawn) take(*drawn);
   // The drawn level may hold none but `not_this`: then the nearest that has one.
@@ -78,8 +84,9 @@
   const std::size_t n = usable.size();
   const std::size_t a = usable[random % n];
   const std::size_t b = usable[(random % n + 1 + (random >> 32) % std::max<std::size_t>(1, n - 1)) % n];
-  // One that never was asked is asked next: whatever time were taken for it, others may be quicker for ever. Guards against
-  // one that was asked and has not answered yet: taken for quick, it would draw all calls until it does.
+  // One that never was asked is asked next: whatever time were taken for it, others may be quicker for ever.
+  // Guards against one that was asked and has not answered yet: taken for quick, it would draw all calls
+  // until it does.
   const auto expected_s = [&](const one& e, const one& other) {
     if (e.mean_s > 0) return e.mean_s * (e.in_flight > 0 ? 1 : left_of_mean(now - e.idle_since));
     return e.in_flight + e.bound > 0 ? std::max(other.mean_s, unknown_s) : 0;
--- a/src/dependencies/gatherer.cpp
+++ b/src/dependencies/gatherer.cpp
@@ -22,7 +22,8 @@
   std::vector<int> by_class(c.settings.classes.size(), -1);
   for (std::size_t p = 0; p < c.dependencies->plans.size(); ++p) {
     for (std::size_t i = 0; i < by_class.size(); ++i) {
-      if (c.settings.classes[i].name == c.dependencies->plans[p].request_class) by_class[i] = static_cast<int>(p);
+      if (c.settings.classes[i].name == c.dependencies->plans[p].request_class)
+        by_class[i] = static_cast<int>(p);
     }
   }
   return by_class;
@@ -35,7 +36,8 @@
       config_(settings),
       dispatcher_(d),
       behind_(behind),
-      conductor_(settings.dependencies->plans, settings.dependencies->rules, settings.dependencies->cache, settings.seed),
+      conductor_(settings.dependencies->plans, settings.dependencies->rules, settings.dependencies->cache,
+                 settings.seed),
       plan_of_(plans_by_class(settings)) {}
 
 gatherer::~gatherer() = default;
@@ -164,7 +166,8 @@
   if (how == uwsgi::exchange_end::whole && head->status >= 200 && head->status <= 299) {
     end = call_end::good;
     bytes = response.substr(head->size);
-  } else if (how == uwsgi::exchange_end::whole && (head->status == busy_status || head->status == too_many_status)) {
+  } else if (how == uwsgi::exchange_end::whole &&
+             (head->status == busy_status || head->status == too_many_status)) {
     end = call_end::not_now;
     come_back = head->retry_after ? duration(*head->retry_after) : usual_come_back;
   }
@@ -218,7 +221,8 @@
     const auto count = [](std::uint64_t v) { return static_cast<unsigned long long>(v); };
     log("dependencies",
         "%s calls=%llu retries=%llu hedges=%llu good=%llu failed=%llu late=%llu not_now=%llu no_room=%llu "
-        "held_out=%llu allowed=%u in_flight=%u fresh=%llu stale=%llu stand_in=%llu missing=%llu stale_age_ms=%llu spent_ms=%llu "
+        "held_out=%llu allowed=%u in_flight=%u fresh=%llu stale=%llu stand_in=%llu missing=%llu "
+        "stale_age_ms=%llu spent_ms=%llu "
         "zone=%llu region=%llu rest=%llu",
         config_.dependencies->endpoints[i].name.c_str(), count(n.calls), count(n.retries), count(n.hedges),
         count(n.good), count(n.failed), count(n.late), count(n.not_now), count(n.no_room), count(n.held_out),
--- a/src/dependencies/gatherer.hpp
+++ b/src/dependencies/gatherer.hpp
@@ -1,8 +1,8 @@
-// Runs requests of planned classes by gathering their parts from dependencies that speak uwsgi; all others go on to the
-// backend behind it. The conductor decides, this makes the calls.
+// Runs requests of planned classes by gathering their parts from dependencies that speak uwsgi; all others go
+// on to the backend behind it. The conductor decides, this makes the calls.
 //
-// A run's gathering is one call to the decision module: it says when it may begin and for how long, or that the answer
-// goes without it; then only what stands in without a call is used.
+// A run's gathering is one call to the decision module: it says when it may begin and for how long, or that
+// the answer goes without it; then only what stands in without a call is used.
 #pragma once
 
 #include <functional>
@@ -39,7 +39,8 @@
   const conductor& decisions() const { return conductor_; }
   // A line of counters for each dependency.
   void print() const;
-  // The view of the fleet has changed: `routable` tells of a place (a zone or a member) whether calls may go there.
+  // The view of the fleet has changed: `routable` tells of a place (a zone or a member) whether calls may go
+  // there.
   void routes_changed(const std::function<bool(const std::string&)>& routable);
   // This node's share of calls at a dependency, and what it has and wants of them.
   void set_share(std::size_t dependency, double most) { conductor_.set_share(dependency, most); }
@@ -48,7 +49,8 @@
     std::uint64_t turned_away = 0;  // since the start, for want of room
   };
   calls calls_at(std::size_t dependency) const {
-    return {conductor_.in_flight(dependency), conductor_.waiting(dependency), conductor_.counts(dependency).no_room};
+    return {conductor_.in_flight(dependency), conductor_.waiting(dependency),
+            conductor_.counts(dependency).no_room};
   }
   // For show-stat, of dependencies whose endpoints have places: calls by nearness.
   std::string figures() const;
@@ -68,7 +70,8 @@
   void apply(const cancel_call& a);
   void apply(const finished& a);
   void apply(const notable& a);
-  void on_exchanged(call_id id, uwsgi::exchange_end how, const uwsgi::response_head* head, std::string_view response);
+  void on_exchanged(call_id id, uwsgi::exchange_end how, const uwsgi::response_head* head,
+                    std::string_view response);
   void begin(request_id id, time_point by);
 
   net::reactor& reactor_;
--- a/src/dependencies/latency.hpp
+++ b/src/dependencies/latency.hpp
@@ -1,5 +1,5 @@
-// How long calls take of late: quantiles from a histogram of logarithmic buckets that forgets by halving, and a mean of
-// the last few. A bucket is a quarter wide, so that a quantile is off by that at most.
+// How long calls take of late: quantiles from a histogram of logarithmic buckets that forgets by halving, and
+// a mean of the last few. A bucket is a quarter wide, so that a quantile is off by that at most.
 #pragma once
 
 #include <array>
--- a/src/dependencies/outcomes.cpp
+++ b/src/dependencies/outcomes.cpp
@@ -10,7 +10,8 @@
 
 void outcomes::undone(const key& k, std::uint64_t which) {
   const auto at = table_.find(k);
-  if (at != table_.end() && at->second.which == which && at->second.how == standing::under_way) table_.erase(at);
+  if (at != table_.end() && at->second.which == which && at->second.how == standing::under_way)
+    table_.erase(at);
 }
 
 void outcomes::committed(const key& k, std::uint64_t which, moment expiry) {
--- a/src/dependencies/outcomes.hpp
+++ b/src/dependencies/outcomes.hpp
@@ -1,9 +1,9 @@
-// What became of writes over several participants, by their keys: for as long as a repeat may ask, and within a bound.
-// A key that is not here never began, or was undone at all participants; so none may be dropped before its time, and
-// where there is no room a write is turned away instead.
+// What became of writes over several participants, by their keys: for as long as a repeat may ask, and within
+// a bound. A key that is not here never began, or was undone at all participants; so none may be dropped
+// before its time, and where there is no room a write is turned away instead.
 //
-// Free of I/O and clocks: moments are handed in, results stand on disk, and only the numbers of their writes here. One
-// thread at a time. About 100 bytes a key.
+// Free of I/O and clocks: moments are handed in, results stand on disk, and only the numbers of their writes
+// here. One thread at a time. About 100 bytes a key.
 #pragma once
 
 #include <cstdint>
@@ -33,8 +33,9 @@
   explicit outcomes(std::size_t most) : most_(most) {}
 
   bool room() const { return table_.size() < most_; }
-  // Write `which` of this key begins; numbers rise from write to write, also over restarts. An earlier one of the key tells
-  // nothing any more, and never takes the place of a later one, in whatever order a folder has them.
+  // Write `which` of this key begins; numbers rise from write to write, also over restarts. An earlier one of
+  // the key tells nothing any more, and never takes the place of a later one, in whatever order a folder has
+  // them.
   void begin(const key& k, std::uint64_t which);
   // It was undone, or never began after all. What is committed stays so.
   void undone(const key& k, std::uint64_t which);
--- a/src/dependencies/part_cache.cpp
+++ b/src/dependencies/part_cache.cpp
@@ -8,7 +8,8 @@
   entries_.erase(at);
 }
 
-void part_cache::put(std::size_t dependency, std::uint64_t subject, const std::string& bytes, time_point now) {
+void part_cache::put(std::size_t dependency, std::uint64_t subject, const std::string& bytes,
+                     time_point now) {
   const std::uint64_t key = key_of(dependency, subject);
   if (const auto old = index_.find(key); old != index_.end()) drop(old->second);
   if (bytes.size() + overhead > most_) return;
@@ -18,8 +19,8 @@
   while (bytes_ > most_) drop(std::prev(entries_.end()));
 }
 
-std::optional<part_cache::found> part_cache::get(std::size_t dependency, std::uint64_t subject, duration oldest,
-                                                 time_point now) {
+std::optional<part_cache::found> part_cache::get(std::size_t dependency, std::uint64_t subject,
+                                                 duration oldest, time_point now) {
   const auto at = index_.find(key_of(dependency, subject));
   if (at == index_.end() || now - at->second->at > oldest) return std::nullopt;
   entries_.splice(entries_.begin(), entries_, at->second);
--- a/src/dependencies/part_cache.hpp
+++ b/src/dependencies/part_cache.hpp
@@ -1,4 +1,5 @@
-// The last good part of each subject, for when a newer one does not come. Bounded in bytes: the longest unused go.
+// The last good part of each subject, for when a newer one does not come. Bounded in bytes: the longest
+// unused go.
 #pragma once
 
 #include <cstdint>
--- a/src/dependencies/plan.cpp
+++ b/src/dependencies/plan.cpp
@@ -24,7 +24,8 @@
   for (const stand_in& s : part.stand_ins) {
     if (ended) throw bad_plan("has a fall-back behind a fixed one, which never fails", which, at);
     if (s.what == stand_in::kind::dependency) add(s.from);
-    if (s.what == stand_in::kind::stale && s.oldest.count() <= 0) throw bad_plan("has a stale part of no age", which, at);
+    if (s.what == stand_in::kind::stale && s.oldest.count() <= 0)
+      throw bad_plan("has a stale part of no age", which, at);
     ended = s.what == stand_in::kind::fixed;
   }
   if (needed > p.aim - p.reserve)
@@ -42,7 +43,8 @@
     std::set<std::string> names;
     for (std::size_t k = 0; k < p.parts.size(); ++k) {
       const int at = static_cast<int>(k);
-      if (!names.insert(p.parts[k].name).second) throw bad_plan("names a part twice: " + p.parts[k].name, i, at);
+      if (!names.insert(p.parts[k].name).second)
+        throw bad_plan("names a part twice: " + p.parts[k].name, i, at);
       check_part(p, i, at, dependencies);
     }
   }
--- a/src/dependencies/plan.hpp
+++ b/src/dependencies/plan.hpp
@@ -1,5 +1,5 @@
-// What a request of a class needs from others: its parts, the dependency that each comes from, and what stands in for one
-// that does not come. Checked as a whole before anything starts.
+// What a request of a class needs from others: its parts, the dependency that each comes from, and what
+// stands in for one that does not come. Checked as a whole before anything starts.
 #pragma once
 
 #include <cstdint>
@@ -23,24 +23,24 @@
   double hedge_quantile = 0.95;               // of latency: then a second copy is sent; 0 = never
   double hedge_share = 0.05;                  // second copies for each first call
   double least_in_flight = 1, most_in_flight = 64;
-  std::size_t most_waiting = 256;             // for room in flight
+  std::size_t most_waiting = 256;  // for room in flight
   endpoint_rules health;
-  nearness near;                              // of its endpoints
+  nearness near;  // of its endpoints
 };
 
 // What stands in, the first that is to be had.
 struct stand_in {
   enum class kind { dependency, stale, fixed };
   kind what = kind::fixed;
-  std::size_t from = 0;     // dependency
-  duration oldest{};        // stale: the last good part of the same subject, no older than this
-  std::string bytes{};      // fixed
+  std::size_t from = 0;  // dependency
+  duration oldest{};     // stale: the last good part of the same subject, no older than this
+  std::string bytes{};   // fixed
 };
 
 struct part_plan {
   std::string name;
-  std::size_t from = 0;     // dependency
-  bool required = false;    // without it the answer is a failure
+  std::size_t from = 0;   // dependency
+  bool required = false;  // without it the answer is a failure
   std::vector<stand_in> stand_ins;
 };
 
@@ -53,13 +53,14 @@
 
 // `at` tells whoever read the plan where the fault stands: the plan, and the part in it or -1.
 struct bad_plan : std::runtime_error {
-  bad_plan(const std::string& why, std::size_t which, int part) : std::runtime_error(why), plan(which), part_at(part) {}
+  bad_plan(const std::string& why, std::size_t which, int part)
+      : std::runtime_error(why), plan(which), part_at(part) {}
   std::size_t plan;
   int part_at;
 };
 
-// Throws bad_plan for one that could not be kept: no parts, a name twice, a dependency twice in one chain, budgets of a
-// chain that cannot all pass within the aim less the reserve.
+// Throws bad_plan for one that could not be kept: no parts, a name twice, a dependency twice in one chain,
+// budgets of a chain that cannot all pass within the aim less the reserve.
 void check_plans(const std::vector<plan>& plans, const std::vector<dependency_rules>& dependencies);
 
 }  // namespace marblewharf::dependencies
--- a/src/dependencies/share_cap.cpp
+++ b/src/dependencies/share_cap.cpp
@@ -22,7 +22,8 @@
   turn(now);
   const double firsts = std::accumulate(firsts_.begin(), firsts_.end(), 0u);
   const double extras = std::accumulate(extras_.begin(), extras_.end(), 0u);
-  // The floor counts for the whole window: rare traffic may use it at once, though not again before it has passed.
+  // The floor counts for the whole window: rare traffic may use it at once, though not again before it has
+  // passed.
   const double floor = floor_ * std::chrono::duration<double>(slice_ * slices).count();
   if (extras + 1 > share_ * firsts + floor) return false;
   ++extras_[at_];
--- a/src/dependencies/share_cap.hpp
+++ b/src/dependencies/share_cap.hpp
@@ -1,5 +1,6 @@
-// A cap on extra calls (further attempts, second copies) as a share of first calls, with a floor for rare traffic. Over any
-// window that ends at a call, extras are no more than share x firsts in it + floor x its length.
+// A cap on extra calls (further attempts, second copies) as a share of first calls, with a floor for rare
+// traffic. Over any window that ends at a call, extras are no more than share x firsts in it + floor x its
+// length.
 #pragma once
 
 #include <array>
--- a/src/dependencies/transaction.cpp
+++ b/src/dependencies/transaction.cpp
@@ -96,8 +96,8 @@
       drive(step_kind::commit);
       break;
     case log_mark::decided:
-      // Without the mark nothing may be committed; where the last agent has said yes, nothing may be undone either:
-      // it is written again.
+      // Without the mark nothing may be committed; where the last agent has said yes, nothing may be undone
+      // either: it is written again.
       if (!durable) {
         if (last_agent()) {
           rewrite_ = true;
@@ -137,8 +137,9 @@
     decide(false);
     return;
   }
-  const bool all = std::all_of(all_.begin(), all_.end(),
-                               [](const participant& p) { return p.kind == part_kind::one_phase || p.prepared; });
+  const bool all = std::all_of(all_.begin(), all_.end(), [](const participant& p) {
+    return p.kind == part_kind::one_phase || p.prepared;
+  });
   if (!all) return;
   stage_ = stage::marking;
   marking_ = last_agent() ? log_mark::asked_last : log_mark::decided;
--- a/src/dependencies/transaction.hpp
+++ b/src/dependencies/transaction.hpp
@@ -1,13 +1,15 @@
-// A write that touches several participants: whole at all or at none. The state machine of one, free of I/O and clocks:
-// two-phase commit with presumed abort (Mohan, Lindsay and Obermarck, 1986), and at most one participant that cannot prepare,
-// which goes last and whose yes is the decision (the last agent of Gray and Reuter, 1993).
+// A write that touches several participants: whole at all or at none. The state machine of one, free of I/O
+// and clocks: two-phase commit with presumed abort (Mohan, Lindsay and Obermarck, 1986), and at most one
+// participant that cannot prepare, which goes last and whose yes is the decision (the last agent of Gray and
+// Reuter, 1993).
 //
 //   preparing -> (asking the last ->) committing -> committed
 //        \-> aborting -> aborted
 //
-// What is on disk says where it goes on after a crash: nothing: it never began, all is presumed aborted; begun: aborted,
-// or where there is a last agent that was asked, asked again; decided: committed to the end. A step is repeated until it
-// is answered; participants know it by the id of the write, so that a repeated one is harmless.
+// What is on disk says where it goes on after a crash: nothing: it never began, all is presumed aborted;
+// begun: aborted, or where there is a last agent that was asked, asked again; decided: committed to the end.
+// A step is repeated until it is answered; participants know it by the id of the write, so that a repeated
+// one is harmless.
 #pragma once
 
 #include <cstdint>
@@ -75,9 +77,9 @@
   struct participant {
     part_kind kind{};
     bool prepared = false;
-    bool touched = false;   // may have prepared
-    bool ended = false;     // said yes to its commit or abort
-    bool out = false;       // a step is under way
+    bool touched = false;      // may have prepared
+    bool ended = false;        // said yes to its commit or abort
+    bool out = false;          // a step is under way
     bool failed_once = false;  // waits for again()
   };
 
@@ -94,8 +96,9 @@
   bool answered_ = false;
   bool decided_ = false;
   bool refused_ = false;  // somebody said no, or time is over: to be aborted
-  bool mark_tried_ = false;  // a mark that leads to commits may be on disk: 'failed' is sure only behind 'aborted'
-  bool rewrite_ = false;     // the mark of this stage did not get on disk, and has to
+  bool mark_tried_ =
+      false;  // a mark that leads to commits may be on disk: 'failed' is sure only behind 'aborted'
+  bool rewrite_ = false;  // the mark of this stage did not get on disk, and has to
   std::vector<tx_action> actions_;
   std::size_t taken_ = 0;
 };
--- a/src/dependencies/write_folder.cpp
+++ b/src/dependencies/write_folder.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 constexpr double amplification = 2;  // docs/store.md
-// Outcomes stand on disk for this much longer than they are known in memory, so that none is missing while it is.
+// Outcomes stand on disk for this much longer than they are known in memory, so that none is missing while it
+// is.
 constexpr std::chrono::nanoseconds kept_longer = std::chrono::seconds(2);
 
 // All on disk before the row that says so. Rows written by a try that was broken off are the same.
@@ -21,7 +22,8 @@
   for (const auto& some : {rows, std::vector<const store::batch*>{last}}) {
     for (const store::tables::committed& c : t.commit_all(some, now)) {
       if (!c.fault.empty()) throw store::io_error(c.fault);
-      if (!c.v.may) throw store::io_error(folder + ": what an older program left finds no room: more writes.space");
+      if (!c.v.may)
+        throw store::io_error(folder + ": what an older program left finds no room: more writes.space");
     }
   }
   return rows.size();
--- a/src/dependencies/write_folder.hpp
+++ b/src/dependencies/write_folder.hpp
@@ -1,5 +1,6 @@
-// The folder of writes over several participants, as a start finds it: tables open for more, what is under way, and what is
-// known to be over. A folder that an older program left is moved up on the way (docs/store.md).
+// The folder of writes over several participants, as a start finds it: tables open for more, what is under
+// way, and what is known to be over. A folder that an older program left is moved up on the way
+// (docs/store.md).
 //
 // Blocks on the disk. Moments are nanoseconds of Unix time, held at the latest that the folder knows of.
 #pragma once
@@ -18,8 +19,8 @@
 struct write_folder_options {
   std::string folder;
   std::uint64_t segment = std::uint64_t{8} << 20, space = std::uint64_t{256} << 20;  // bytes
-  std::chrono::nanoseconds keep{};                                                   // an outcome, from its write's end
-  std::uint64_t salt = 0;                                                            // for a new folder
+  std::chrono::nanoseconds keep{};  // an outcome, from its write's end
+  std::uint64_t salt = 0;           // for a new folder
 };
 
 struct found_write {
@@ -37,8 +38,8 @@
   std::size_t moved = 0;            // rows made of an older program's marks
 };
 
-// Throws store::held, io_error (also where there is no room to move up) or damaged. What was begun and broken off is done
-// anew by the next call.
+// Throws store::held, io_error (also where there is no room to move up) or damaged. What was begun and broken
+// off is done anew by the next call.
 write_folder open_write_folder(store::file_system& fs, const write_folder_options& o, std::int64_t unix_now);
 
 }  // namespace marblewharf::dependencies
--- a/src/dependencies/write_records.cpp
+++ b/src/dependencies/write_records.cpp
@@ -40,8 +40,9 @@
   return store::room_for(store::row_head + store::longest_table_name + key + value);
 }
 
-// A mark of before tables: id, expiry, mark, whether it committed; then class, key, payload and endpoints, each with its
-// length. What only matters with some marks is empty in others. Marks of before endpoints were chosen end after the payload.
+// A mark of before tables: id, expiry, mark, whether it committed; then class, key, payload and endpoints,
+// each with its length. What only matters with some marks is empty in others. Marks of before endpoints were
+// chosen end after the payload.
 struct older_mark {
   std::string id;
   std::int64_t expiry = 0;
@@ -71,7 +72,8 @@
 
 std::uint64_t number_of(std::string_view id) {
   std::uint64_t number = 0;
-  if (id.size() == write_id_size) std::from_chars(id.data() + write_id_size / 2, id.data() + write_id_size, number, 16);
+  if (id.size() == write_id_size)
+    std::from_chars(id.data() + write_id_size / 2, id.data() + write_id_size, number, 16);
   return number;
 }
 
@@ -89,7 +91,8 @@
   return b;
 }
 
-store::batch batch_of_over(const std::string& id, const std::optional<std::pair<outcome_id, ended_write>>& committed) {
+store::batch batch_of_over(const std::string& id,
+                           const std::optional<std::pair<outcome_id, ended_write>>& committed) {
   store::batch b;
   b.erase(open_table, id);
   b.erase(mark_table, id);
@@ -156,7 +159,8 @@
   if (known == all_.end()) {
     // Without a class it carries on a write of which nothing else is left.
     if (m->request_class.empty()) return;
-    all_[m->id] = {{m->id, std::move(m->request_class), std::move(m->key), std::move(m->payload), std::move(m->endpoints)},
+    all_[m->id] = {{m->id, std::move(m->request_class), std::move(m->key), std::move(m->payload),
+                    std::move(m->endpoints)},
                    m->what,
                    false,
                    m->expiry,
--- a/src/dependencies/write_records.hpp
+++ b/src/dependencies/write_records.hpp
@@ -1,8 +1,8 @@
-// What a write over several participants has on disk: rows of tables, a batch for each step of its life (docs/store.md), and
-// the marks that older programs wrote, from which the same rows are made.
+// What a write over several participants has on disk: rows of tables, a batch for each step of its life
+// (docs/store.md), and the marks that older programs wrote, from which the same rows are made.
 //
-// Free of I/O and clocks. Numbers are little-endian but in keys, where they are big-endian, so that order by key is order
-// by number.
+// Free of I/O and clocks. Numbers are little-endian but in keys, where they are big-endian, so that order by
+// key is order by number.
 #pragma once
 
 #include <cstdint>
@@ -44,7 +44,8 @@
 store::batch batch_of_begun(const begun_write& w);
 store::batch batch_of_mark(const std::string& id, log_mark what);  // between begun and over
 // `committed`: its outcome, in the same batch; none: it was undone, and nothing is kept of it.
-store::batch batch_of_over(const std::string& id, const std::optional<std::pair<outcome_id, ended_write>>& committed);
+store::batch batch_of_over(const std::string& id,
+                           const std::optional<std::pair<outcome_id, ended_write>>& committed);
 
 // None where the bytes are no such row.
 std::optional<begun_write> read_begun(const std::string& id, std::string_view value);
@@ -59,14 +60,14 @@
 // The hash by which a key is known in a folder.
 outcomes::key hash_of_key(std::string_view key, std::uint64_t salt);
 
-// The marks of an older program's folder, in their order: the last one of a write counts, and a mark that says all of it
-// anew begins it where what it began with has aged.
+// The marks of an older program's folder, in their order: the last one of a write counts, and a mark that
+// says all of it anew begins it where what it began with has aged.
 class older_marks {
  public:
   void take(std::uint32_t type, std::string_view body);
   bool any() const { return any_; }
-  // What counts of them at `now`; the last batch says that all is moved, and must be on disk behind all others. Written
-  // twice they say the same.
+  // What counts of them at `now`; the last batch says that all is moved, and must be on disk behind all
+  // others. Written twice they say the same.
   std::vector<store::batch> moved(std::int64_t now, std::uint64_t salt) const;
 
  private:
--- a/src/dependencies/writer.cpp
+++ b/src/dependencies/writer.cpp
@@ -43,21 +43,25 @@
   time_point begun{};
   time_point decide_by = time_point::max();
   time_point again_at{};
-  time_point due{};       // in due_
-  duration pause{};       // before the next again
-  bool waits = false;     // found on disk, for room to go on
+  time_point due{};    // in due_
+  duration pause{};    // before the next again
+  bool waits = false;  // found on disk, for room to go on
   bool committed = false;
-  log_mark on_disk{};     // the last one; 0 = none
-  std::uint64_t room = 0; // of reserved_
+  log_mark on_disk{};                                   // the last one; 0 = none
+  std::uint64_t room = 0;                               // of reserved_
   std::vector<std::shared_ptr<uwsgi::exchange>> talks;  // by participant
   std::vector<part_result> results;                     // by participant, of its commit
-  std::vector<endpoint> at;                             // by participant: the one endpoint that all its steps go to
-  std::vector<std::size_t> route;                       // the same, by its number
-  std::vector<time_point> asked;                        // by participant: its step in flight
+  std::vector<endpoint> at;        // by participant: the one endpoint that all its steps go to
+  std::vector<std::size_t> route;  // the same, by its number
+  std::vector<time_point> asked;   // by participant: its step in flight
 
   write(std::vector<part_kind> kinds, const write_plan& p)
-      : plan(&p), machine(std::move(kinds)), talks(p.participants.size()), results(p.participants.size()),
-        route(p.participants.size()), asked(p.participants.size()) {}
+      : plan(&p),
+        machine(std::move(kinds)),
+        talks(p.participants.size()),
+        results(p.participants.size()),
+        route(p.participants.size()),
+        asked(p.participants.size()) {}
 };
 
 namespace {
@@ -108,10 +112,12 @@
 void writer::open_folder() {
   const writes_config& w = *config_.writes;
   const std::chrono::nanoseconds unix_now = std::chrono::system_clock::now().time_since_epoch();
-  write_folder found = open_write_folder(*fs_, {w.folder, w.segment, w.space, keep_, random_}, unix_now.count());
+  write_folder found =
+      open_write_folder(*fs_, {w.folder, w.segment, w.space, keep_, random_}, unix_now.count());
   clock_ = keyed::ageing_clock(unix_now, std::chrono::nanoseconds(found.tables->latest()), net::steady_now());
   salt_ = found.tables->salt();
-  if (found.moved > 0) log("writes", "%s: %zu rows made of an older program's marks", w.folder.c_str(), found.moved);
+  if (found.moved > 0)
+    log("writes", "%s: %zu rows made of an older program's marks", w.folder.c_str(), found.moved);
   for (const found_outcome& o : found.over) {
     last_number_ = std::max(last_number_, o.what.number);
     outcomes_.begin(o.what.key, o.what.number);
@@ -141,7 +147,7 @@
     open_folder();
     next_try_ = time_point::max();
     log("handover", "%s taken over", config_.writes->folder.c_str());
-  } catch (const store::held&) {  // not yet
+  } catch (const store::held&) {       // not yet
   } catch (const std::exception& e) {  // it cannot be read: writes stay turned away
     // Damage does not mend itself, and each try reads the folder on the reactor's thread.
     if (dynamic_cast<const store::damaged*>(&e) != nullptr) next_try_ = time_point::max();
@@ -156,8 +162,8 @@
   return clock_.at(net::steady_now());
 }
 
-// As the keyed results know it: by tenant, class and key; by name, since numbers may change from one start to the next, and
-// a write that is not found counts as one that never ran.
+// As the keyed results know it: by tenant, class and key; by name, since numbers may change from one start to
+// the next, and a write that is not found counts as one that never ran.
 std::string writer::key_of(const request& what) const {
   const auto& tenants = config_.settings.tenants;
   std::string key = what.tenant < tenants.size() ? tenants[what.tenant].name : std::string();
@@ -173,8 +179,8 @@
   return nullptr;
 }
 
-std::shared_ptr<writer::write> writer::make(const write_id& id, std::size_t request_class, std::string payload,
-                                            std::string key) {
+std::shared_ptr<writer::write> writer::make(const write_id& id, std::size_t request_class,
+                                            std::string payload, std::string key) {
   const write_plan* plan = nullptr;
   for (const write_plan& p : config_.writes->plans) {
     if (p.request_class == request_class) plan = &p;
@@ -182,7 +188,8 @@
   if (plan == nullptr) return nullptr;
   std::vector<part_kind> kinds;
   for (const std::size_t p : plan->participants)
-    kinds.push_back(config_.dependencies->endpoints[p].one_phase ? part_kind::one_phase : part_kind::two_phase);
+    kinds.push_back(config_.dependencies->endpoints[p].one_phase ? part_kind::one_phase
+                                                                 : part_kind::two_phase);
   auto w = std::make_shared<write>(std::move(kinds), *plan);
   w->id = id;
   w->number = number_of(id);
@@ -193,7 +200,8 @@
   w->begun = net::steady_now();
   w->pause = config_.writes->retry;
   w->again_at = w->begun + w->pause;
-  for (const std::size_t p : plan->participants) w->at.push_back(config_.dependencies->endpoints[p].at.front());
+  for (const std::size_t p : plan->participants)
+    w->at.push_back(config_.dependencies->endpoints[p].at.front());
   return w;
 }
 
@@ -207,7 +215,8 @@
   bind_routes(w, true);
 }
 
-// Its steps begin once it is on disk. Uncounted until then, all that arrive in the meantime would choose the same endpoint.
+// Its steps begin once it is on disk. Uncounted until then, all that arrive in the meantime would choose the
+// same endpoint.
 void writer::bind_routes(const write& w, bool bound) {
   for (std::size_t i = 0; i < w.route.size(); ++i) {
     endpoints* r = route_of(w, i);
@@ -225,7 +234,8 @@
 // How an endpoint fares tells where the next writes go.
 void writer::step_ended(const write& w, std::size_t participant, bool told, bool well) {
   const time_point at = net::steady_now();
-  if (endpoints* r = route_of(w, participant)) r->on_end(w.route[participant], at, at - w.asked[participant], told, well);
+  if (endpoints* r = route_of(w, participant))
+    r->on_end(w.route[participant], at, at - w.asked[participant], told, well);
 }
 
 void writer::routes_changed(const std::function<bool(const std::string&)>& routable) {
@@ -240,7 +250,8 @@
   while (i < config_.settings.classes.size() && config_.settings.classes[i].name != b.request_class) ++i;
   auto w = i < config_.settings.classes.size() ? make(b.id, i, b.payload, b.key) : nullptr;
   if (!w) {
-    log("writes", "a write of %s is open and has no plan any more: it is left as it is", b.request_class.c_str());
+    log("writes", "a write of %s is open and has no plan any more: it is left as it is",
+        b.request_class.c_str());
     return;
   }
   w->on_disk = last;
@@ -251,7 +262,8 @@
     const std::size_t colon = address.rfind(':');
     w->at[p] = {address.substr(0, colon), static_cast<std::uint16_t>(std::stoul(address.substr(colon + 1)))};
     const auto& configured = config_.dependencies->endpoints[w->plan->participants[p]].at;
-    w->route[p] = static_cast<std::size_t>(std::find(configured.begin(), configured.end(), w->at[p]) - configured.begin());
+    w->route[p] = static_cast<std::size_t>(std::find(configured.begin(), configured.end(), w->at[p]) -
+                                           configured.begin());
   }
   outcomes_.begin(hash_of(w->key), w->number);
   open_[b.id] = std::move(w);
@@ -265,7 +277,8 @@
   if (!disk_ || !disk_->writable) return config_.keyed->retry_disk;
   const auto aged = [&] { return std::max<duration>(soon, duration(outcomes_.next_ageing() - now())); };
   const std::uint64_t needed = reserved_ + room_of_write(what.payload.size(), config_.bounds.write_buffer);
-  if (const store::verdict v = disk_->rules.of(disk_->disk, needed, static_cast<std::int64_t>(needed)); !v.may)
+  if (const store::verdict v = disk_->rules.of(disk_->disk, needed, static_cast<std::int64_t>(needed));
+      !v.may)
     return v.come_back ? std::max<duration>(soon, *v.come_back) : aged();
   if (!outcomes_.room()) return aged();
   if (!calls_.take(plan.participants)) return config_.writes->retry;
@@ -285,8 +298,9 @@
     return;
   }
   char name[write_id_size + 1];
-  std::snprintf(name, sizeof name, "%016llx%016llx", static_cast<unsigned long long>(random_),
-                static_cast<unsigned long long>(std::max(last_number_, static_cast<std::uint64_t>(now())) + 1));
+  std::snprintf(
+      name, sizeof name, "%016llx%016llx", static_cast<unsigned long long>(random_),
+      static_cast<unsigned long long>(std::max(last_number_, static_cast<std::uint64_t>(now())) + 1));
   const auto w = make(name, what.request_class, what.payload, key_of(what));
   w->owner = id;
   choose_endpoints(*w);
@@ -364,8 +378,10 @@
 }
 
 std::string writer::figures() const {
-  return "writes.open=" + std::to_string(open_.size()) + "\nwrites.outcomes=" + std::to_string(outcomes_.size()) +
-         "\nwrites.turned_away=" + std::to_string(turned_away_) + "\nwrites.holds_folder=" + (service_ ? "1" : "0") + "\n" +
+  return "writes.open=" + std::to_string(open_.size()) +
+         "\nwrites.outcomes=" + std::to_string(outcomes_.size()) +
+         "\nwrites.turned_away=" + std::to_string(turned_away_) +
+         "\nwrites.holds_folder=" + (service_ ? "1" : "0") + "\n" +
          (disk_ ? "writes.disk_used=" + std::to_string(disk_->disk.used) +
                       "\nwrites.disk_live=" + std::to_string(disk_->disk.live) +
                       "\nwrites.disk_writable=" + (disk_->writable ? "1" : "0") + "\n"
@@ -391,8 +407,8 @@
     runs_.erase(id);
     reactor_.wake();
     const bool whole = how == tx_answer::committed;
-    dispatcher_.on_end(id, whole ? run_end::fine : run_end::never_started, whole ? compose_result(*w) : std::string(),
-                       net::steady_now() - w->begun);
+    dispatcher_.on_end(id, whole ? run_end::fine : run_end::never_started,
+                       whole ? compose_result(*w) : std::string(), net::steady_now() - w->begun);
   }
   if (w->machine.where() == transaction::stage::over) finish(w);
 }
@@ -407,7 +423,8 @@
   } else if (m != log_mark::over) {
     b = batch_of_mark(w->id, m);
   } else if (w->committed) {
-    b = batch_of_over(w->id, std::pair(outcome_id{w->number, hash_of(w->key)}, ended_write{w->key, compose_result(*w)}));
+    b = batch_of_over(
+        w->id, std::pair(outcome_id{w->number, hash_of(w->key)}, ended_write{w->key, compose_result(*w)}));
   } else {
     b = batch_of_over(w->id, std::nullopt);
   }
@@ -418,7 +435,8 @@
 
 // In their order: where the queue is full, they wait for the next step.
 void writer::send_unsent() {
-  while (!unsent_.empty() && service_->commit(unsent_.front().first, unsent_.front().second, store::durability::now))
+  while (!unsent_.empty() &&
+         service_->commit(unsent_.front().first, unsent_.front().second, store::durability::now))
     unsent_.pop_front();
 }
 
@@ -440,8 +458,11 @@
   const bool ours = e && e->key == r.key;
   if (!ours)
     log("writes", "a result cannot be read: %s",
-        !d.fault.empty() ? d.fault.c_str() : e ? "it is another one's" : "it is not there");
-  dispatcher_.on_inquired(r.id, ours ? inquiry_end::result : inquiry_end::unknown, ours ? e->result : std::string());
+        !d.fault.empty() ? d.fault.c_str()
+        : e              ? "it is another one's"
+                         : "it is not there");
+  dispatcher_.on_inquired(r.id, ours ? inquiry_end::result : inquiry_end::unknown,
+                          ours ? e->result : std::string());
 }
 
 void writer::take(const std::shared_ptr<write>& w, const take_step& s) {
@@ -459,13 +480,15 @@
     bytes = uwsgi::encode_packet(vars, p->body);
   }
   const endpoint& to = w->at[s.participant];
-  if (w->talks[s.participant] != nullptr) step_ended(*w, s.participant, false, false);  // one that nobody waits for now
+  if (w->talks[s.participant] != nullptr)
+    step_ended(*w, s.participant, false, false);  // one that nobody waits for now
   if (endpoints* r = route_of(*w, s.participant)) r->on_start(w->route[s.participant]);
   w->asked[s.participant] = net::steady_now();
   try {
     w->talks[s.participant] = std::make_shared<uwsgi::exchange>(
         reactor_, config_.bounds, to, std::move(bytes),
-        [this, id = w->id, s](uwsgi::exchange_end how, const uwsgi::response_head* head, std::string_view response) {
+        [this, id = w->id, s](uwsgi::exchange_end how, const uwsgi::response_head* head,
+                              std::string_view response) {
           on_exchanged(id, s.participant, s.what, how, head, response);
         });
   } catch (const Poco::Exception&) {
@@ -475,8 +498,9 @@
 }
 
 // 2xx: yes; 409: no, for good; anything else says nothing.
-void writer::on_exchanged(const write_id& id, std::size_t participant, step_kind what, uwsgi::exchange_end how,
-                          const uwsgi::response_head* head, std::string_view response) {
+void writer::on_exchanged(const write_id& id, std::size_t participant, step_kind what,
+                          uwsgi::exchange_end how, const uwsgi::response_head* head,
+                          std::string_view response) {
   const auto at = open_.find(id);
   if (at == open_.end()) return;
   const auto w = at->second;
@@ -498,7 +522,8 @@
 
 std::string writer::compose_result(const write& w) const {
   plan p;
-  for (const std::size_t i : w.plan->participants) p.parts.push_back({config_.dependencies->endpoints[i].name, i, false, {}});
+  for (const std::size_t i : w.plan->participants)
+    p.parts.push_back({config_.dependencies->endpoints[i].name, i, false, {}});
   return compose(p, w.results);
 }
 
@@ -537,20 +562,23 @@
     w->machine.on_deadline();
   }
   if (steady >= w->again_at && w->waits) w->again_at = steady + config_.writes->retry;
-  // A step that hangs counts as unheard once the participant's budget has passed: it is taken again on a new connection.
+  // A step that hangs counts as unheard once the participant's budget has passed: it is taken again on a new
+  // connection.
   if (steady >= w->again_at) {
     w->again_at = steady + w->pause;
     w->pause = std::min<duration>(w->pause * 2, config_.writes->longest_retry);
     for (std::size_t i = 0; i < w->talks.size(); ++i) {
       const duration budget = config_.dependencies->rules[w->plan->participants[i]].budget;
-      if (w->machine.where() == transaction::stage::preparing || w->talks[i] == nullptr || steady - w->asked[i] < budget)
+      if (w->machine.where() == transaction::stage::preparing || w->talks[i] == nullptr ||
+          steady - w->asked[i] < budget)
         continue;
       w->talks[i]->close();
       reactor_.retire(std::move(w->talks[i]));
       w->talks[i] = nullptr;
       step_ended(*w, i, true, false);
-      w->machine.on_step(i, w->machine.where() == transaction::stage::aborting ? step_kind::abort : step_kind::commit,
-                         step_end::unknown);
+      w->machine.on_step(
+          i, w->machine.where() == transaction::stage::aborting ? step_kind::abort : step_kind::commit,
+          step_end::unknown);
     }
     w->machine.again();
   }
--- a/src/dependencies/writer.hpp
+++ b/src/dependencies/writer.hpp
@@ -1,9 +1,11 @@
-// Runs writes of classes with several participants: whole at all or at none, across restarts. `transaction` decides; this
-// takes its steps over uwsgi and has its marks on disk, as rows of tables, in a folder of its own. Writes have keys
-// (src/keyed): a key's run is one transaction, and after a crash its outcome is found by the key.
+// Runs writes of classes with several participants: whole at all or at none, across restarts. `transaction`
+// decides; this takes its steps over uwsgi and has its marks on disk, as rows of tables, in a folder of its
+// own. Writes have keys (src/keyed): a key's run is one transaction, and after a crash its outcome is found
+// by the key.
 //
-// Two processes never have the folder at once: one that finds it held (a replacement) turns writes away with a time to
-// return, answers no inquiry, and takes the folder over once it is let go. The reactor's thread; the disk has its own.
+// Two processes never have the folder at once: one that finds it held (a replacement) turns writes away with
+// a time to return, answers no inquiry, and takes the folder over once it is let go. The reactor's thread;
+// the disk has its own.
 #pragma once
 
 #include <deque>
@@ -35,10 +37,11 @@
 
 class writer : public backend {
  public:
-  // Reads the folder and goes on with what is open in it, unless another process holds it; what an older program left in it
-  // is moved up first. `notify`: step() has something to do, from another thread. Throws store::io_error or store::damaged.
-  writer(net::reactor& r, const config& settings, dispatcher& d, gatherer& behind, std::shared_ptr<store::file_system> fs,
-         std::uint64_t random, std::function<void()> notify);
+  // Reads the folder and goes on with what is open in it, unless another process holds it; what an older
+  // program left in it is moved up first. `notify`: step() has something to do, from another thread. Throws
+  // store::io_error or store::damaged.
+  writer(net::reactor& r, const config& settings, dispatcher& d, gatherer& behind,
+         std::shared_ptr<store::file_system> fs, std::uint64_t random, std::function<void()> notify);
   ~writer() override;
 
   // backend
@@ -50,10 +53,12 @@
   void skip_call(request_id id) override { behind_.skip_call(id); }
 
   time_point step(time_point now);
-  // The view of the fleet has changed: `routable` tells of a place (a zone or a member) whether calls may go there.
+  // The view of the fleet has changed: `routable` tells of a place (a zone or a member) whether calls may go
+  // there.
   void routes_changed(const std::function<bool(const std::string&)>& routable);
   std::size_t open() const { return open_.size(); }
-  // This node's share of calls at a dependency, and what writes and gatherings together have and want of them.
+  // This node's share of calls at a dependency, and what writes and gatherings together have and want of
+  // them.
   void set_share(std::size_t dependency, double most);
   gatherer::calls calls_at(std::size_t dependency) const;
   // Lines of `writes.NAME=VALUE` for show-stat.
@@ -82,7 +87,8 @@
   void on_marked(std::uint64_t ticket, bool durable);
   void on_read(const reading& r, const store::table_service::done& d);
   void send_unsent();
-  std::shared_ptr<write> make(const write_id& id, std::size_t request_class, std::string payload, std::string key);
+  std::shared_ptr<write> make(const write_id& id, std::size_t request_class, std::string payload,
+                              std::string key);
   void choose_endpoints(write& w);
   void bind_routes(const write& w, bool bound);
   endpoints* route_of(const write& w, std::size_t participant);
@@ -123,9 +129,10 @@
   std::deque<std::pair<std::uint64_t, store::batch>> unsent_;  // that the service's queue had no room for
   std::unordered_map<std::uint64_t, reading> reads_;           // of results, by ticket
   std::uint64_t last_ticket_ = 0;
-  std::optional<store::table_service::condition> disk_;        // of the last step; none: another process has the folder
-  std::uint64_t reserved_ = 0;      // bytes that open writes may still need
-  std::size_t waiting_ = 0;         // writes found on disk that wait for room to go on
+  std::optional<store::table_service::condition>
+      disk_;                    // of the last step; none: another process has the folder
+  std::uint64_t reserved_ = 0;  // bytes that open writes may still need
+  std::size_t waiting_ = 0;     // writes found on disk that wait for room to go on
   std::uint64_t turned_away_ = 0;
   time_point next_try_ = time_point::max();  // to take the folder over
   time_point next_ageing_{};
--- a/src/failover/locality.hpp
+++ b/src/failover/locality.hpp
@@ -40,10 +40,11 @@
 
 level level_of(const place& caller, const place& endpoint);
 
-// Level 0 takes min(1, overprovisioning * able share of level 0) of the calls, level 1 the same of what is left,
-// and so on; what no level covers is spread over the levels in proportion to what they took. Panic, as in Envoy, only
-// where the levels together do not cover all calls (a zone that is cut off with its own endpoints well is in none) and
-// fewer than panic_threshold of all endpoints are able: then the shares are the levels' counts over all endpoints.
+// Level 0 takes min(1, overprovisioning * able share of level 0) of the calls, level 1 the same of what is
+// left, and so on; what no level covers is spread over the levels in proportion to what they took. Panic, as
+// in Envoy, only where the levels together do not cover all calls (a zone that is cut off with its own
+// endpoints well is in none) and fewer than panic_threshold of all endpoints are able: then the shares are
+// the levels' counts over all endpoints.
 level_shares shares_of(std::span<const endpoint_state> endpoints, const locality_options& o = {});
 
 // The level for one call, from a number in [0, 1); none where the shares are all 0.
--- a/src/failover/routes.cpp
+++ b/src/failover/routes.cpp
@@ -6,7 +6,8 @@
 
 sight sight_of(std::span<const member_sight> members, const sight_rules& rules) {
   const auto alive = [](const member_sight& m) { return m.is == member_is::alive; };
-  // Guards against a zone that comes and goes faster than members are declared dead: alive all the while, yet not well.
+  // Guards against a zone that comes and goes faster than members are declared dead: alive all the while, yet
+  // not well.
   const auto missed = [&](const member_sight& m) { return alive(m) && m.since_miss < rules.contact_window; };
   if (std::any_of(members.begin(), members.end(), alive))
     return std::any_of(members.begin(), members.end(), missed) ? sight::unsure : sight::healthy;
--- a/src/failover/zone_view.cpp
+++ b/src/failover/zone_view.cpp
@@ -9,8 +9,8 @@
 
 // A standing vote is issued anew this often within its lease, so that some lost copies do not end it.
 constexpr int issues_in_lease = 4;
-// A voter whose clock went back over a restart counts rounds below its old ones: after this many leases of silence its
-// rounds are taken as they come.
+// A voter whose clock went back over a restart counts rounds below its old ones: after this many leases of
+// silence its rounds are taken as they come.
 constexpr int leases_remembered = 4;
 
 }  // namespace
@@ -19,7 +19,8 @@
                      std::uint64_t first_round)
     : zone_of_(std::move(zone_of)), self_(std::move(self)), options_(o), round_(first_round) {
   const auto found = zone_of_.find(self_);
-  if (found == zone_of_.end()) throw std::invalid_argument("zone_view: " + self_ + " is no configured member");
+  if (found == zone_of_.end())
+    throw std::invalid_argument("zone_view: " + self_ + " is no configured member");
   own_zone_ = found->second;
   for (const auto& [member, zone] : zone_of_) {
     ++members_in_[zone];
@@ -37,9 +38,10 @@
                                                  [this](const std::string& z) { return of(z).out; });
 }
 
-// The epoch that a vote of that value goes to: the current one where it has that value, else the next; or a later one of
-// the same value that others stand by, so that a member an epoch behind does not keep the rest from a quorum. Every value
-// is fixed by its epoch's parity, so a vote for any epoch cannot clash with another of that epoch.
+// The epoch that a vote of that value goes to: the current one where it has that value, else the next; or a
+// later one of the same value that others stand by, so that a member an epoch behind does not keep the rest
+// from a quorum. Every value is fixed by its epoch's parity, so a vote for any epoch cannot clash with
+// another of that epoch.
 std::uint64_t zone_view::wanted_epoch(time_point now, const std::string& zone, bool out) const {
   std::uint64_t epoch = of(zone).epoch + (of(zone).out == out ? 0 : 1);
   if (const auto all = ballots_.find(zone); all != ballots_.end()) {
@@ -58,8 +60,8 @@
   }
   if (seen == sight::gone || seen == sight::silent) last_away_[zone] = now;
   const verdict current = of(zone);
-  // Out is voted at once; in only after hold_down without a break, so a flapping zone stays out. Whoever is unsure
-  // stands by what was decided.
+  // Out is voted at once; in only after hold_down without a break, so a flapping zone stays out. Whoever is
+  // unsure stands by what was decided.
   const bool wants_out = seen == sight::gone && quorum_in_touch(zone, now);
   const bool wants_in = seen == sight::healthy && now - healthy_since_[zone] >= options_.hold_down;
   const bool out = wants_out || (current.out && !wants_in);
@@ -89,7 +91,8 @@
   const auto [at, fresh] = ballots_[v.zone].try_emplace(v.voter);
   ballot& held = at->second;
   // An older vote that arrives late must not stand for the later one, nor a copy prolong its lease.
-  if (!fresh && v.round <= held.what.round && now - held.heard < leases_remembered * options_.vote_lease) return false;
+  if (!fresh && v.round <= held.what.round && now - held.heard < leases_remembered * options_.vote_lease)
+    return false;
   held = ballot{v, now, options_.pass_on};
   return tally(now, v.zone);
 }
@@ -99,7 +102,8 @@
   for (auto& [zone, voters] : ballots_)
     for (auto& [voter, b] : voters)
       if (b.to_pass_on > 0) news.push_back(&b);
-  std::stable_sort(news.begin(), news.end(), [](const ballot* a, const ballot* b) { return a->to_pass_on > b->to_pass_on; });
+  std::stable_sort(news.begin(), news.end(),
+                   [](const ballot* a, const ballot* b) { return a->to_pass_on > b->to_pass_on; });
   std::vector<vote> out;
   for (ballot* b : news) {
     if (out.size() == most) break;
@@ -109,14 +113,15 @@
   return out;
 }
 
-// Guards against the moment in which cuts heal: votes of both sides meet, each true of its own side until just now.
+// Guards against the moment in which cuts heal: votes of both sides meet, each true of its own side until
+// just now.
 bool zone_view::in_touch(const std::string& zone, time_point now) const {
   const auto away = last_away_.find(zone);
   return away == last_away_.end() || now - away->second >= options_.vote_lease;
 }
 
-// Whether a quorum on zone `without` may be found among those that this member has been in touch with. A side that
-// cannot decide has no vote to bring along when the cut heals.
+// Whether a quorum on zone `without` may be found among those that this member has been in touch with. A side
+// that cannot decide has no vote to bring along when the cut heals.
 bool zone_view::quorum_in_touch(const std::string& without, time_point now) const {
   const auto touched = std::count_if(zones_.begin(), zones_.end(), [&](const std::string& z) {
     return z != without && (z == own_zone_ || in_touch(z, now));
@@ -129,9 +134,11 @@
   if (zones_.size() < 3) return false;
   const std::size_t others = zones_.size() - 1;
   const std::uint64_t decided = of(zone).epoch;
-  std::map<std::uint64_t, std::map<std::string, std::size_t>> votes;  // standing ones, by epoch and the voters' zone
+  std::map<std::uint64_t, std::map<std::string, std::size_t>>
+      votes;  // standing ones, by epoch and the voters' zone
   for (const auto& [voter, b] : ballots_[zone])
-    if (b.what.epoch > decided && stands(b, now) && in_touch(zone_of_.at(voter), now)) ++votes[b.what.epoch][zone_of_.at(voter)];
+    if (b.what.epoch > decided && stands(b, now) && in_touch(zone_of_.at(voter), now))
+      ++votes[b.what.epoch][zone_of_.at(voter)];
   // The highest epoch with a quorum: votes for e + 2 mean that their voters saw e + 1 decided.
   for (auto e = votes.rbegin(); e != votes.rend(); ++e) {
     const auto agreeing = std::count_if(e->second.begin(), e->second.end(), [this](const auto& in) {
--- a/src/fleet/link.cpp
+++ b/src/fleet/link.cpp
@@ -16,7 +16,9 @@
 
 namespace {
 
-std::string text_of(const endpoint& e) { return e.host + ":" + std::to_string(e.port); }
+std::string text_of(const endpoint& e) {
+  return e.host + ":" + std::to_string(e.port);
+}
 
 const char* name_of(membership::health h) {
   switch (h) {
@@ -36,10 +38,12 @@
   return failover::member_is::unheard;
 }
 
-membership::ballot ballot_of(const failover::vote& v) { return {v.voter, v.zone, v.epoch, v.out, v.round}; }
+membership::ballot ballot_of(const failover::vote& v) {
+  return {v.voter, v.zone, v.epoch, v.out, v.round};
+}
 
-// A zone is no zone gone while this node itself had an answer from it within this many probe intervals, whatever
-// others say of its members.
+// A zone is no zone gone while this node itself had an answer from it within this many probe intervals,
+// whatever others say of its members.
 constexpr int contact_window = 5;
 
 membership::options options_of(const fleet_config& f) {
@@ -79,7 +83,8 @@
 }
 
 failover::zone_view fresh_view(const fleet_config& f, std::uint64_t incarnation) {
-  return {zones_of(f), text_of(f.advertise), {.hold_down = f.hold_down, .vote_lease = f.vote_lease}, incarnation};
+  return {
+      zones_of(f), text_of(f.advertise), {.hold_down = f.hold_down, .vote_lease = f.vote_lease}, incarnation};
 }
 
 }  // namespace
@@ -98,16 +103,17 @@
   Poco::Net::DatagramSocket own(Poco::Net::SocketAddress::IPv4);
   bind(own, 0);
   listen_on(own);
-  telemetry::log("fleet", "%s is held by another process: this one joins once it lets go", text_of(f.listen).c_str());
+  telemetry::log("fleet", "%s is held by another process: this one joins once it lets go",
+                 text_of(f.listen).c_str());
 }
 
 link::~link() {
-  reactor_.removeEventHandler(socket_,
-                              Poco::NObserver<link, Poco::Net::ReadableNotification>(*this, &link::on_readable));
+  reactor_.removeEventHandler(
+      socket_, Poco::NObserver<link, Poco::Net::ReadableNotification>(*this, &link::on_readable));
 }
 
-// False: another process holds the address. Never shared: of two sockets with SO_REUSEADDR on one UDP address the later
-// gets all datagrams, and the earlier would hold everybody dead.
+// False: another process holds the address. Never shared: of two sockets with SO_REUSEADDR on one UDP address
+// the later gets all datagrams, and the earlier would hold everybody dead.
 bool link::bind(Poco::Net::DatagramSocket& s, std::uint16_t port) const {
   try {
     s.bind(Poco::Net::SocketAddress(settings_.listen.host, port), false, false);
@@ -129,8 +135,8 @@
   Poco::Net::DatagramSocket members_own(Poco::Net::SocketAddress::IPv4);
   if (!bind(members_own, settings_.listen.port)) return false;
   if (now > started_) {  // it has waited on a port of its own
-    reactor_.removeEventHandler(socket_,
-                                Poco::NObserver<link, Poco::Net::ReadableNotification>(*this, &link::on_readable));
+    reactor_.removeEventHandler(
+        socket_, Poco::NObserver<link, Poco::Net::ReadableNotification>(*this, &link::on_readable));
     telemetry::log("fleet", "%s is this process's now", text_of(settings_.listen).c_str());
     // An incarnation above all that the process before it had, and a grace that begins now.
     swim_ = fresh_swim(settings_);
@@ -147,7 +153,8 @@
 }
 
 std::string link::own_address() const {
-  const std::string& host = settings_.listen.host == "0.0.0.0" ? settings_.advertise.host : settings_.listen.host;
+  const std::string& host =
+      settings_.listen.host == "0.0.0.0" ? settings_.advertise.host : settings_.listen.host;
   return host + ":" + std::to_string(socket_.address().port());
 }
 
@@ -177,7 +184,8 @@
     }
     ++figures_.received;
     swim_.receive(now, *d.m);
-    for (const membership::ballot& b : d.m->ballots) view_.hear(now, {b.voter, b.zone, b.epoch, b.out, b.round});
+    for (const membership::ballot& b : d.m->ballots)
+      view_.hear(now, {b.voter, b.zone, b.epoch, b.out, b.round});
   }
   log_changes();
   flush();
@@ -216,7 +224,8 @@
     if (found != swim_.members().end()) seen.is = is_of(found->second.state);
     members.push_back(seen);
   }
-  return failover::sight_of(members, {.since_start = now - started_, .start_grace = settings_.start_grace,
+  return failover::sight_of(members, {.since_start = now - started_,
+                                      .start_grace = settings_.start_grace,
                                       .contact_window = contact_window * settings_.probe_interval});
 }
 
@@ -233,7 +242,8 @@
 void link::flush() {
   for (membership::envelope& e : swim_.take_outbox()) {
     e.m.ballots = ballots_;
-    for (const failover::vote& v : view_.take_news(settings_.votes_per_message)) e.m.ballots.push_back(ballot_of(v));
+    for (const failover::vote& v : view_.take_news(settings_.votes_per_message))
+      e.m.ballots.push_back(ballot_of(v));
     send(e.to, membership::encode(settings_.name, e.m));
   }
 }
@@ -241,7 +251,8 @@
 void link::send(const std::string& to, const std::string& bytes) {
   const std::size_t colon = to.rfind(':');
   try {
-    const Poco::Net::SocketAddress at(to.substr(0, colon), static_cast<Poco::UInt16>(std::stoi(to.substr(colon + 1))));
+    const Poco::Net::SocketAddress at(to.substr(0, colon),
+                                      static_cast<Poco::UInt16>(std::stoi(to.substr(colon + 1))));
     if (socket_.sendTo(bytes.data(), static_cast<int>(bytes.size()), at) > 0) {
       ++figures_.sent;
       return;
@@ -269,18 +280,19 @@
     ++changes_;
     ++(v.out ? figures_.declared_out : figures_.declared_back);
     // A word of its own: the lines on a lost zone's members use up theirs just when a verdict falls.
-    telemetry::log("failover", "zone %s declared %s in common, epoch %llu", zone.c_str(), v.out ? "out" : "back",
-                   static_cast<unsigned long long>(v.epoch));
+    telemetry::log("failover", "zone %s declared %s in common, epoch %llu", zone.c_str(),
+                   v.out ? "out" : "back", static_cast<unsigned long long>(v.epoch));
   }
 }
 
 std::string link::show_members() const {
   std::ostringstream out;
   const membership::claim& self = swim_.self();
-  out << self.address << ' ' << self.zone << ' ' << self.region << (joined_ ? " self " : " waiting ") << self.incarnation
-      << '\n';
+  out << self.address << ' ' << self.zone << ' ' << self.region << (joined_ ? " self " : " waiting ")
+      << self.incarnation << '\n';
   for (const auto& [address, c] : swim_.members())
-    out << address << ' ' << c.zone << ' ' << c.region << ' ' << name_of(c.state) << ' ' << c.incarnation << '\n';
+    out << address << ' ' << c.zone << ' ' << c.region << ' ' << name_of(c.state) << ' ' << c.incarnation
+        << '\n';
   return out.str();
 }
 
@@ -301,9 +313,10 @@
     by_region[z.region].push_back(z.name);
   }
   for (const auto& [region, zones] : by_region) {
-    const auto in = std::count_if(zones.begin(), zones.end(), [this](const std::string& z) { return !view_.of(z).out; });
-    out << "region " << region << ' ' << (view_.region_out(zones) ? "out" : "in") << ' ' << in << '/' << zones.size()
-        << '\n';
+    const auto in =
+        std::count_if(zones.begin(), zones.end(), [this](const std::string& z) { return !view_.of(z).out; });
+    out << "region " << region << ' ' << (view_.region_out(zones) ? "out" : "in") << ' ' << in << '/'
+        << zones.size() << '\n';
   }
   return out.str();
 }
@@ -318,7 +331,8 @@
   }
   std::size_t out_zones = 0;
   for (const std::string& z : view_.zones()) out_zones += view_.of(z).out ? 1 : 0;
-  out << "fleet.joined=" << (joined_ ? 1 : 0) << "\nfleet.members_alive=" << alive << "\nfleet.members_suspect=" << suspect << "\nfleet.members_dead=" << dead
+  out << "fleet.joined=" << (joined_ ? 1 : 0) << "\nfleet.members_alive=" << alive
+      << "\nfleet.members_suspect=" << suspect << "\nfleet.members_dead=" << dead
       << "\nfleet.zones_out=" << out_zones << "\nfleet.declared_out=" << figures_.declared_out
       << "\nfleet.declared_back=" << figures_.declared_back << "\nfleet.local_health=" << swim_.local_health()
       << "\nfleet.sent=" << figures_.sent << "\nfleet.received=" << figures_.received
--- a/src/fleet/link.hpp
+++ b/src/fleet/link.hpp
@@ -1,9 +1,9 @@
 // The node's part in its fleet: membership datagrams over UDP on the reactor, the view of zones decided in
 // common, and the console's lines on both (docs/failover.md).
 //
-// Exists only where the operator's file names a fleet; `run` on the platform never does. Owned by the reactor's
-// thread; nothing blocks: the socket is non-blocking and a datagram that cannot be sent at once is dropped and
-// counted (membership sends again by its nature).
+// Exists only where the operator's file names a fleet; `run` on the platform never does. Owned by the
+// reactor's thread; nothing blocks: the socket is non-blocking and a datagram that cannot be sent at once is
+// dropped and counted (membership sends again by its nature).
 #pragma once
 
 #include <Poco/AutoPtr.h>
@@ -31,12 +31,13 @@
   std::uint64_t declared_out = 0, declared_back = 0;  // verdicts on zones that moved, since the start
 };
 
-// The member's address is bound alone, so of all processes given it on a machine one is the member: a second one
-// (a replacement) waits on a port of its own until the first lets go, takes no part in membership and votes, and
-// calls may go anywhere as if there were no fleet.
+// The member's address is bound alone, so of all processes given it on a machine one is the member: a second
+// one (a replacement) waits on a port of its own until the first lets go, takes no part in membership and
+// votes, and calls may go anywhere as if there were no fleet.
 class link {
  public:
-  // Throws std::runtime_error naming the address that cannot be bound, but for one that another process holds.
+  // Throws std::runtime_error naming the address that cannot be bound, but for one that another process
+  // holds.
   link(net::reactor& r, const fleet_config& f, std::uint64_t seed);
   ~link();
   link(const link&) = delete;
@@ -51,13 +52,13 @@
 
   // One line a member, "ADDRESS ZONE REGION STATE INCARNATION", this node first.
   std::string show_members() const;
-  // One line a zone, "ZONE REGION in|out EPOCH ALIVE/CONFIGURED", then one a region, "region REGION in|out IN/ZONES":
-  // a region is out when all its zones are.
+  // One line a zone, "ZONE REGION in|out EPOCH ALIVE/CONFIGURED", then one a region, "region REGION in|out
+  // IN/ZONES": a region is out when all its zones are.
   std::string show_zones() const;
   // Lines of `fleet.NAME=VALUE` for show-stat.
   std::string show_figures() const;
-  // Whether calls may go to a place, a zone's name or a member's address: not to a zone declared out in common unless
-  // it is this node's own, nor to a member that is suspected, dead or not heard of.
+  // Whether calls may go to a place, a zone's name or a member's address: not to a zone declared out in
+  // common unless it is this node's own, nor to a member that is suspected, dead or not heard of.
   bool routable(const std::string& place) const;
   // Whether a member lives, as this one sees it.
   bool alive(const std::string& address) const;
@@ -84,9 +85,9 @@
   bool joined_ = false;
   membership::swim swim_;
   failover::zone_view view_;
-  std::map<std::string, std::string> zone_of_;  // configured member address -> zone
+  std::map<std::string, std::string> zone_of_;       // configured member address -> zone
   std::map<std::string, failover::verdict> logged_;  // the verdicts last logged, to log each move once
-  std::vector<membership::ballot> ballots_;           // this member's standing votes, on every datagram
+  std::vector<membership::ballot> ballots_;          // this member's standing votes, on every datagram
   std::function<bool(std::string_view)> other_;
   figures figures_;
   std::uint64_t changes_ = 0;
--- a/src/keyed/awaited.hpp
+++ b/src/keyed/awaited.hpp
@@ -1,6 +1,6 @@
-// The keeper of keyed results, or, until it can be opened, a stand-in that refuses each keyed request at once with
-// the time to return: nothing new can be recorded, so nothing keyed may run. Owned by the node, on the reactor's
-// thread; the keeper it is given outlives it.
+// The keeper of keyed results, or, until it can be opened, a stand-in that refuses each keyed request at once
+// with the time to return: nothing new can be recorded, so nothing keyed may run. Owned by the node, on the
+// reactor's thread; the keeper it is given outlives it.
 #pragma once
 
 #include "core/keys.hpp"
@@ -10,7 +10,8 @@
 
 class awaited_book : public key_book {
  public:
-  awaited_book(duration come_back, telemetry::counters& counters) : come_back_(come_back), counters_(counters) {}
+  awaited_book(duration come_back, telemetry::counters& counters)
+      : come_back_(come_back), counters_(counters) {}
 
   // From now on all goes to `keys`.
   void take(key_book& keys) { keys_ = &keys; }
--- a/src/keyed/clock.hpp
+++ b/src/keyed/clock.hpp
@@ -1,7 +1,8 @@
-// The time by which keys age: Unix time that never goes back. It starts at the system's clock or at the latest time
-// that the folder knows of, whichever is later, and goes on by the steady clock. Guards against a clock that is set
-// back, which would keep keys from ageing or date new ones before old ones; a long stop ages keys as it should. A clock
-// that was far ahead when the folder was written stays ahead for that folder: keys live as long as promised.
+// The time by which keys age: Unix time that never goes back. It starts at the system's clock or at the
+// latest time that the folder knows of, whichever is later, and goes on by the steady clock. Guards against a
+// clock that is set back, which would keep keys from ageing or date new ones before old ones; a long stop
+// ages keys as it should. A clock that was far ahead when the folder was written stays ahead for that folder:
+// keys live as long as promised.
 #pragma once
 
 #include <algorithm>
--- a/src/keyed/content.cpp
+++ b/src/keyed/content.cpp
@@ -6,7 +6,8 @@
 
 std::uint64_t content_hash(std::span<const std::string_view> parts) {
   std::uint64_t hash = 0;
-  for (const std::string_view part : parts) hash = XXH3_64bits_withSeed(part.data(), part.size(), hash + part.size());
+  for (const std::string_view part : parts)
+    hash = XXH3_64bits_withSeed(part.data(), part.size(), hash + part.size());
   return hash;
 }
 
--- a/src/keyed/content.hpp
+++ b/src/keyed/content.hpp
@@ -1,4 +1,5 @@
-// The hash of what a request asks for: a repeat has the same, whoever reuses its key for something else has not.
+// The hash of what a request asks for: a repeat has the same, whoever reuses its key for something else has
+// not.
 #pragma once
 
 #include <cstdint>
--- a/src/keyed/keeper.cpp
+++ b/src/keyed/keeper.cpp
@@ -51,8 +51,8 @@
   where.segment = options_.segment;
   where.space = options_.space;
   where.salt = options_.salt;
-  // What has aged is only known once the latest time in the folder is: passed over until then is only what has aged
-  // by the system's clock set far back, that is nothing; the rest goes with the first look below.
+  // What has aged is only known once the latest time in the folder is: passed over until then is only what
+  // has aged by the system's clock set far back, that is nothing; the rest goes with the first look below.
   std::int64_t latest = 0;
   auto kept_log = std::make_unique<store::log>(
       fs, where,
@@ -89,7 +89,8 @@
   c.retry = options_.retry_disk;
   committer_ = std::make_unique<store::committer>(
       std::move(kept_log), c,
-      [clock = clock_] { return clock.at(std::chrono::steady_clock::now().time_since_epoch()); }, std::move(notify));
+      [clock = clock_] { return clock.at(std::chrono::steady_clock::now().time_since_epoch()); },
+      std::move(notify));
   step(now_);
 }
 
@@ -128,7 +129,8 @@
 
 key_book::opinion keeper::arrive(request_id id, const request& what) {
   const auto window = options_.windows.at(what.request_class);
-  const std::string& tenant = what.tenant < options_.tenants.size() ? options_.tenants[what.tenant] : std::string();
+  const std::string& tenant =
+      what.tenant < options_.tenants.size() ? options_.tenants[what.tenant] : std::string();
   const key_id key = hash_of(tenant, options_.classes.at(what.request_class), what.key, salt_);
   const keyed::opinion o = ledger_->arrive(key, what.content, id, window, now());
   using keyed::standing;
@@ -195,8 +197,8 @@
       ledger_->state_of(l.key) != state::held && ledger_->state_of(l.key) != state::intending;
   if (!ledger_->release(l.key) || !intent_on_disk) return;
   const kept k = record_of(record_type::release, l);
-  // Not written again where the disk fails: by then the key may run anew, and this must not come behind that. What
-  // is lost then is only that the key is in doubt after a crash.
+  // Not written again where the disk fails: by then the key may run anew, and this must not come behind that.
+  // What is lost then is only that the key is in doubt after a crash.
   submit({k.what, id, l.key, {encode(k), l.expiry}});
 }
 
--- a/src/keyed/keeper.hpp
+++ b/src/keyed/keeper.hpp
@@ -1,5 +1,5 @@
-// Keeps the results of keyed requests: the ledger decides, the committer's thread writes, and this passes what either
-// says to the other and to the dispatcher. One thread, the one that calls step().
+// Keeps the results of keyed requests: the ledger decides, the committer's thread writes, and this passes
+// what either says to the other and to the dispatcher. One thread, the one that calls step().
 #pragma once
 
 #include <functional>
@@ -21,7 +21,8 @@
 struct keeper_options {
   std::string folder;
   std::vector<std::chrono::nanoseconds> windows;  // by class; 0 = not keyed
-  std::vector<std::string> classes, tenants;      // by their numbers: keys are scoped by name, so that both may change
+  std::vector<std::string> classes,
+      tenants;  // by their numbers: keys are scoped by name, so that both may change
   std::size_t longest_key = 255;
   std::size_t largest_result = 4096;
   std::size_t entries = 1'000'000;
@@ -33,7 +34,7 @@
   std::size_t commit_records = 1024;  // in one commit, at most
   unsigned inquiry_tries = 0;
   std::chrono::nanoseconds inquiry_pause{};
-  std::uint64_t salt = 0;            // random; for a folder that is new
+  std::uint64_t salt = 0;  // random; for a folder that is new
   std::chrono::nanoseconds unix_now{}, steady_now{};
 };
 
@@ -91,9 +92,10 @@
   std::uint64_t salt_ = 0;
   std::unique_ptr<ledger> ledger_;
   std::unordered_map<request_id, leading> leaders_;
-  std::unordered_map<request_id, std::pair<key_id, store::position>> answered_;  // repeats that want their result
-  std::map<std::uint64_t, writing> writes_;    // by ticket
-  std::vector<writing> unwritten_;             // results that the disk did not take
+  std::unordered_map<request_id, std::pair<key_id, store::position>>
+      answered_;                             // repeats that want their result
+  std::map<std::uint64_t, writing> writes_;  // by ticket
+  std::vector<writing> unwritten_;           // results that the disk did not take
   std::unordered_map<std::uint64_t, request_id> reads_;
   std::uint64_t last_ticket_ = 0;
   time_point next_ageing_{};
--- a/src/keyed/ledger.cpp
+++ b/src/keyed/ledger.cpp
@@ -9,7 +9,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::int64_t found_on_disk = 0;           // the queue of those whose window is not known
+constexpr std::int64_t found_on_disk = 0;  // the queue of those whose window is not known
 constexpr std::chrono::nanoseconds least_advice = 1s;
 constexpr unsigned most_doublings = 10;
 
@@ -27,8 +27,8 @@
   e.where = state::in_doubt;
 }
 
-void ledger::recover_result(const key_id& key, std::uint64_t content, moment expiry, const store::position& at,
-                            moment now) {
+void ledger::recover_result(const key_id& key, std::uint64_t content, moment expiry,
+                            const store::position& at, moment now) {
   if (expiry <= now) return;
   entry& e = table_[key];
   e = entry{};
@@ -167,7 +167,8 @@
 
 bool ledger::release(const key_id& key) {
   const auto at = table_.find(key);
-  if (at == table_.end() || at->second.where == state::answered || at->second.where == state::recording) return false;
+  if (at == table_.end() || at->second.where == state::answered || at->second.where == state::recording)
+    return false;
   erase(at);
   return true;
 }
@@ -176,10 +177,12 @@
   const auto at = table_.find(key);
   if (at == table_.end() || at->second.where != state::asking) return 0ns;
   entry& e = at->second;
-  const std::chrono::nanoseconds pause = options_.inquiry_pause * (1u << std::min<unsigned>(e.tries, most_doublings));
+  const std::chrono::nanoseconds pause =
+      options_.inquiry_pause * (1u << std::min<unsigned>(e.tries, most_doublings));
   if (++e.tries < options_.inquiry_tries) return pause;
   // The next repeat asks anew, though not before a pause that goes on growing.
-  e.tries = static_cast<std::uint8_t>(std::min<unsigned>(e.tries, std::numeric_limits<std::uint8_t>::max() - 1));
+  e.tries =
+      static_cast<std::uint8_t>(std::min<unsigned>(e.tries, std::numeric_limits<std::uint8_t>::max() - 1));
   e.ask_after = now + pause.count();
   enter(e, state::in_doubt);
   return 0ns;
--- a/src/keyed/ledger.hpp
+++ b/src/keyed/ledger.hpp
@@ -1,5 +1,5 @@
-// What is known of each key, and what may happen to it: the state machine of docs/keyed-results.md. Free of I/O and
-// clocks: what the disk did and what time it is are handed in. One thread at a time.
+// What is known of each key, and what may happen to it: the state machine of docs/keyed-results.md. Free of
+// I/O and clocks: what the disk did and what time it is are handed in. One thread at a time.
 //
 //   unseen -> held -> intending -> running -> recording -> answered -> aged out
 //               \         \           \-> in_doubt -> asking -> recording | in_doubt | unseen
@@ -22,8 +22,8 @@
   bool operator==(const key_id&) const = default;
 };
 
-using owner = std::uint32_t;       // the request that leads; 0 = none
-using moment = std::int64_t;       // ns of the ageing clock
+using owner = std::uint32_t;  // the request that leads; 0 = none
+using moment = std::int64_t;  // ns of the ageing clock
 
 enum class state : std::uint8_t {
   held,       // its first request waits to run
@@ -48,8 +48,8 @@
 
 struct opinion {
   standing how = standing::first;
-  owner leader = 0;               // joins
-  store::position at;             // answered
+  owner leader = 0;                      // joins
+  store::position at;                    // answered
   std::chrono::nanoseconds come_back{};  // no_room
 };
 
@@ -59,15 +59,15 @@
   std::uint64_t intent_room = 0;    // bytes of the largest intent on disk
   std::uint64_t result_room = 0;    // bytes of the largest result on disk
   std::chrono::nanoseconds retry_disk = std::chrono::milliseconds(500);
-  unsigned inquiry_tries = 0;       // 0 = no backend can be asked
+  unsigned inquiry_tries = 0;  // 0 = no backend can be asked
   std::chrono::nanoseconds inquiry_pause{};
 };
 
 // What the disk has to say, as of all outcomes that were reported before.
 struct disk_state {
   bool writable = false;
-  std::uint64_t room = 0;     // bytes that can be written for certain
-  moment next_ageing = 0;     // when a segment will give its room back; 0 = unknown
+  std::uint64_t room = 0;  // bytes that can be written for certain
+  moment next_ageing = 0;  // when a segment will give its room back; 0 = unknown
 };
 
 class ledger {
@@ -76,20 +76,22 @@
 
   // From disk, in the order in which it was written. What has aged by `now` is passed over.
   void recover_intent(const key_id& key, std::uint64_t content, moment expiry, moment now);
-  void recover_result(const key_id& key, std::uint64_t content, moment expiry, const store::position& at, moment now);
+  void recover_result(const key_id& key, std::uint64_t content, moment expiry, const store::position& at,
+                      moment now);
   void recover_release(const key_id& key);
   void recovered();  // all was read
 
   // A request `id` comes with a key. `window`: how long after now a repeat may come.
-  opinion arrive(const key_id& key, std::uint64_t content, owner id, std::chrono::nanoseconds window, moment now);
+  opinion arrive(const key_id& key, std::uint64_t content, owner id, std::chrono::nanoseconds window,
+                 moment now);
 
   // Steps of the one that leads; false: not in the state that this step starts from, nothing was changed.
   bool intend(const key_id& key);
-  bool intended(const key_id& key);                                    // it is on disk
-  bool record(const key_id& key);                                      // the run ended with a result
+  bool intended(const key_id& key);                                         // it is on disk
+  bool record(const key_id& key);                                           // the run ended with a result
   bool recorded(const key_id& key, const store::position& at, moment now);  // it is on disk
-  bool doubt(const key_id& key);                                       // nothing will be heard of it
-  bool release(const key_id& key);                                     // proven never to have run
+  bool doubt(const key_id& key);                                            // nothing will be heard of it
+  bool release(const key_id& key);                                          // proven never to have run
   // An inquiry brought nothing. Returns how long to wait before the next; 0 = that was the last one.
   std::chrono::nanoseconds asked_in_vain(const key_id& key, moment now);
 
@@ -113,7 +115,7 @@
     store::position at;
     owner leader = 0;
     state where = state::held;
-    std::uint8_t tries = 0;   // inquiries in a row
+    std::uint8_t tries = 0;  // inquiries in a row
     moment ask_after = 0;
   };
   struct hash {
--- a/src/keyed/memory_results.cpp
+++ b/src/keyed/memory_results.cpp
@@ -10,7 +10,7 @@
 
 constexpr duration age_every = std::chrono::milliseconds(100);
 constexpr std::uint64_t same_content = 0;  // it is in the key
-constexpr std::size_t entry_bytes = 512;  // of the tables, beside a result's own bytes
+constexpr std::size_t entry_bytes = 512;   // of the tables, beside a result's own bytes
 
 ledger_options ledger_options_of(const memory_results_options& o) {
   ledger_options l;
@@ -41,9 +41,7 @@
   // By the time at which it arrived, not when it is read: the window opens and ends by arrivals.
   const keyed::opinion o = ledger_.arrive(key, same_content, id, window, what.arrived.count());
   switch (o.how) {
-    case keyed::standing::first:
-      leaders_[id] = key;
-      return {.how = standing::first, .leader = id};
+    case keyed::standing::first: leaders_[id] = key; return {.how = standing::first, .leader = id};
     case keyed::standing::joins:
       ++counters_.repeats_joined;
       return {.how = standing::joins, .leader = o.leader};
--- a/src/keyed/memory_results.hpp
+++ b/src/keyed/memory_results.hpp
@@ -1,11 +1,11 @@
-// Keeps the results of keyed requests in memory, for as long as a repeat may come: the idempotency table of a node whose
-// settings name keyed classes and whose operator's file names no folder. A restart forgets it.
+// Keeps the results of keyed requests in memory, for as long as a repeat may come: the idempotency table of a
+// node whose settings name keyed classes and whose operator's file names no folder. A restart forgets it.
 //
-// What a request asks for is a part of its key: only the backend can tell whose request it is, so one that has somebody
-// else's key is no repeat, and neither gets that one's result nor stands in its way.
+// What a request asks for is a part of its key: only the backend can tell whose request it is, so one that
+// has somebody else's key is no repeat, and neither gets that one's result nor stands in its way.
 //
-// The ledger decides; nothing here touches a disk, a clock or a socket. What the dispatcher asks for is answered at the
-// next step(), never in the call itself. One thread, the one that calls step().
+// The ledger decides; nothing here touches a disk, a clock or a socket. What the dispatcher asks for is
+// answered at the next step(), never in the call itself. One thread, the one that calls step().
 #pragma once
 
 #include <cstdint>
@@ -25,8 +25,8 @@
   duration longest_wait{};        // a request may be read so long after it arrived, and still be answered
   std::size_t memory = 0;         // bytes of all entries and results together
   std::size_t largest_result = 4096;
-  std::size_t open = 1024;        // keyed requests from their arrival to their result
-  std::uint64_t salt = 0;         // random: nobody outside can choose keys that collide
+  std::size_t open = 1024;  // keyed requests from their arrival to their result
+  std::uint64_t salt = 0;   // random: nobody outside can choose keys that collide
 };
 
 class memory_results : public key_book {
--- a/src/keyed/records.cpp
+++ b/src/keyed/records.cpp
@@ -71,7 +71,8 @@
   return k;
 }
 
-key_id hash_of(std::string_view tenant, std::string_view request_class, std::string_view name, std::uint64_t salt) {
+key_id hash_of(std::string_view tenant, std::string_view request_class, std::string_view name,
+               std::uint64_t salt) {
   std::string scoped;
   put_text(scoped, tenant);
   put_text(scoped, request_class);
--- a/src/keyed/records.hpp
+++ b/src/keyed/records.hpp
@@ -1,5 +1,5 @@
-// The records of a key on disk: typed values to bytes and back. Each says all that recovery needs, so that a segment
-// may go whatever stands in others.
+// The records of a key on disk: typed values to bytes and back. Each says all that recovery needs, so that a
+// segment may go whatever stands in others.
 #pragma once
 
 #include <cstdint>
@@ -19,8 +19,8 @@
   key_id key;
   std::uint64_t content = 0;
   moment expiry = 0;
-  moment at = 0;           // when it was written
-  bool served = false;     // of a result; else the run failed
+  moment at = 0;                                       // when it was written
+  bool served = false;                                 // of a result; else the run failed
   std::string_view tenant{}, request_class{}, name{};  // of an intent: the key as it came, and its scope
   std::string_view bytes{};                            // of a result
 };
@@ -30,7 +30,8 @@
 std::optional<kept> decode(std::uint32_t type, std::string_view body);
 
 // The hash by which a key is known.
-key_id hash_of(std::string_view tenant, std::string_view request_class, std::string_view name, std::uint64_t salt);
+key_id hash_of(std::string_view tenant, std::string_view request_class, std::string_view name,
+               std::uint64_t salt);
 
 // Room on disk that the largest record takes.
 std::uint64_t intent_room(std::size_t longest_key, std::size_t longest_tenant, std::size_t longest_class);
--- a/src/keyed/results_command.cpp
+++ b/src/keyed/results_command.cpp
@@ -34,25 +34,25 @@
 std::map<key_id, known, less> read_all(const std::string& folder, store::recovered_counts& counts) {
   store::posix_file_system fs;
   std::map<key_id, known, less> all;
-  counts = store::log::inspect(
-      fs, folder, expiry_of, [&](std::uint32_t type, std::string_view body, const store::position& at) {
-        const auto k = decode(type, body);
-        if (!k) return;
-        if (k->what == record_type::release) {
-          all.erase(k->key);
-          return;
-        }
-        known& one = all[k->key];
-        one.expiry = k->expiry;
-        one.answered = k->what == record_type::result;
-        one.served = k->served;
-        one.size = k->bytes.size();
-        one.at = at;
-        if (k->what != record_type::intent) return;
-        one.tenant = k->tenant;
-        one.request_class = k->request_class;
-        one.name = k->name;
-      });
+  counts = store::log::inspect(fs, folder, expiry_of,
+                               [&](std::uint32_t type, std::string_view body, const store::position& at) {
+                                 const auto k = decode(type, body);
+                                 if (!k) return;
+                                 if (k->what == record_type::release) {
+                                   all.erase(k->key);
+                                   return;
+                                 }
+                                 known& one = all[k->key];
+                                 one.expiry = k->expiry;
+                                 one.answered = k->what == record_type::result;
+                                 one.served = k->served;
+                                 one.size = k->bytes.size();
+                                 one.at = at;
+                                 if (k->what != record_type::intent) return;
+                                 one.tenant = k->tenant;
+                                 one.request_class = k->request_class;
+                                 one.name = k->name;
+                               });
   return all;
 }
 
@@ -71,7 +71,8 @@
     ::gmtime_r(&until, &utc);
     std::strftime(text, sizeof text, "%Y-%m-%dT%H:%M:%SZ", &utc);
     std::printf("%s until=%s tenant=%s class=%s key=%s bytes=%" PRIu64 "\n", state_of(k), text,
-                store::printable(k.tenant).c_str(), store::printable(k.request_class).c_str(), store::printable(k.name).c_str(), k.size);
+                store::printable(k.tenant).c_str(), store::printable(k.request_class).c_str(),
+                store::printable(k.name).c_str(), k.size);
   }
 }
 
@@ -87,7 +88,8 @@
     const std::string path = q.folder + "/" + store::log::file_name(k.at.segment);
     std::uint32_t type = 0;
     const std::string bytes = fs.read(path, k.at.offset, k.at.size);
-    const auto result = decode(static_cast<std::uint32_t>(record_type::result), store::decode_record(bytes, type, path));
+    const auto result =
+        decode(static_cast<std::uint32_t>(record_type::result), store::decode_record(bytes, type, path));
     std::fwrite(result->bytes.data(), 1, result->bytes.size(), stdout);
     return true;
   }
--- a/src/keyed/results_command.hpp
+++ b/src/keyed/results_command.hpp
@@ -11,7 +11,8 @@
   std::string segment;                     // of set-aside: the file's name
 };
 
-// Each prints to standard output and throws store::io_error or store::damaged; the folder must be no process's.
+// Each prints to standard output and throws store::io_error or store::damaged; the folder must be no
+// process's.
 void list_results(const results_query& q);
 // The kept result byte for byte. False: the key is not known, or in doubt; standard error says which.
 bool show_result(const results_query& q);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,7 +1,7 @@
 // The price node: one program on real sockets round the decision module. Wiring only.
-#include <CLI/CLI.hpp>
 #include <Poco/Exception.h>
 
+#include <CLI/CLI.hpp>
 #include <cstdio>
 #include <exception>
 #include <functional>
@@ -69,13 +69,15 @@
   add("dump", "a line a key", store::dump_store)->add_option("--table", q.table, "only this one");
   CLI::App* compact = add("compact", "clean until nothing is left to gain", store::compact_store);
   CLI::App* backup = add("backup", "copy it into a folder that holds nothing", store::backup_store);
-  CLI::App* restore = add("restore", "check a backup, then copy it into a folder that holds nothing", store::restore_store);
+  CLI::App* restore =
+      add("restore", "check a backup, then copy it into a folder that holds nothing", store::restore_store);
   for (CLI::App* one : {backup, restore}) one->add_option("TO", q.to)->required();
   for (CLI::App* one : {compact, backup}) {
     one->add_option("--segment", q.segment, "bytes, as its owner has them")->capture_default_str();
     one->add_option("--space", q.space, "bytes, as its owner has them")->capture_default_str();
   }
-  compact->add_option("--amplification", q.amplification, "bytes on disk for one that counts")->capture_default_str();
+  compact->add_option("--amplification", q.amplification, "bytes on disk for one that counts")
+      ->capture_default_str();
 }
 
 }  // namespace
@@ -83,7 +85,8 @@
 int main(int argc, char** argv) {
   CLI::App app("A price node. PROXY_CONFIG names the platform's configuration.", "marblewharf");
   std::string operators, record;
-  app.add_option("--settings", operators, "the operator's file: settings of our own parts")->type_name("FILE");
+  app.add_option("--settings", operators, "the operator's file: settings of our own parts")
+      ->type_name("FILE");
   app.add_option("--record", record, "write what goes over the fronts' connections to a capture file")
       ->type_name("FILE");
   keyed::results_query query;
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Of two claims on one member, whether `heard` replaces `held`: the higher incarnation, else the graver state.
+// Of two claims on one member, whether `heard` replaces `held`: the higher incarnation, else the graver
+// state.
 bool overrides(const claim& heard, const claim& held) {
   if (heard.incarnation != held.incarnation) return heard.incarnation > held.incarnation;
   return heard.state > held.state;
@@ -22,8 +23,8 @@
 }
 
 std::size_t swim::alive_count() const {
-  return static_cast<std::size_t>(
-      std::count_if(members_.begin(), members_.end(), [](const auto& m) { return m.second.state != health::dead; }));
+  return static_cast<std::size_t>(std::count_if(
+      members_.begin(), members_.end(), [](const auto& m) { return m.second.state != health::dead; }));
 }
 
 duration swim::suspicion_timeout(unsigned confirmations) const {
@@ -46,15 +47,20 @@
 
 namespace {
 
-std::optional<time_point> time_of(const std::map<std::string, time_point>& times, const std::string& address) {
+std::optional<time_point> time_of(const std::map<std::string, time_point>& times,
+                                  const std::string& address) {
   const auto found = times.find(address);
   return found == times.end() ? std::nullopt : std::optional(found->second);
 }
 
 }  // namespace
 
-std::optional<time_point> swim::contact(const std::string& address) const { return time_of(contacts_, address); }
-std::optional<time_point> swim::miss(const std::string& address) const { return time_of(misses_, address); }
+std::optional<time_point> swim::contact(const std::string& address) const {
+  return time_of(contacts_, address);
+}
+std::optional<time_point> swim::miss(const std::string& address) const {
+  return time_of(misses_, address);
+}
 
 void swim::refute(std::uint64_t above) {
   self_.incarnation = above + 1;
@@ -90,8 +96,8 @@
   if (c.state == health::suspect && found->second.state == health::suspect &&
       c.incarnation == found->second.incarnation) {
     auto& s = suspected_[c.address];
-    // Only independent confirmations shorten the timeout: one suspicion passed on by many is one. A new one is
-    // passed on itself, until enough are known.
+    // Only independent confirmations shorten the timeout: one suspicion passed on by many is one. A new one
+    // is passed on itself, until enough are known.
     if (s.confirmed_by.size() <= options_.suspicion_confirmations &&
         std::find(s.confirmed_by.begin(), s.confirmed_by.end(), by) == s.confirmed_by.end()) {
       s.confirmed_by.push_back(by);
@@ -117,8 +123,9 @@
     }
     if (--sends_left_[address] == 0) sends_left_.erase(address);
   }
-  // Guards against two members that never meet: each change is sent a bounded number of times, and whoever misses all of
-  // them (it joined just then, or they were lost) would not learn of it ever. So the table goes round as well.
+  // Guards against two members that never meet: each change is sent a bounded number of times, and whoever
+  // misses all of them (it joined just then, or they were lost) would not learn of it ever. So the table goes
+  // round as well.
   auto next = members_.upper_bound(refreshed_);
   for (unsigned i = 0; i < options_.refresh_per_message && i < members_.size(); ++i) {
     if (next == members_.end()) next = members_.begin();
@@ -133,21 +140,20 @@
   if (m.sender.address == self_.address) return;
   apply(now, m.sender, m.sender.address);
   for (const claim& c : m.gossip) apply(now, c, m.sender.address);
-  // A member that speaks while held suspect or dead has not heard so (its gossip may have run out while it was
-  // paused): told again, starting with this reply, it refutes.
+  // A member that speaks while held suspect or dead has not heard so (its gossip may have run out while it
+  // was paused): told again, starting with this reply, it refutes.
   if (const auto held = members_.find(m.sender.address);
       held != members_.end() && held->second.state != health::alive && !sends_left_.contains(held->first))
     spread(held->second);
   switch (m.what) {
-    case kind::ping:
-      send(m.sender.address, kind::ack, m.sequence, m.target);
-      break;
+    case kind::ping: send(m.sender.address, kind::ack, m.sequence, m.target); break;
     case kind::ping_req: {
       if (relays_.size() >= options_.relays_most) break;
       const std::uint64_t own = ++sequence_;
       // The nack a little before the asker's own patience ends, as Lifeguard has it.
       const duration patience = scaled(options_.probe_timeout);
-      relays_.push_back(relay{m.sender.address, m.target, m.sequence, own, now + patience * 4 / 5, now + 2 * patience});
+      relays_.push_back(
+          relay{m.sender.address, m.target, m.sequence, own, now + patience * 4 / 5, now + 2 * patience});
       send(m.target, kind::ping, own);
       break;
     }
@@ -228,8 +234,8 @@
   }
   if (now >= next_probe_) {
     if (waiting) {
-      // Lifeguard: each helper that said nothing at all hints at our own trouble; where all of them tried in vain
-      // the trouble is the target's. Without helpers nothing tells the two apart.
+      // Lifeguard: each helper that said nothing at all hints at our own trouble; where all of them tried in
+      // vain the trouble is the target's. Without helpers nothing tells the two apart.
       raise_health(probe_.helpers == 0 ? 1 : probe_.helpers - std::min(probe_.helpers, probe_.nacks));
       misses_[probe_.target] = now;
       if (const auto found = members_.find(probe_.target);
@@ -251,13 +257,15 @@
   if (options_.reconnect_every > 0 && now >= next_reconnect_) {
     // Guards against a partition that never heals: once both sides hold each other dead nobody probes across,
     // so one member held dead is pinged now and then, told that it is held dead, and refutes if it lives.
-    // Not stretched by this member's own trouble: whoever was alone has the most of that, and blames nobody here.
+    // Not stretched by this member's own trouble: whoever was alone has the most of that, and blames nobody
+    // here.
     next_reconnect_ = now + options_.reconnect_every * options_.probe_interval;
     std::vector<std::string> dead;
     for (const auto& [address, c] : members_)
       if (c.state == health::dead) dead.push_back(address);
     if (!dead.empty()) {
-      const std::string& target = dead[std::uniform_int_distribution<std::size_t>(0, dead.size() - 1)(random)];
+      const std::string& target =
+          dead[std::uniform_int_distribution<std::size_t>(0, dead.size() - 1)(random)];
       spread(members_[target]);
       send(target, kind::ping, 0);  // sequence 0: no probe of this member's, nor a relay, waits for its ack
     }
--- a/src/membership/swim.hpp
+++ b/src/membership/swim.hpp
@@ -1,12 +1,13 @@
-// Membership of a fleet by SWIM with Lifeguard's refinements: who is alive, suspect or dead, with zone and region.
+// Membership of a fleet by SWIM with Lifeguard's refinements: who is alive, suspect or dead, with zone and
+// region.
 //
-// Free of I/O: the owner hands in the time (steady clock), a random generator and each message received, and takes
-// out the messages to send and the changes of the view. Not thread-safe: owned by one thread (the reactor's).
-// Addresses are opaque text ("host:port"); the caller's transport carries `envelope`s to them.
+// Free of I/O: the owner hands in the time (steady clock), a random generator and each message received, and
+// takes out the messages to send and the changes of the view. Not thread-safe: owned by one thread (the
+// reactor's). Addresses are opaque text ("host:port"); the caller's transport carries `envelope`s to them.
 //
-// Promise: a member is declared dead only after it was suspect for its suspicion timeout without refuting; a member
-// that hears itself suspected or declared dead refutes by raising its incarnation; of two claims on one member the
-// higher incarnation wins, and at one incarnation dead > suspect > alive.
+// Promise: a member is declared dead only after it was suspect for its suspicion timeout without refuting; a
+// member that hears itself suspected or declared dead refutes by raising its incarnation; of two claims on
+// one member the higher incarnation wins, and at one incarnation dead > suspect > alive.
 #pragma once
 
 #include <algorithm>
@@ -51,7 +52,7 @@
 
 struct message {
   kind what = kind::ping;
-  claim sender;               // the sender as it sees itself: how members learn each other
+  claim sender;                // the sender as it sees itself: how members learn each other
   std::uint64_t sequence = 0;  // of the probe this belongs to
   std::string target;          // ping_req: whom to probe; ack/nack of a relayed probe: who was probed
   std::vector<claim> gossip;
@@ -67,16 +68,17 @@
   duration probe_interval = std::chrono::milliseconds(500);
   duration probe_timeout = std::chrono::milliseconds(200);
   unsigned indirect_probes = 3;
-  double suspicion_min_rounds = 4;     // times log10(n + 1) probe intervals
-  double suspicion_max_factor = 6;     // the longest suspicion, over the shortest
+  double suspicion_min_rounds = 4;       // times log10(n + 1) probe intervals
+  double suspicion_max_factor = 6;       // the longest suspicion, over the shortest
   unsigned suspicion_confirmations = 3;  // K: independent suspicions that bring the timeout to its least
-  unsigned retransmit_mult = 4;        // each change is sent this many times ceil(log10(n + 1))
+  unsigned retransmit_mult = 4;          // each change is sent this many times ceil(log10(n + 1))
   unsigned gossip_per_message = 8;
-  unsigned refresh_per_message = 2;    // claims of the whole table in turn, beside the changes: what gossip missed
-  unsigned health_max = 8;             // Lifeguard's local health: 0 is well; stretches own timeouts
-  unsigned reconnect_every = 5;        // probe intervals between pings to one member held dead (0: never)
-  std::size_t members_most = 4096;     // claims on further members are dropped: garbage cannot grow the table
-  std::size_t relays_most = 256;       // probes carried out for others at once; further ones are dropped
+  unsigned refresh_per_message =
+      2;                         // claims of the whole table in turn, beside the changes: what gossip missed
+  unsigned health_max = 8;       // Lifeguard's local health: 0 is well; stretches own timeouts
+  unsigned reconnect_every = 5;  // probe intervals between pings to one member held dead (0: never)
+  std::size_t members_most = 4096;  // claims on further members are dropped: garbage cannot grow the table
+  std::size_t relays_most = 256;    // probes carried out for others at once; further ones are dropped
 };
 
 class swim {
@@ -96,7 +98,8 @@
   const claim& self() const { return self_; }
   // All members but this one, as believed now; the dead stay listed.
   const std::map<std::string, claim>& members() const { return members_; }
-  // When this member last had the answer to a probe of its own (or through a helper) from that one; none: never.
+  // When this member last had the answer to a probe of its own (or through a helper) from that one; none:
+  // never.
   std::optional<time_point> contact(const std::string& address) const;
   // When a probe of its own, and through all helpers, last brought no answer from that one; none: never.
   std::optional<time_point> miss(const std::string& address) const;
@@ -135,7 +138,9 @@
   void send(const std::string& to, kind what, std::uint64_t sequence, const std::string& target = {});
   duration scaled(duration d) const { return d * (1 + health_score_); }
   void raise_health(unsigned by) { health_score_ = std::min(options_.health_max, health_score_ + by); }
-  void lower_health() { if (health_score_ > 0) --health_score_; }
+  void lower_health() {
+    if (health_score_ > 0) --health_score_;
+  }
   std::size_t alive_count() const;
   std::string next_target(std::mt19937_64& random);
 
