--- a/src/membership/wire.cpp
+++ b/src/membership/wire.cpp
@@ -1,7 +1,6 @@
 #include "membership/wire.hpp"
 
 #include <msgpack.hpp>
-
 #include <vector>
 
 namespace marblewharf::membership {
@@ -59,8 +58,9 @@
 }  // namespace
 
 std::string encode(const std::string& fleet, const message& m) {
-  wire_message w{fleet, wire_version, static_cast<std::uint8_t>(m.what), to_wire(m.sender), m.sequence, m.target,
-                 {}, {}};
+  wire_message w{
+      fleet, wire_version, static_cast<std::uint8_t>(m.what), to_wire(m.sender), m.sequence, m.target, {},
+      {}};
   for (const claim& c : m.gossip) w.gossip.push_back(to_wire(c));
   for (const ballot& b : m.ballots) w.ballots.push_back({b.voter, b.zone, b.epoch, b.out, b.round});
   std::string bytes = pack(w);
@@ -84,7 +84,8 @@
     if (offset != datagram.size()) return {std::nullopt, wire_fault::undecodable};  // bytes after the message
     const msgpack::object& o = handle.get();
     // Fleet and version first: a message of another fleet or version need not have this one's shape.
-    if (o.type != msgpack::type::ARRAY || o.via.array.size < 2) return {std::nullopt, wire_fault::undecodable};
+    if (o.type != msgpack::type::ARRAY || o.via.array.size < 2)
+      return {std::nullopt, wire_fault::undecodable};
     if (o.via.array.ptr[0].as<std::string>() != fleet) return {std::nullopt, wire_fault::foreign};
     if (o.via.array.ptr[1].as<std::uint32_t>() != wire_version) return {std::nullopt, wire_fault::version};
     const auto w = o.as<wire_message>();
--- a/src/membership/wire.hpp
+++ b/src/membership/wire.hpp
@@ -1,7 +1,8 @@
-// Membership messages as datagrams, in msgpack (msgpack-cxx): one array of fleet name, version and the message.
+// Membership messages as datagrams, in msgpack (msgpack-cxx): one array of fleet name, version and the
+// message.
 //
-// Free of I/O; any thread. A datagram of another fleet or another version is told apart from one that cannot be
-// read, so that each is counted on its own; none of them is ever half taken.
+// Free of I/O; any thread. A datagram of another fleet or another version is told apart from one that cannot
+// be read, so that each is counted on its own; none of them is ever half taken.
 #pragma once
 
 #include <cstdint>
@@ -24,8 +25,8 @@
   wire_fault fault = wire_fault::none;
 };
 
-// Of ballots and gossip the longer is cut from its end until the datagram fits in datagram_most; the rest always fits
-// where addresses, zones and regions are under 256 bytes each.
+// Of ballots and gossip the longer is cut from its end until the datagram fits in datagram_most; the rest
+// always fits where addresses, zones and regions are under 256 bytes each.
 std::string encode(const std::string& fleet, const message& m);
 decoded decode(const std::string& fleet, std::string_view datagram);
 
--- a/src/middleware/exchange.cpp
+++ b/src/middleware/exchange.cpp
@@ -23,7 +23,8 @@
   return body;
 }
 
-buffered_request::buffered_request(HTTPServerRequest& original, std::string body, HTTPServerResponse& response)
+buffered_request::buffered_request(HTTPServerRequest& original, std::string body,
+                                   HTTPServerResponse& response)
     : original_(original), response_(response), body_(std::move(body)) {
   setMethod(original.getMethod());
   setURI(original.getURI());
--- a/src/middleware/exchange.hpp
+++ b/src/middleware/exchange.hpp
@@ -1,5 +1,5 @@
-// A keyed request and its response in memory: the request's body is read before its handler runs, so that its content is
-// known; the response is kept before any byte of it is sent.
+// A keyed request and its response in memory: the request's body is read before its handler runs, so that its
+// content is known; the response is kept before any byte of it is sent.
 #pragma once
 
 #include <Poco/Net/HTTPServerRequest.h>
@@ -17,7 +17,8 @@
 // The request again, with its body in memory. The original must outlive it.
 class buffered_request : public Poco::Net::HTTPServerRequest {
  public:
-  buffered_request(Poco::Net::HTTPServerRequest& original, std::string body, Poco::Net::HTTPServerResponse& response);
+  buffered_request(Poco::Net::HTTPServerRequest& original, std::string body,
+                   Poco::Net::HTTPServerResponse& response);
 
   std::istream& stream() override { return body_; }
   const Poco::Net::SocketAddress& clientAddress() const override { return original_.clientAddress(); }
@@ -51,7 +52,8 @@
   bool sent_ = false;
 };
 
-// Sends a kept response over the connection at hand, whose own headers stay. Throws Poco::Exception where it is none.
+// Sends a kept response over the connection at hand, whose own headers stay. Throws Poco::Exception where it
+// is none.
 void replay(const std::string& whole, Poco::Net::HTTPServerResponse& to);
 
 }  // namespace marblewharf::middleware
--- a/src/middleware/gate.cpp
+++ b/src/middleware/gate.cpp
@@ -71,7 +71,8 @@
 }
 
 const keyed_settings* gate_impl::keys_of(unsigned request_class) const {
-  const bool keyed = keys_ && request_class < keys_->windows.size() && keys_->windows[request_class].count() > 0;
+  const bool keyed =
+      keys_ && request_class < keys_->windows.size() && keys_->windows[request_class].count() > 0;
   return keyed ? &*keys_ : nullptr;
 }
 
--- a/src/middleware/gate.hpp
+++ b/src/middleware/gate.hpp
@@ -1,5 +1,5 @@
-// The dispatcher under a lock, its front and backend being the server's threads that wait here, and a thread that lets
-// time pass for it.
+// The dispatcher under a lock, its front and backend being the server's threads that wait here, and a thread
+// that lets time pass for it.
 #pragma once
 
 #include <condition_variable>
@@ -41,8 +41,8 @@
   // Its handler ended. False: it had been given up meanwhile.
   bool leave(const visit& v, bool well);
 
-  // The same of a keyed request: blocks until the response is on disk or the request is given up. None: the handler
-  // left no response that could be kept.
+  // The same of a keyed request: blocks until the response is on disk or the request is given up. None: the
+  // handler left no response that could be kept.
   visit leave_keyed(const visit& v, const std::optional<std::string>& response);
 
   void drain(duration left);
--- a/src/middleware/gathering.cpp
+++ b/src/middleware/gathering.cpp
@@ -48,7 +48,8 @@
   return rules;
 }
 
-std::vector<dep::plan> plan_of(const std::vector<source>& sources, const std::vector<part_of>& parts, duration aim) {
+std::vector<dep::plan> plan_of(const std::vector<source>& sources, const std::vector<part_of>& parts,
+                               duration aim) {
   dep::plan p;
   p.aim = aim;
   p.reserve = {};
@@ -75,11 +76,12 @@
 
 }  // namespace
 
-// The conductor under a lock; a thread that lets time pass for it; for each source threads of its own, so that one that
-// hangs takes none of the others'.
+// The conductor under a lock; a thread that lets time pass for it; for each source threads of its own, so
+// that one that hangs takes none of the others'.
 class gathering::impl {
  public:
-  impl(std::vector<source> sources, const std::vector<part_of>& parts, duration aim, std::size_t cache, std::uint64_t seed)
+  impl(std::vector<source> sources, const std::vector<part_of>& parts, duration aim, std::size_t cache,
+       std::uint64_t seed)
       : sources_(std::move(sources)),
         conductor_(plan_of(sources_, parts, aim), rules_of(sources_), cache, seed),
         pools_(sources_.size()) {
@@ -118,7 +120,8 @@
   void set_reachable(const std::string& name, std::size_t endpoint, bool reachable) {
     const std::lock_guard lock(guard_);
     const std::size_t at = find_source(sources_, name);
-    if (endpoint >= sources_[at].where.size()) throw std::invalid_argument("no place of an endpoint: " + name);
+    if (endpoint >= sources_[at].where.size())
+      throw std::invalid_argument("no place of an endpoint: " + name);
     conductor_.set_reachable(at, endpoint, reachable);
   }
 
@@ -158,8 +161,8 @@
         g.complete = f->complete;
         g.failed = f->lacks >= 0;
         for (dep::part_result& p : f->parts) {
-          const part_state state = p.how == dep::part_is::fresh   ? part_state::fresh
-                                   : p.how == dep::part_is::stale ? part_state::stale
+          const part_state state = p.how == dep::part_is::fresh      ? part_state::fresh
+                                   : p.how == dep::part_is::stale    ? part_state::stale
                                    : p.how == dep::part_is::stand_in ? part_state::stand_in
                                                                      : part_state::missing;
           g.parts.push_back({state, p.age, std::move(p.bytes)});
@@ -211,8 +214,8 @@
         apply();
         changed_.notify_all();
       }
-      const duration wait = std::clamp<duration>(conductor_.due() - steady_now(), std::chrono::microseconds(100),
-                                                 std::chrono::milliseconds(100));
+      const duration wait = std::clamp<duration>(
+          conductor_.due() - steady_now(), std::chrono::microseconds(100), std::chrono::milliseconds(100));
       changed_.wait_for(lock, wait);
     }
   }
--- a/src/net/connections.hpp
+++ b/src/net/connections.hpp
@@ -37,7 +37,8 @@
       if (open_.contains(c.get())) f(*c);
     }
   }
-  // The one to close for a new one: that with the least dispensable(), a time; null where that is none for all.
+  // The one to close for a new one: that with the least dispensable(), a time; null where that is none for
+  // all.
   T* spare() const {
     while (true) {
       T* found = nullptr;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -2,7 +2,6 @@
 
 #include <Poco/Exception.h>
 #include <Poco/NObserver.h>
-
 #include <poll.h>
 
 #include <cerrno>
@@ -21,7 +20,8 @@
     socket_.listen(bounds.backlog);
   } catch (const Poco::Exception& e) {
     const std::string where = host + ":" + std::to_string(port);
-    if (sharing == port_sharing::alone && e.code() == EADDRINUSE) throw address_held("listen: " + where + ": held");
+    if (sharing == port_sharing::alone && e.code() == EADDRINUSE)
+      throw address_held("listen: " + where + ": held");
     throw std::runtime_error("listen: " + host + ":" + std::to_string(port) + ": " + e.displayText());
   }
   resume();
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -37,8 +37,8 @@
 
   // Takes what waits in the backlog, then listens no more.
   void close();
-  // Accepts again where the system had no descriptor for a connection. To be called now and then, about as often as a
-  // caller may be kept waiting for one.
+  // Accepts again where the system had no descriptor for a connection. To be called now and then, about as
+  // often as a caller may be kept waiting for one.
   void resume();
 
  private:
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -36,8 +36,9 @@
   void send(std::string_view bytes);
   // Closes now, in order (net/closing.hpp).
   void close();
-  // Nothing more will be sent: the other side sees the end once all is written. What still comes is thrown away
-  // unseen: a close with bytes unread would reset the connection, and the last answer could be lost with it.
+  // Nothing more will be sent: the other side sees the end once all is written. What still comes is thrown
+  // away unseen: a close with bytes unread would reset the connection, and the last answer could be lost with
+  // it.
   void finish();
   bool is_open() const { return open_; }
   // Bytes of an unfinished message wait for the rest.
--- a/src/net/waker.cpp
+++ b/src/net/waker.cpp
@@ -2,7 +2,6 @@
 
 #include <Poco/Exception.h>
 #include <Poco/NObserver.h>
-
 #include <sys/socket.h>
 
 #include <stdexcept>
@@ -20,8 +19,8 @@
   } catch (const Poco::Exception& e) {
     throw std::runtime_error("no socket to wake the reactor with: " + e.displayText());
   }
-  reactor_.addEventHandler(socket_,
-                           Poco::NObserver<waker, Poco::Net::ReadableNotification>(*this, &waker::on_readable));
+  reactor_.addEventHandler(
+      socket_, Poco::NObserver<waker, Poco::Net::ReadableNotification>(*this, &waker::on_readable));
 }
 
 waker::~waker() {
@@ -31,8 +30,8 @@
 
 void waker::wake() noexcept {
   const char one = 1;
-  // The system call alone, not POCO's object, which the reactor's thread uses meanwhile. Where the buffer is full the
-  // reactor has plenty to wake from.
+  // The system call alone, not POCO's object, which the reactor's thread uses meanwhile. Where the buffer is
+  // full the reactor has plenty to wake from.
   [[maybe_unused]] const ssize_t n = ::send(fd_, &one, 1, MSG_DONTWAIT | MSG_NOSIGNAL);
 }
 
--- a/src/net/waker.hpp
+++ b/src/net/waker.hpp
@@ -1,10 +1,10 @@
-// Lets another thread have the reactor take its step now and not when its poll runs out. Holds one UDP socket on
-// 127.0.0.1, connected to itself; no Unix socket.
+// Lets another thread have the reactor take its step now and not when its poll runs out. Holds one UDP socket
+// on 127.0.0.1, connected to itself; no Unix socket.
 #pragma once
 
 #include <Poco/AutoPtr.h>
-#include <Poco/Net/SocketNotification.h>
 #include <Poco/Net/DatagramSocket.h>
+#include <Poco/Net/SocketNotification.h>
 
 #include "net/reactor.hpp"
 
--- a/src/node/background.cpp
+++ b/src/node/background.cpp
@@ -32,16 +32,17 @@
     : counters_(counters),
       deadline_(settings.background.deadline),
       room_({settings.background.quiet, settings.background.busy, settings.background.calm}),
-      pool_(options_of(settings.background),
-            [this, notify = std::move(notify)] {
-              ended_ = true;
-              notify();
-            },
-            [this](const std::string& job, const std::string& note) {
-              ++counters_.background_faults;
-              telemetry::log("background", "%s: %s", job.c_str(), note.c_str());
-            },
-            now) {
+      pool_(
+          options_of(settings.background),
+          [this, notify = std::move(notify)] {
+            ended_ = true;
+            notify();
+          },
+          [this](const std::string& job, const std::string& note) {
+            ++counters_.background_faults;
+            telemetry::log("background", "%s: %s", job.c_str(), note.c_str());
+          },
+          now) {
   const auto each = [&](const std::string& what, const std::string& folder, duration every) {
     if (every.count() > 0) scrub(what, folder, every, settings.background.deadline, now);
   };
@@ -53,32 +54,40 @@
 void background::scrub(const std::string& what, const std::string& folder, duration every, duration deadline,
                        time_point now) {
   const auto reads = std::make_shared<store::scrubber>(std::make_shared<store::posix_file_system>(), folder);
-  pool_.add({.name = what, .every = every, .deadline = deadline, .after = {}, .budget = {}},
-            [reads](const std::atomic<bool>&) {
-              const store::scrubber::step_result r = reads->step();
-              return scheduler::slice_result{r.more ? scheduler::slice_end::more : scheduler::slice_end::done, r.read, 0,
-                                             r.fault};
-            },
-            now + std::min<duration>(every, std::chrono::seconds(10)));
+  pool_.add(
+      {.name = what, .every = every, .deadline = deadline, .after = {}, .budget = {}},
+      [reads](const std::atomic<bool>&) {
+        const store::scrubber::step_result r = reads->step();
+        return scheduler::slice_result{r.more ? scheduler::slice_end::more : scheduler::slice_end::done,
+                                       r.read, 0, r.fault};
+      },
+      now + std::min<duration>(every, std::chrono::seconds(10)));
 }
 
-// Cleaning goes on under load too, at the urgent share: a store that is never cleaned turns its writers away in the end.
-void background::look_after(const std::string& what, std::weak_ptr<store::table_service> tables, time_point now) {
+// Cleaning goes on under load too, at the urgent share: a store that is never cleaned turns its writers away
+// in the end.
+void background::look_after(const std::string& what, std::weak_ptr<store::table_service> tables,
+                            time_point now) {
   using work = store::table_service::work;
   using namespace std::chrono_literals;
   const auto add = [&](const char* name, work w, duration every, duration deadline, int priority) {
-    pool_.add({.name = name + ("-" + what), .priority = priority, .every = every, .deadline = deadline, .after = {},
-               .budget = {}},
-              [tables, w](const std::atomic<bool>&) -> scheduler::slice_result {
-                const auto t = tables.lock();
-                if (t == nullptr) return {};
-                const store::table_service::slice s = t->step(w);
-                const auto how = !s.fault.empty() ? scheduler::slice_end::failed
-                                 : s.more         ? scheduler::slice_end::more
-                                                  : scheduler::slice_end::done;
-                return {how, s.read, s.written, s.fault};
-              },
-              now + every);
+    pool_.add(
+        {.name = name + ("-" + what),
+         .priority = priority,
+         .every = every,
+         .deadline = deadline,
+         .after = {},
+         .budget = {}},
+        [tables, w](const std::atomic<bool>&) -> scheduler::slice_result {
+          const auto t = tables.lock();
+          if (t == nullptr) return {};
+          const store::table_service::slice s = t->step(w);
+          const auto how = !s.fault.empty() ? scheduler::slice_end::failed
+                           : s.more         ? scheduler::slice_end::more
+                                            : scheduler::slice_end::done;
+          return {how, s.read, s.written, s.fault};
+        },
+        now + every);
   };
   add("clean", work::clean, 500ms, 1s, 0);
   add("age", work::age, 1s, 10s, 1);
--- a/src/node/background.hpp
+++ b/src/node/background.hpp
@@ -1,8 +1,9 @@
-// The node's background work: the folders' scrubbing, and cleaning, checkpoints and ageing of stores of tables, under the
-// scheduler, held back by what the admission module and the cores have to do (docs/scheduler.md).
+// The node's background work: the folders' scrubbing, and cleaning, checkpoints and ageing of stores of
+// tables, under the scheduler, held back by what the admission module and the cores have to do
+// (docs/scheduler.md).
 //
-// Exists only where the operator's file asks for such work; `run` on the platform never does. Owned by the reactor's
-// thread; the work itself is done on threads of the pool.
+// Exists only where the operator's file asks for such work; `run` on the platform never does. Owned by the
+// reactor's thread; the work itself is done on threads of the pool.
 #pragma once
 
 #include <atomic>
@@ -25,7 +26,8 @@
   static bool wanted(const config& settings);
 
   // `notify`: step() has something to do; from another thread.
-  background(const config& settings, telemetry::counters& counters, std::function<void()> notify, time_point now);
+  background(const config& settings, telemetry::counters& counters, std::function<void()> notify,
+             time_point now);
 
   // Its cleaning, checkpoints and ageing from now on, until it goes. `what`: for the jobs' names.
   void look_after(const std::string& what, std::weak_ptr<store::table_service> tables, time_point now);
@@ -40,7 +42,8 @@
   std::string figures(time_point now) const;
 
  private:
-  void scrub(const std::string& what, const std::string& folder, duration every, duration deadline, time_point now);
+  void scrub(const std::string& what, const std::string& folder, duration every, duration deadline,
+             time_point now);
 
   telemetry::counters& counters_;
   const duration deadline_;
--- a/src/node/serve.cpp
+++ b/src/node/serve.cpp
@@ -3,26 +3,26 @@
 #include <unistd.h>
 
 #include <algorithm>
-#include <cinttypes>
 #include <cerrno>
+#include <cinttypes>
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
-#include <fstream>
-#include <sstream>
 #include <exception>
+#include <fstream>
 #include <memory>
 #include <optional>
 #include <random>
+#include <sstream>
 #include <vector>
 
 #include "catalog/reporter.hpp"
 #include "console/front.hpp"
-#include "fleet/link.hpp"
-#include "fleet/shares.hpp"
 #include "core/dispatcher.hpp"
 #include "dependencies/gatherer.hpp"
 #include "dependencies/writer.hpp"
+#include "fleet/link.hpp"
+#include "fleet/shares.hpp"
 #include "keyed/awaited.hpp"
 #include "keyed/keeper.hpp"
 #include "keyed/memory_results.hpp"
@@ -103,8 +103,8 @@
   return o;
 }
 
-// The mark of replacement in $TMPDIR, which a second process beside this one shares. The folder is memory on the
-// platform, and there are two small files a run: the reactor's thread writes and reads them itself.
+// The mark of replacement in $TMPDIR, which a second process beside this one shares. The folder is memory on
+// the platform, and there are two small files a run: the reactor's thread writes and reads them itself.
 class handover_file {
  public:
   explicit handover_file(const config& settings)
@@ -160,9 +160,14 @@
   operators_desk(const config& settings, const dispatcher& table, const telemetry::counters& counters,
                  const runtime::link& runtime, const thrift::server& front, ops::drain_state& drain,
                  const fleet::link* in_fleet, const std::optional<dependencies::gatherer>& gathers,
-                 const std::optional<dependencies::writer>& writes, const std::optional<fleet::shares>& shared,
-                 const std::optional<background>& jobs)
-      : desk_(table), counters_(counters), runtime_(runtime), front_(front), drain_(drain), fleet_(in_fleet),
+                 const std::optional<dependencies::writer>& writes,
+                 const std::optional<fleet::shares>& shared, const std::optional<background>& jobs)
+      : desk_(table),
+        counters_(counters),
+        runtime_(runtime),
+        front_(front),
+        drain_(drain),
+        fleet_(in_fleet),
         gathers_(gathers),
         writes_(writes),
         shared_(shared),
@@ -172,9 +177,10 @@
 
   bool ready() override { return runtime_.up() && !front_.leaving(); }
   std::string figures() override {
-    return ops::render_figures(counters_, classes_, desk_.unanswered()) + (fleet_ ? fleet_->show_figures() : "") +
-           (gathers_ ? gathers_->figures() : "") + (writes_ ? writes_->figures() : "") +
-           (shared_ ? shared_->show_figures() : "") + (jobs_ ? jobs_->figures(net::steady_now()) : "");
+    return ops::render_figures(counters_, classes_, desk_.unanswered()) +
+           (fleet_ ? fleet_->show_figures() : "") + (gathers_ ? gathers_->figures() : "") +
+           (writes_ ? writes_->figures() : "") + (shared_ ? shared_->show_figures() : "") +
+           (jobs_ ? jobs_->figures(net::steady_now()) : "");
   }
   std::optional<std::string> members() override {
     return fleet_ ? std::optional<std::string>(fleet_->show_members()) : std::nullopt;
@@ -227,7 +233,8 @@
   time_point next_lock_try = time_point::max();
   // Reads the folder as after a restart: what the process before kept is known from now on.
   const auto open_keeper = [&] {
-    keeper = std::make_unique<keyed::keeper>(*disk, keeper_options_of(settings), counters, [&] { waker->wake(); });
+    keeper =
+        std::make_unique<keyed::keeper>(*disk, keeper_options_of(settings), counters, [&] { waker->wake(); });
     keeper->report_to(desk);
     keys->take(*keeper);
   };
@@ -246,7 +253,8 @@
   if (settings.repeats) {
     repeats.emplace(memory_results_options_of(settings), counters);
     repeats->report_to(desk);
-    // What was given up is stopped at once: nothing of it outlives the process, so nothing is saved by its end.
+    // What was given up is stopped at once: nothing of it outlives the process, so nothing is saved by its
+    // end.
     desk.use(*repeats, duration{});
   }
   runtime::link runtime(reactor, settings, desk, counters);
@@ -264,8 +272,8 @@
   std::optional<fleet::shares> shared;
   // Work behind the requests: only where the operator's file asks for some.
   std::optional<background> jobs;
-  operators_desk operators(settings, desk, counters, runtime, front, drained, fleet ? &*fleet : nullptr, gatherer, writer,
-                            shared, jobs);
+  operators_desk operators(settings, desk, counters, runtime, front, drained, fleet ? &*fleet : nullptr,
+                           gatherer, writer, shared, jobs);
   std::optional<console::server> console;
   if (settings.console) {
     console.emplace(reactor, bounds, *settings.console, operators, counters);
@@ -278,25 +286,30 @@
     backend* behind = &*servers;
     if (settings.dependencies) behind = &gatherer.emplace(reactor, settings, desk, *servers);
     if (settings.writes)
-      behind = &writer.emplace(reactor, settings, desk, *gatherer, disk, random_number(), [&] { waker->wake(); });
+      behind =
+          &writer.emplace(reactor, settings, desk, *gatherer, disk, random_number(), [&] { waker->wake(); });
     second_front.emplace(reactor, settings, desk, *behind, counters);
     telemetry::log("start", "uwsgi on %s:%u", settings.uwsgi->listen.host.c_str(),
                    static_cast<unsigned>(settings.uwsgi->listen.port));
   }
   if (settings.budgets) {
     fleet::calls_user calls;
-    calls.limit = [&](std::size_t d, double n) { writer ? writer->set_share(d, n) : gatherer->set_share(d, n); };
+    calls.limit = [&](std::size_t d, double n) {
+      writer ? writer->set_share(d, n) : gatherer->set_share(d, n);
+    };
     calls.use = [&](std::size_t d) {
       const dependencies::gatherer::calls now = writer ? writer->calls_at(d) : gatherer->calls_at(d);
       return fleet::calls_user::calls{now.in_flight, now.waiting, now.turned_away};
     };
     shared.emplace(*fleet, settings, desk, counters, std::move(calls));
   }
-  if (background::wanted(settings)) jobs.emplace(settings, counters, [&] { waker->wake(); }, net::steady_now());
+  if (background::wanted(settings))
+    jobs.emplace(
+        settings, counters, [&] { waker->wake(); }, net::steady_now());
   std::optional<ops::departure> leaving;  // from the notice on
   handover_file handover(settings);
   std::uint64_t routed_by = ~std::uint64_t{0};  // the fleet's changes that the routes of calls follow already
-  bool writes_looked_after = false;  // the folder's tables are, by background work
+  bool writes_looked_after = false;             // the folder's tables are, by background work
   telemetry::log("start", "%s listens on %s:%u", settings.name.c_str(), settings.listen.host.c_str(),
                  static_cast<unsigned>(settings.listen.port));
 
@@ -356,7 +369,8 @@
     const time_point shared_due = shared ? shared->step(now) : time_point::max();
     desk.step(now, gauges);
     if (jobs && !jobs->idle(now))
-      jobs->step(now, busy && *busy < gauges.size() ? std::optional(gauges[*busy]) : std::nullopt, desk.in_hand().waiting);
+      jobs->step(now, busy && *busy < gauges.size() ? std::optional(gauges[*busy]) : std::nullopt,
+                 desk.in_hand().waiting);
     if (leaving) {
       // With a successor beside it, every connection this one keeps or takes is one the successor does not.
       if (leaving->asks_callers_to_go(now)) {
@@ -373,13 +387,12 @@
       connections.empty = kept && front.empty() && (!second_front || second_front->empty());
       if (leaving->is_over(now, connections)) reactor.stop();
     }
-    const time_point due =
-        std::min({desk.due(), runtime.step(now), reporter.step(now, drained.healthy(desk.healthy())), front.step(now),
-                  second_front ? second_front->step(now) : time_point::max(),
-                  gatherer ? gatherer->step(now) : time_point::max(),
-                  writer ? writer->step(now) : time_point::max(),
-                  console ? console->step(now) : time_point::max(),
-                  fleet_due, shared_due, next_lock_try, jobs ? jobs->due() : time_point::max()});
+    const time_point due = std::min(
+        {desk.due(), runtime.step(now), reporter.step(now, drained.healthy(desk.healthy())), front.step(now),
+         second_front ? second_front->step(now) : time_point::max(),
+         gatherer ? gatherer->step(now) : time_point::max(), writer ? writer->step(now) : time_point::max(),
+         console ? console->step(now) : time_point::max(), fleet_due, shared_due, next_lock_try,
+         jobs ? jobs->due() : time_point::max()});
     return desk.due() < now || (repeats && repeats->has_news()) ? now : due;
   });
   telemetry::log("stop", "%zu requests open", desk.open());
--- a/src/node/serve.hpp
+++ b/src/node/serve.hpp
@@ -6,7 +6,8 @@
 
 namespace marblewharf::node {
 
-// Heeds the signals that node::catch_signals() notes. Returns when the node has left; throws what keeps it from starting.
+// Heeds the signals that node::catch_signals() notes. Returns when the node has left; throws what keeps it
+// from starting.
 void serve(const config& settings, net::tap* tap);
 
 }  // namespace marblewharf::node
--- a/src/node/signals.cpp
+++ b/src/node/signals.cpp
@@ -34,10 +34,16 @@
   for (const int heeded : {SIGTERM, SIGINT, SIGUSR1, SIGHUP}) std::signal(heeded, on_signal);
 }
 
-bool told_to_leave() { return leave_noted != 0; }
+bool told_to_leave() {
+  return leave_noted != 0;
+}
 
-bool take_reload_request() { return take(reload_noted); }
+bool take_reload_request() {
+  return take(reload_noted);
+}
 
-bool take_counters_request() { return take(counters_noted); }
+bool take_counters_request() {
+  return take(counters_noted);
+}
 
 }  // namespace marblewharf::node
--- a/src/node/signals.hpp
+++ b/src/node/signals.hpp
@@ -3,7 +3,8 @@
 
 namespace marblewharf::node {
 
-// From now on signals are noted. To be called before anything else: until then SIGHUP and SIGUSR1 end the process.
+// From now on signals are noted. To be called before anything else: until then SIGHUP and SIGUSR1 end the
+// process.
 void catch_signals();
 
 // SIGTERM or SIGINT came: the notice to leave. It stands once it came.
--- a/src/ops/console_line.hpp
+++ b/src/ops/console_line.hpp
@@ -8,8 +8,8 @@
 
 enum class console_call { ready, show_stat, drain, resume, show_members, show_zones, show_budgets };
 
-// The call of a whole line, without its line end ("\n" or "\r\n"); none where it names no call. Blanks round the word
-// are allowed, nothing else.
+// The call of a whole line, without its line end ("\n" or "\r\n"); none where it names no call. Blanks round
+// the word are allowed, nothing else.
 std::optional<console_call> parse_console_line(std::string_view line);
 
 }  // namespace marblewharf::ops
--- a/src/ops/departure.hpp
+++ b/src/ops/departure.hpp
@@ -27,8 +27,8 @@
   bool asks_callers_to_go(time_point now) const;
   // From now on the node itself ends what stands, each connection once nothing is owed on it.
   bool ends_connections(time_point now);
-  // The process ends. Only once every connection is ended or the time is up: what the reactor's last round read of a
-  // connection that was not ended would get no answer.
+  // The process ends. Only once every connection is ended or the time is up: what the reactor's last round
+  // read of a connection that was not ended would get no answer.
   bool is_over(time_point now, progress connections) const;
 
  private:
--- a/src/ops/drain.hpp
+++ b/src/ops/drain.hpp
@@ -12,12 +12,13 @@
   using time_point = std::chrono::nanoseconds;  // steady clock
   enum class stage { serving, draining };
 
-  // `drain` twice keeps the first time; `resume` without a drain changes nothing. Both return whether the stage
-  // changed.
+  // `drain` twice keeps the first time; `resume` without a drain changes nothing. Both return whether the
+  // stage changed.
   bool drain(time_point now);
   bool resume(time_point now);
 
-  // What health checks answer, given what the module says of itself: bad from the drain on, whatever else holds.
+  // What health checks answer, given what the module says of itself: bad from the drain on, whatever else
+  // holds.
   bool healthy(bool module_good) const { return stage_ == stage::serving && module_good; }
 
   stage where() const { return stage_; }
--- a/src/ops/handover.cpp
+++ b/src/ops/handover.cpp
@@ -36,8 +36,8 @@
 
 std::string mark_path(const std::string& folder, const std::string& node_name, const std::string& listen_host,
                       std::uint16_t listen_port) {
-  return (folder.empty() ? std::string(".") : folder) + "/marblewharf-" + node_name + "-" + listen_host + "-" +
-         std::to_string(listen_port) + ".ready";
+  return (folder.empty() ? std::string(".") : folder) + "/marblewharf-" + node_name + "-" + listen_host +
+         "-" + std::to_string(listen_port) + ".ready";
 }
 
 }  // namespace marblewharf::ops
--- a/src/ops/handover.hpp
+++ b/src/ops/handover.hpp
@@ -26,9 +26,9 @@
 // Whether another process has taken over the clients' address: its mark is newer than this process.
 bool successor_took_over(const handover_mark& self, const std::optional<handover_mark>& seen);
 
-// The file of the mark in a folder, by the node's name and the clients' address that a successor shares with it:
-// one node, one mark, whichever process wrote it last. A node of the same name on another address (a second node
-// on the machine, a test beside another) writes a file of its own and is no successor.
+// The file of the mark in a folder, by the node's name and the clients' address that a successor shares with
+// it: one node, one mark, whichever process wrote it last. A node of the same name on another address (a
+// second node on the machine, a test beside another) writes a file of its own and is no successor.
 std::string mark_path(const std::string& folder, const std::string& node_name, const std::string& listen_host,
                       std::uint16_t listen_port);
 
--- a/src/runtime/link.cpp
+++ b/src/runtime/link.cpp
@@ -38,8 +38,9 @@
   call& c = at->second;
   labels_.emplace(id, what.label);
   if (!added) {
-    // The runtime knows runs by label, and only one request of that name: whoever has made up the other is told
-    // apart by the runtime's answer. Guards an honest request against one that took its name and came first.
+    // The runtime knows runs by label, and only one request of that name: whoever has made up the other is
+    // told apart by the runtime's answer. Guards an honest request against one that took its name and came
+    // first.
     log("bad-request", "a label that is open already: %s", what.label.c_str());
     c.rivals.emplace_back(id, what);
     if (c.start == sent::arrived) withdraw(c, id);
@@ -239,8 +240,8 @@
 }
 
 void link::on(const ready& n) {
-  // `ready` was said after our sync and read now: the runtime started no earlier than `earliest`, no later than
-  // `start`. Guards against the time in which this process stood still, taken for a later start.
+  // `ready` was said after our sync and read now: the runtime started no earlier than `earliest`, no later
+  // than `start`. Guards against the time in which this process stood still, taken for a later start.
   const time_point earliest = synced_at_ - n.up;
   const time_point start = net::steady_now() - n.up;
   const bool first = runtime_start_.count() == 0;
@@ -293,7 +294,8 @@
   std::from_chars(n.cookie.data(), n.cookie.data() + n.cookie.size(), asked);
   gauges_ = n.stats;
   gauges_at_ = net::steady_now();
-  if (state_ != state::catching_up) on_arrived(asked);  // else it was said on a link that is gone: settled below
+  if (state_ != state::catching_up)
+    on_arrived(asked);  // else it was said on a link that is gone: settled below
   if (state_ == state::catching_up && asked >= settle_at_) settle();
   if (state_ == state::handing_over && asked >= settle_at_) hand_over(gauges_at_);
 }
@@ -326,16 +328,17 @@
   }
 }
 
-// Every end until now is known. A start that may have been lost with the link cannot just be said again: the run
-// may end as it is said, and would begin anew. So it is stopped first where that only pauses it. If it runs, the
-// runtime says so and it goes on; if not, it is started. Where a stop is for good, only what is safe is started
-// again; an effect is stopped and counts as failed.
+// Every end until now is known. A start that may have been lost with the link cannot just be said again: the
+// run may end as it is said, and would begin anew. So it is stopped first where that only pauses it. If it
+// runs, the runtime says so and it goes on; if not, it is started. Where a stop is for good, only what is
+// safe is started again; an effect is stopped and counts as failed.
 void link::settle() {
   const bool pauses = config_.settings.halt == wrenrill::halt_mode::pause;
   state_ = state::up;
   std::vector<std::string> doubtful;
   for (auto& [label, c] : calls_) {
-    if (state_ != state::up) return;  // lost while it is said: the next link settles anew what this one left open
+    if (state_ != state::up)
+      return;  // lost while it is said: the next link settles anew what this one left open
     if (c.start == sent::on_its_way && pauses) {
       c.probing = true;
       c.sure = false;
--- a/src/scheduler/pool.cpp
+++ b/src/scheduler/pool.cpp
@@ -44,8 +44,8 @@
   std::function<void()> notify;  // not called once leaving
 };
 
-pool::pool(options o, std::function<void()> notify, std::function<void(const std::string&, const std::string&)> note,
-           time_point now)
+pool::pool(options o, std::function<void()> notify,
+           std::function<void(const std::string&, const std::string&)> note, time_point now)
     : scheduler_(o, now), note_(std::move(note)), shared_(std::make_shared<shared>()) {
   shared_->notify = std::move(notify);
   shared_->ended_.assign(o.workers, false);
@@ -136,7 +136,8 @@
   }
   if (sent) shared_->asked.notify_all();
   for (const job_figures& f : scheduler_.figures(now)) {
-    if (f.overrun && !std::exchange(jobs_.at(f.id).overrun_said, true)) note_(f.name, "a slice does not come to its end");
+    if (f.overrun && !std::exchange(jobs_.at(f.id).overrun_said, true))
+      note_(f.name, "a slice does not come to its end");
   }
   return scheduler_.due(now);
 }
--- a/src/scheduler/pool.hpp
+++ b/src/scheduler/pool.hpp
@@ -1,8 +1,10 @@
-// Worker threads for the slices that the scheduler picks. The owner's thread calls everything here; slices run on threads
-// of the pool, at the lowest priority of the system, with a queue that never holds more than there are workers.
+// Worker threads for the slices that the scheduler picks. The owner's thread calls everything here; slices
+// run on threads of the pool, at the lowest priority of the system, with a queue that never holds more than
+// there are workers.
 //
-// A slice that does not return keeps its worker: that is counted and said (job_figures::overrun), the other workers go on,
-// and the pool's end waits `patience` for it and then leaves its thread behind. So a job's work owns what it uses.
+// A slice that does not return keeps its worker: that is counted and said (job_figures::overrun), the other
+// workers go on, and the pool's end waits `patience` for it and then leaves its thread behind. So a job's
+// work owns what it uses.
 #pragma once
 
 #include <atomic>
@@ -23,14 +25,15 @@
   std::uint64_t read = 0, written = 0;  // bytes
   std::string note;                     // for the owner, on its own thread; empty: nothing
 };
-// On a worker's thread. `leaving`: the pool is at its end, return soon. What it throws counts as failed, its text as note.
+// On a worker's thread. `leaving`: the pool is at its end, return soon. What it throws counts as failed, its
+// text as note.
 using work = std::function<slice_result(const std::atomic<bool>& leaving)>;
 
 class pool {
  public:
   // `notify`: step() has something to do; from a worker's thread. `note`: of a job's slice, from step().
-  pool(options o, std::function<void()> notify, std::function<void(const std::string& job, const std::string&)> note,
-       time_point now);
+  pool(options o, std::function<void()> notify,
+       std::function<void(const std::string& job, const std::string&)> note, time_point now);
   ~pool();
   pool(const pool&) = delete;
   pool& operator=(const pool&) = delete;
--- a/src/scheduler/room.hpp
+++ b/src/scheduler/room.hpp
@@ -1,5 +1,5 @@
-// How much of their budgets background jobs may use, from what the machine has to do: all of it on a quiet one, nothing
-// while requests wait to run.
+// How much of their budgets background jobs may use, from what the machine has to do: all of it on a quiet
+// one, nothing while requests wait to run.
 //
 // Free of I/O and clocks; owned by one thread.
 #pragma once
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -11,7 +11,9 @@
 
 constexpr time_point never = time_point::max();
 
-double seconds(duration d) { return std::chrono::duration<double>(d).count(); }
+double seconds(duration d) {
+  return std::chrono::duration<double>(d).count();
+}
 
 }  // namespace
 
@@ -61,7 +63,8 @@
 
 job_id scheduler::add(job_rules rules, time_point from) {
   for (const auto& [id, j] : jobs_)
-    if (j.rules.name == rules.name && !j.cancelled) throw std::invalid_argument("scheduler: two jobs named " + rules.name);
+    if (j.rules.name == rules.name && !j.cancelled)
+      throw std::invalid_argument("scheduler: two jobs named " + rules.name);
   // What is there has no circle; a new one closes one exactly where it waits for itself.
   for (const std::string& before : rules.after)
     if (reaches(before, rules.name))
@@ -110,8 +113,8 @@
   filled_ = now;
 }
 
-// Jobs that are due and wait for this one: it is as urgent, and as far ahead, as they are, or they would wait behind
-// others.
+// Jobs that are due and wait for this one: it is as urgent, and as far ahead, as they are, or they would wait
+// behind others.
 template <typename F>
 void scheduler::each_that_waits_for(const job& j, time_point now, F&& f) const {
   for (const job_id id : ordered_) {
@@ -134,7 +137,8 @@
 bool scheduler::blocked(const job& j, time_point now) const {
   if (j.rules.after.empty()) return false;
   for (const auto& [id, other] : jobs_)
-    if (!other.cancelled && j.rules.after.contains(other.rules.name) && (other.out || now >= other.due_at)) return true;
+    if (!other.cancelled && j.rules.after.contains(other.rules.name) && (other.out || now >= other.due_at))
+      return true;
   return false;
 }
 
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -1,13 +1,14 @@
-// When background work runs: jobs with priorities, deadlines, an order among them, and budgets, cut into slices, and held
-// back while the machine is busy with requests (docs/scheduler.md).
+// When background work runs: jobs with priorities, deadlines, an order among them, and budgets, cut into
+// slices, and held back while the machine is busy with requests (docs/scheduler.md).
 //
-// Free of I/O, threads and clocks: moments, loads and the costs of slices are handed in, slices to run come out. Not
-// thread-safe: owned by one thread.
+// Free of I/O, threads and clocks: moments, loads and the costs of slices are handed in, slices to run come
+// out. Not thread-safe: owned by one thread.
 //
-// Promises: at most `workers` slices are out at once, and never two of one job. Over any span of time t the slices picked
-// use no more of a budget than its rate times t, its burst, and what the slices that emptied it took over (a slice is
-// whole). A job that waits comes first in the end, whatever others do. While `set_load` says that there is no room, only
-// jobs past their deadline run, and those that such a one waits for, at `urgent` of the budgets.
+// Promises: at most `workers` slices are out at once, and never two of one job. Over any span of time t the
+// slices picked use no more of a budget than its rate times t, its burst, and what the slices that emptied it
+// took over (a slice is whole). A job that waits comes first in the end, whatever others do. While `set_load`
+// says that there is no room, only jobs past their deadline run, and those that such a one waits for, at
+// `urgent` of the budgets.
 #pragma once
 
 #include <chrono>
@@ -37,22 +38,22 @@
 
 struct job_rules {
   std::string name;
-  int priority = 0;                  // the lower, the sooner
-  duration every{};                  // due again so long after its end; 0: once
-  duration deadline{};               // after it became due: from then on it is urgent; 0: never
-  std::set<std::string> after;       // names of jobs that go first while they are due or under way
-  rates budget;                      // its own, beside that of all together
+  int priority = 0;             // the lower, the sooner
+  duration every{};             // due again so long after its end; 0: once
+  duration deadline{};          // after it became due: from then on it is urgent; 0: never
+  std::set<std::string> after;  // names of jobs that go first while they are due or under way
+  rates budget;                 // its own, beside that of all together
 };
 
 struct options {
   unsigned workers = 1;
-  rates budget;                                  // of all jobs together
+  rates budget;                                     // of all jobs together
   duration burst = std::chrono::milliseconds(200);  // of rates, that may be used at once
-  double urgent = 0.1;                           // of the budgets, for urgent jobs while there is no room
-  duration ageing = std::chrono::seconds(60);    // waiting so long is worth one step of priority
-  duration first_pause = std::chrono::seconds(1);  // after a slice that failed; then doubled
+  double urgent = 0.1;                              // of the budgets, for urgent jobs while there is no room
+  duration ageing = std::chrono::seconds(60);       // waiting so long is worth one step of priority
+  duration first_pause = std::chrono::seconds(1);   // after a slice that failed; then doubled
   duration longest_pause = std::chrono::minutes(10);
-  duration overrun = std::chrono::seconds(5);    // a slice that is out for longer: its job does not yield
+  duration overrun = std::chrono::seconds(5);  // a slice that is out for longer: its job does not yield
 };
 
 enum class slice_end {
@@ -79,8 +80,8 @@
  public:
   explicit scheduler(options o, time_point now);
 
-  // First due at `from`. Throws std::invalid_argument where jobs would wait for each other in a circle, or the name is
-  // taken.
+  // First due at `from`. Throws std::invalid_argument where jobs would wait for each other in a circle, or
+  // the name is taken.
   job_id add(job_rules rules, time_point from);
   // A slice that is out goes on to its end; nothing more of the job runs.
   void cancel(job_id id);
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -107,8 +107,8 @@
     c.aim_stretch = env.amount(at + "AimStretch", 0);
     c.worth = env.amount(at + "Credit", 1);
     c.late_worth = env.number(at + "LateValue", 0);
-    c.repeats =
-        pick<effect>(env, at + "Effect", {{"safe", effect::safe}, {"keyed", effect::keyed}, {"unsafe", effect::unsafe}});
+    c.repeats = pick<effect>(env, at + "Effect",
+                             {{"safe", effect::safe}, {"keyed", effect::keyed}, {"unsafe", effect::unsafe}});
     c.window = env.time(at + "Window");
     c.calls = !calls.empty() && calls[i] == "true";
     c.worth_without = without.empty() ? 0 : environment_reader::to_number("Extra.WorthWithout", without[i]);
--- a/src/store/bytes.hpp
+++ b/src/store/bytes.hpp
@@ -9,7 +9,8 @@
 
 namespace marblewharf::store {
 
-static_assert(std::endian::native == std::endian::little, "the format is little-endian, and written as it stands");
+static_assert(std::endian::native == std::endian::little,
+              "the format is little-endian, and written as it stands");
 
 template <typename T>
 void put(std::string& out, T value) {
--- a/src/store/checkpoint.cpp
+++ b/src/store/checkpoint.cpp
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-checkpoint_writer::checkpoint_writer(file_system& fs, std::string folder, std::uint64_t salt, const position& from,
-                                     std::uint64_t bytes)
+checkpoint_writer::checkpoint_writer(file_system& fs, std::string folder, std::uint64_t salt,
+                                     const position& from, std::uint64_t bytes)
     : fs_(fs), folder_(std::move(folder)) {
   if (stands(fs_, folder_, unfinished)) fs_.remove(folder_ + unfinished);
   file_ = fs_.create(folder_ + unfinished, std::max<std::uint64_t>(bytes, header_size));
@@ -41,7 +41,8 @@
 
 void checkpoint_writer::add(const std::vector<std::string>& entries) {
   std::vector<record> records;
-  for (const std::string& e : entries) records.push_back({static_cast<std::uint32_t>(table_record::entry), e});
+  for (const std::string& e : entries)
+    records.push_back({static_cast<std::uint32_t>(table_record::entry), e});
   if (!records.empty()) frame(records);
   entries_ += entries.size();
 }
@@ -49,7 +50,8 @@
 void checkpoint_writer::finish() {
   frame({{static_cast<std::uint32_t>(table_record::end), std::to_string(entries_)}});
   file_->truncate(end_);
-  file_->sync();  // else a crash may leave one that is torn where a whole one stood, and a start reads the whole log
+  file_->sync();  // else a crash may leave one that is torn where a whole one stood, and a start reads the
+                  // whole log
   fs_.rename(folder_ + unfinished, folder_ + name);
   fs_.sync_folder(folder_);
 }
@@ -66,8 +68,10 @@
     std::optional<std::string> end;
     const scan_result r = scan(bytes, h, bytes.size(), path,
                                [&](std::uint32_t type, std::string_view body, std::uint64_t, std::uint64_t) {
-                                 if (type == static_cast<std::uint32_t>(table_record::entry)) entries.push_back(body);
-                                 if (type == static_cast<std::uint32_t>(table_record::end)) end = std::string(body);
+                                 if (type == static_cast<std::uint32_t>(table_record::entry))
+                                   entries.push_back(body);
+                                 if (type == static_cast<std::uint32_t>(table_record::end))
+                                   end = std::string(body);
                                });
     if (r.end != bytes.size() || end != std::to_string(entries.size())) throw damaged(path + ": not whole");
     found = {{h.previous, static_cast<std::uint32_t>(h.previous_end), 0}, entries.size(), h.salt, {}};
--- a/src/store/checkpoint.hpp
+++ b/src/store/checkpoint.hpp
@@ -1,8 +1,9 @@
-// A checkpoint of a store's index: which key stands where, written in slices while writes go on. Blocks on the disk.
+// A checkpoint of a store's index: which key stands where, written in slices while writes go on. Blocks on
+// the disk.
 //
-// A file in the format of a segment, under another name, whose header says from which place of the log on all that was
-// written since is to be read over it. It counts once it was renamed to its name; until then, and where it is damaged, the
-// one before or the log alone counts.
+// A file in the format of a segment, under another name, whose header says from which place of the log on all
+// that was written since is to be read over it. It counts once it was renamed to its name; until then, and
+// where it is damaged, the one before or the log alone counts.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +23,8 @@
 class checkpoint_writer {
  public:
   // `from`: the log's end now; `bytes`: about what it will take. Throws io_error.
-  checkpoint_writer(file_system& fs, std::string folder, std::uint64_t salt, const position& from, std::uint64_t bytes);
+  checkpoint_writer(file_system& fs, std::string folder, std::uint64_t salt, const position& from,
+                    std::uint64_t bytes);
   // One that is not finished is taken away at the next beginning.
   ~checkpoint_writer() = default;
 
@@ -42,10 +44,10 @@
 };
 
 struct checkpoint_found {
-  position from;              // read the log from here
+  position from;  // read the log from here
   std::uint64_t entries = 0;
   std::uint64_t salt = 0;
-  std::string fault;          // it is damaged and none of it counts; empty: whole
+  std::string fault;  // it is damaged and none of it counts; empty: whole
 };
 // None: there is none. `each` gets the entries of a whole one only. Throws io_error.
 std::optional<checkpoint_found> read_checkpoint(file_system& fs, const std::string& folder,
--- a/src/store/cleaning.cpp
+++ b/src/store/cleaning.cpp
@@ -8,10 +8,12 @@
 
 // Below this, cleaning would turn the same few segments over and over.
 constexpr std::uint64_t floor_segments = 3;
-// Left free while cleaning has nothing to do: the reserve and a batch, where every segment loses a quarter at its end.
+// Left free while cleaning has nothing to do: the reserve and a batch, where every segment loses a quarter at
+// its end.
 constexpr std::uint64_t free_segments = 4;
 constexpr double memory = 4;  // cleanings
-constexpr std::chrono::nanoseconds soonest = std::chrono::milliseconds(100), latest = std::chrono::seconds(30);
+constexpr std::chrono::nanoseconds soonest = std::chrono::milliseconds(100),
+                                   latest = std::chrono::seconds(30);
 
 }  // namespace
 
--- a/src/store/cleaning.hpp
+++ b/src/store/cleaning.hpp
@@ -2,8 +2,9 @@
 //
 // Free of I/O and clocks: sizes and moments are handed in. Not thread-safe: owned by one thread.
 //
-// Promises: while cleaning keeps up, what stands on disk is at most `amplification` times what counts, and some segments.
-// Writers never take the room that cleaning needs to go on. Each batch is told before anything of it is written.
+// Promises: while cleaning keeps up, what stands on disk is at most `amplification` times what counts, and
+// some segments. Writers never take the room that cleaning needs to go on. Each batch is told before anything
+// of it is written.
 #pragma once
 
 #include <chrono>
@@ -16,10 +17,11 @@
 
 struct cleaning_rules {
   std::uint64_t segment = std::uint64_t{8} << 20;  // bytes
-  // Bytes of all segments together. A checkpoint stands beside them: some 80 bytes and the key for each key, twice while one
-  // is made.
+  // Bytes of all segments together. A checkpoint stands beside them: some 80 bytes and the key for each key,
+  // twice while one is made.
   std::uint64_t space = std::uint64_t{1} << 30;
-  // Bytes on disk for one that counts, at most: above 1. A byte written costs A / (A - 1) bytes on disk over a turn of the log.
+  // Bytes on disk for one that counts, at most: above 1. A byte written costs A / (A - 1) bytes on disk over
+  // a turn of the log.
   double amplification = 2;
 };
 
@@ -38,7 +40,8 @@
 
 class cleaning {
  public:
-  // Throws std::invalid_argument where the space is under twelve segments or the amplification is not above 1.
+  // Throws std::invalid_argument where the space is under twelve segments or the amplification is not
+  // above 1.
   explicit cleaning(cleaning_rules rules);
 
   // Bytes that can be kept at this amplification.
--- a/src/store/committer.cpp
+++ b/src/store/committer.cpp
@@ -7,7 +7,11 @@
 
 committer::committer(std::unique_ptr<log> l, committer_options options, std::function<std::int64_t()> now,
                      std::function<void()> notify)
-    : log_(std::move(l)), options_(options), now_(std::move(now)), notify_(std::move(notify)), queue_(options.queue) {
+    : log_(std::move(l)),
+      options_(options),
+      now_(std::move(now)),
+      notify_(std::move(notify)),
+      queue_(options.queue) {
   report({});
   thread_ = std::thread([this] { serve(); });
 }
@@ -81,7 +85,8 @@
       if (d.ok) d.at = at[i++];
     }
   }
-  // A segment that was filled leaves no spare: the next one is set aside before anybody hears how much room there is.
+  // A segment that was filled leaves no spare: the next one is set aside before anybody hears how much room
+  // there is.
   if (log_->is_open()) look_after(false);
   report(std::move(out));
 }
--- a/src/store/committer.hpp
+++ b/src/store/committer.hpp
@@ -1,6 +1,6 @@
-// The thread that a log's disk blocks, so that no other has to wait for one: writes that are asked for while a commit
-// is under way go to disk together with the next (group commit). Its queue is bounded by whoever asks: it takes in
-// what fits and says so where it does not.
+// The thread that a log's disk blocks, so that no other has to wait for one: writes that are asked for while
+// a commit is under way go to disk together with the next (group commit). Its queue is bounded by whoever
+// asks: it takes in what fits and says so where it does not.
 #pragma once
 
 #include <cstdint>
@@ -17,8 +17,8 @@
 namespace marblewharf::store {
 
 struct committer_options {
-  std::size_t queue = 4096;         // requests waiting, at most
-  std::size_t batch = 1024;         // records in one commit; 1 = a sync for each record
+  std::size_t queue = 4096;  // requests waiting, at most
+  std::size_t batch = 1024;  // records in one commit; 1 = a sync for each record
   std::chrono::nanoseconds retry = std::chrono::milliseconds(500);  // after a failure, until the next try
   std::chrono::nanoseconds tidy = std::chrono::seconds(1);          // between looks for what has aged
 };
@@ -29,22 +29,22 @@
   struct done {
     std::uint64_t ticket = 0;
     kind what = kind::write;
-    bool ok = false;  // of a write: it is on disk. False: it counts nowhere
-    position at;      // of what was written
-    std::string body; // of what was read
+    bool ok = false;   // of a write: it is on disk. False: it counts nowhere
+    position at;       // of what was written
+    std::string body;  // of what was read
   };
   // As of the commits whose `done` was collected.
   struct condition {
     bool writable = false;
-    std::uint64_t room = 0;         // log::room()
-    std::uint64_t used = 0;         // bytes on disk
-    std::int64_t next_ageing = 0;   // log::next_ageing()
+    std::uint64_t room = 0;        // log::room()
+    std::uint64_t used = 0;        // bytes on disk
+    std::int64_t next_ageing = 0;  // log::next_ageing()
     std::uint64_t commits = 0;
-    std::string fault;              // the last one; empty while writable
+    std::string fault;  // the last one; empty while writable
   };
 
-  // `now`: the time of the log's owner, safe to call from the thread. `notify`: something can be collected; called
-  // from the thread. The log must be open.
+  // `now`: the time of the log's owner, safe to call from the thread. `notify`: something can be collected;
+  // called from the thread. The log must be open.
   committer(std::unique_ptr<log> l, committer_options options, std::function<std::int64_t()> now,
             std::function<void()> notify);
   // What was asked for is written first.
@@ -79,9 +79,9 @@
 
   task_queue<task> queue_;
   std::mutex guard_;
-  std::vector<done> done_;   // under guard_
-  condition condition_;      // under guard_
-  std::string fault_;        // the thread's own
+  std::vector<done> done_;  // under guard_
+  condition condition_;     // under guard_
+  std::string fault_;       // the thread's own
   std::uint64_t commits_ = 0;
   std::thread thread_;
 };
--- a/src/store/file_system.cpp
+++ b/src/store/file_system.cpp
@@ -79,7 +79,8 @@
   std::string bytes(size, '\0');
   std::size_t got = 0;
   while (got < bytes.size()) {
-    const ssize_t n = ::pread(fd.get(), bytes.data() + got, bytes.size() - got, static_cast<off_t>(offset + got));
+    const ssize_t n =
+        ::pread(fd.get(), bytes.data() + got, bytes.size() - got, static_cast<off_t>(offset + got));
     if (n < 0 && errno == EINTR) continue;
     if (n < 0) fail(path, "read", errno);
     if (n == 0) break;
@@ -131,8 +132,7 @@
 
 std::shared_ptr<void> posix_file_system::lock(const std::string& path) {
   const auto fd = std::make_shared<descriptor>(path, O_CREAT | O_RDWR);
-  if (::flock(fd->get(), LOCK_EX | LOCK_NB) != 0)
-    throw held(path + ": another process holds this folder");
+  if (::flock(fd->get(), LOCK_EX | LOCK_NB) != 0) throw held(path + ": another process holds this folder");
   return fd;
 }
 
--- a/src/store/file_system.hpp
+++ b/src/store/file_system.hpp
@@ -24,8 +24,8 @@
  public:
   virtual ~file() = default;
   virtual void write_at(std::uint64_t offset, std::string_view bytes) = 0;
-  // Returns once the data is on disk. A failure is final for this file: the system may have dropped what it could
-  // not write, and a second try would report success for it.
+  // Returns once the data is on disk. A failure is final for this file: the system may have dropped what it
+  // could not write, and a second try would report success for it.
   virtual void sync() = 0;
   virtual void truncate(std::uint64_t size) = 0;
 };
--- a/src/store/log.cpp
+++ b/src/store/log.cpp
@@ -38,7 +38,7 @@
   std::vector<found_segment> segments;
   recovered_counts counts;
   bool spare = false;
-  std::uint64_t highest = 0;  // number ever seen, also set aside
+  std::uint64_t highest = 0;                   // number ever seen, also set aside
   std::map<std::uint64_t, std::int64_t> aged;  // gone, with what a header says of their ageing; 0: none does
 };
 
@@ -84,15 +84,16 @@
       continue;
     }
     const std::string bytes = fs.read(path_of(s.number), 0, s.size);
-    const scan_result r =
-        scan(bytes, s.header, counted ? next->second.previous_end : 0, path_of(s.number),
-             [&](std::uint32_t type, std::string_view body, std::uint64_t offset, std::uint64_t size) {
-               s.expiry = std::max(s.expiry, expiry_of(type, body));
-               // Also of a segment that was read for its end only: older records must not come over newer ones.
-               if (from && std::pair(s.number, offset) < std::pair(from->segment, std::uint64_t{from->offset})) return;
-               ++found.counts.records;
-               each(type, body, {s.number, static_cast<std::uint32_t>(offset), static_cast<std::uint32_t>(size)});
-             });
+    const scan_result r = scan(
+        bytes, s.header, counted ? next->second.previous_end : 0, path_of(s.number),
+        [&](std::uint32_t type, std::string_view body, std::uint64_t offset, std::uint64_t size) {
+          s.expiry = std::max(s.expiry, expiry_of(type, body));
+          // Also of a segment that was read for its end only: older records must not come over newer ones.
+          if (from && std::pair(s.number, offset) < std::pair(from->segment, std::uint64_t{from->offset}))
+            return;
+          ++found.counts.records;
+          each(type, body, {s.number, static_cast<std::uint32_t>(offset), static_cast<std::uint32_t>(size)});
+        });
     s.end = r.end;
     found.counts.frames += r.frames;
     found.counts.torn_bytes += r.torn;
@@ -101,7 +102,8 @@
   }
   // Guards against a segment that somebody took away while what is in it still counts.
   for (const auto& [n, h] : headers) {
-    if (const auto gone = found.aged.find(h.previous); gone != found.aged.end()) gone->second = h.previous_expiry;
+    if (const auto gone = found.aged.find(h.previous); gone != found.aged.end())
+      gone->second = h.previous_expiry;
     if (h.previous == 0 || headers.contains(h.previous) || h.previous_expiry <= found.counts.latest) continue;
     if (found.aged.contains(h.previous)) continue;
     if (std::find(aside.begin(), aside.end(), h.previous) == aside.end())
@@ -116,8 +118,8 @@
     : fs_(fs), options_(std::move(options)) {
   fs_.make_folder(options_.folder);
   lock_ = fs_.lock(options_.folder + "/lock");
-  const found_folder found =
-      read_folder(fs_, options_.folder, expiry_of, each, options_.format, options_.from ? options_.from() : std::nullopt);
+  const found_folder found = read_folder(fs_, options_.folder, expiry_of, each, options_.format,
+                                         options_.from ? options_.from() : std::nullopt);
   counts_ = found.counts;
   number_ = found.highest;
   for (const found_segment& s : found.segments) {
@@ -186,8 +188,8 @@
     fs_.rename(options_.folder + "/spare", path_of(h.number));
     fs_.sync_folder(options_.folder);
   } catch (const io_error&) {
-    // Where the rename is done and only its sync failed, the file may or may not be there after a crash. It holds
-    // nothing; gone it cannot be taken for the next one, which will have the same number.
+    // Where the rename is done and only its sync failed, the file may or may not be there after a crash. It
+    // holds nothing; gone it cannot be taken for the next one, which will have the same number.
     for (const std::string& path : {options_.folder + "/spare", path_of(h.number)}) {
       try {
         fs_.remove(path);
@@ -215,8 +217,9 @@
   }
 }
 
-// All in it has aged. Its name stays, empty, until a later header is as late as that: a start before then would not know
-// the hour, and take the segment for one that somebody took away. A rename needs no room on a disk that is full.
+// All in it has aged. Its name stays, empty, until a later header is as late as that: a start before then
+// would not know the hour, and take the segment for one that somebody took away. A rename needs no room on a
+// disk that is full.
 void log::retire(std::uint64_t number, std::int64_t expiry) {
   fs_.rename(path_of(number), aged_path_of(number));
   aged_.emplace(number, expiry);
@@ -308,7 +311,8 @@
 std::string log::read(const position& at) const {
   const std::string bytes = fs_.read(path_of(at.segment), at.offset, at.size);
   std::uint32_t type = 0;
-  return std::string(decode_record(bytes, type, path_of(at.segment) + " at byte " + std::to_string(at.offset)));
+  return std::string(
+      decode_record(bytes, type, path_of(at.segment) + " at byte " + std::to_string(at.offset)));
 }
 
 bool log::set_spare_aside() {
@@ -344,8 +348,8 @@
     i = sealed_.erase(i);
   }
   const bool spare = set_spare_aside();
-  // A segment in which all has aged and that is half full makes room for the next: else the last one would stay
-  // full for ever where there is no space for another.
+  // A segment in which all has aged and that is half full makes room for the next: else the last one would
+  // stay full for ever where there is no space for another.
   if (active_ != nullptr && expiry_ <= now && end_ > options_.segment / 2 && spare) {
     seal(now);
     activate(now);
@@ -363,7 +367,8 @@
 }
 
 std::uint64_t log::used() const {
-  std::uint64_t bytes = (active_ != nullptr ? options_.segment : 0) + (spare_ != nullptr ? options_.segment : 0);
+  std::uint64_t bytes =
+      (active_ != nullptr ? options_.segment : 0) + (spare_ != nullptr ? options_.segment : 0);
   for (const auto& [number, s] : sealed_) bytes += s.end;
   return bytes;
 }
--- a/src/store/log.hpp
+++ b/src/store/log.hpp
@@ -1,10 +1,11 @@
-// A folder of segments that records are appended to, a commit a frame. Blocks on the disk: one thread at a time.
+// A folder of segments that records are appended to, a commit a frame. Blocks on the disk: one thread at a
+// time.
 //
-// Order on disk, so that any prefix of it is consistent: a spare file is set aside with its blocks; it gets a header
-// that says what counts of the segment before, is synced, renamed into place, and the folder synced; only then it is
-// written to. Segments go whole, once all in them has aged: renamed, the folder synced, and emptied; the name goes with the
-// first later header that is dated behind that. The source of the discipline is write-ahead logging as
-// embedded databases have it, without the log's second copy: the log is the store.
+// Order on disk, so that any prefix of it is consistent: a spare file is set aside with its blocks; it gets a
+// header that says what counts of the segment before, is synced, renamed into place, and the folder synced;
+// only then it is written to. Segments go whole, once all in them has aged: renamed, the folder synced, and
+// emptied; the name goes with the first later header that is dated behind that. The source of the discipline
+// is write-ahead logging as embedded databases have it, without the log's second copy: the log is the store.
 #pragma once
 
 #include <cstdint>
@@ -29,8 +30,8 @@
   std::uint64_t segment = std::uint64_t{8} << 20;  // bytes
   std::uint64_t space = std::uint64_t{1} << 30;    // bytes of all files together
   std::uint64_t salt = 0;                          // for a new folder
-  // Asked once the folder is held: records before this place are known already, and segments before it are not read. None:
-  // all are.
+  // Asked once the folder is held: records before this place are known already, and segments before it are
+  // not read. None: all are.
   std::function<std::optional<position>()> from = {};
   std::uint32_t format = format::records;  // of new segments; those of a later one are refused
 };
@@ -54,8 +55,8 @@
   // When a record found at recovery ages.
   using ageing = std::function<std::int64_t(std::uint32_t type, std::string_view body)>;
 
-  // Takes the folder for this process and reads all of it, oldest first. `now` of a clock that may have been set
-  // back: whoever owns the store goes on from counts().latest at least. Throws io_error or damaged.
+  // Takes the folder for this process and reads all of it, oldest first. `now` of a clock that may have been
+  // set back: whoever owns the store goes on from counts().latest at least. Throws io_error or damaged.
   log(file_system& fs, log_options options, const ageing& expiry_of, const visitor& each);
   ~log();
   log(const log&) = delete;
@@ -78,13 +79,14 @@
   void open(std::int64_t now);
   bool is_open() const { return active_ != nullptr; }
 
-  // Writes one frame and has it on disk. Throws io_error: then the segment is closed for good, nothing of this frame
-  // counts once open() has succeeded, and until then nobody may rely on either.
+  // Writes one frame and has it on disk. Throws io_error: then the segment is closed for good, nothing of
+  // this frame counts once open() has succeeded, and until then nobody may rely on either.
   std::vector<position> append(std::span<const entry> batch, std::int64_t now);
 
   // The oldest segment that is not being written; 0: none.
   std::uint64_t oldest() const { return sealed_.empty() ? 0 : sealed_.begin()->first; }
-  // Takes this segment away, whatever is in it, where it is the oldest; on return that is on disk. Throws io_error.
+  // Takes this segment away, whatever is in it, where it is the oldest; on return that is on disk. Throws
+  // io_error.
   void drop(std::uint64_t oldest);
   // What counts of a segment; 0: there is none such.
   std::uint64_t end_of(std::uint64_t segment) const;
@@ -125,7 +127,7 @@
   log_options options_;
   std::shared_ptr<void> lock_;
   recovered_counts counts_;
-  std::map<std::uint64_t, sealed> sealed_;  // by number
+  std::map<std::uint64_t, sealed> sealed_;      // by number
   std::map<std::uint64_t, std::int64_t> aged_;  // gone, but for their names: when all in them had aged
   std::unique_ptr<file> active_;
   std::unique_ptr<file> spare_;
--- a/src/store/segment.cpp
+++ b/src/store/segment.cpp
@@ -100,8 +100,9 @@
   return body;
 }
 
-scan_result scan(std::string_view segment, const segment_header& h, std::uint64_t must_end, const std::string& file,
-                 const std::function<void(std::uint32_t, std::string_view, std::uint64_t, std::uint64_t)>& each) {
+scan_result scan(
+    std::string_view segment, const segment_header& h, std::uint64_t must_end, const std::string& file,
+    const std::function<void(std::uint32_t, std::string_view, std::uint64_t, std::uint64_t)>& each) {
   scan_result found;
   found.end = std::min<std::uint64_t>(header_size, segment.size());
   if (must_end > 0 && must_end < segment.size()) segment = segment.substr(0, must_end);
@@ -110,7 +111,8 @@
     const std::uint64_t frame_end = found.end + size;
     while (at < frame_end) {
       std::uint32_t type = 0;
-      const std::string_view body = decode_record(segment.substr(at, frame_end - at), type, at_offset(file, at));
+      const std::string_view body =
+          decode_record(segment.substr(at, frame_end - at), type, at_offset(file, at));
       const std::uint64_t whole = record_head + padded(body.size());
       each(type, body, at, whole);
       at += whole;
@@ -119,11 +121,13 @@
     ++found.frames;
   }
   if (must_end > 0 && found.end < must_end)
-    throw damaged(at_offset(file, found.end) + ": damaged, whole up to " + std::to_string(found.end) + " of " +
-                  std::to_string(must_end) + " bytes");
-  // Guards against taking damage in the middle for a torn tail: nothing whole ever stands behind a torn frame.
+    throw damaged(at_offset(file, found.end) + ": damaged, whole up to " + std::to_string(found.end) +
+                  " of " + std::to_string(must_end) + " bytes");
+  // Guards against taking damage in the middle for a torn tail: nothing whole ever stands behind a torn
+  // frame.
   for (std::uint64_t at = found.end; at + frame_head <= segment.size(); at += 8) {
-    if (get<std::uint32_t>(segment, at) == frame_magic && at > found.end && whole_frame(segment.substr(at), h.number) > 0)
+    if (get<std::uint32_t>(segment, at) == frame_magic && at > found.end &&
+        whole_frame(segment.substr(at), h.number) > 0)
       throw damaged(at_offset(file, found.end) + ": damaged, and whole again at byte " + std::to_string(at));
   }
   const std::string_view rest = segment.substr(found.end);
--- a/src/store/store_command.cpp
+++ b/src/store/store_command.cpp
@@ -11,7 +11,9 @@
 namespace {
 
 std::int64_t now() {
-  return std::chrono::duration_cast<std::chrono::nanoseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
+  return std::chrono::duration_cast<std::chrono::nanoseconds>(
+             std::chrono::system_clock::now().time_since_epoch())
+      .count();
 }
 
 tables_options options_of(const store_query& q) {
@@ -30,8 +32,8 @@
 }
 
 void print(const inspected& i) {
-  std::printf("segments=%" PRIu64 " commits=%" PRIu64 " records=%" PRIu64 " torn_bytes=%" PRIu64 "\n", i.log.segments,
-              i.log.frames, i.log.records, i.log.torn_bytes);
+  std::printf("segments=%" PRIu64 " commits=%" PRIu64 " records=%" PRIu64 " torn_bytes=%" PRIu64 "\n",
+              i.log.segments, i.log.frames, i.log.records, i.log.torn_bytes);
   if (i.older > 0) std::printf("older_records=%" PRIu64 "\n", i.older);
   for (const auto& [table, keys] : i.keys) std::printf("table=%s keys=%zu\n", printable(table).c_str(), keys);
   if (!i.checkpoint) {
@@ -55,7 +57,8 @@
 void verify_store(const store_query& q) {
   posix_file_system fs;
   expect_store(fs, q.folder);
-  const inspected i = inspect_tables(fs, q.folder, now(), [](const auto&, const auto&, const auto&, std::int64_t) {});
+  const inspected i =
+      inspect_tables(fs, q.folder, now(), [](const auto&, const auto&, const auto&, std::int64_t) {});
   print(i);
   if (i.checkpoint && !i.checkpoint->fault.empty()) throw damaged(i.checkpoint->fault);
 }
@@ -63,12 +66,13 @@
 void dump_store(const store_query& q) {
   posix_file_system fs;
   expect_store(fs, q.folder);
-  inspect_tables(fs, q.folder, now(),
-                 [&](const std::string& table, const std::string& key, const std::string& value, std::int64_t expiry) {
-                   if (!q.table.empty() && table != q.table) return;
-                   std::printf("table=%s key=%s expiry=%" PRId64 " value=%s\n", printable(table).c_str(),
-                               printable(key).c_str(), expiry, printable(value).c_str());
-                 });
+  inspect_tables(
+      fs, q.folder, now(),
+      [&](const std::string& table, const std::string& key, const std::string& value, std::int64_t expiry) {
+        if (!q.table.empty() && table != q.table) return;
+        std::printf("table=%s key=%s expiry=%" PRId64 " value=%s\n", printable(table).c_str(),
+                    printable(key).c_str(), expiry, printable(value).c_str());
+      });
 }
 
 void compact_store(const store_query& q) {
@@ -81,8 +85,8 @@
   }
   const tables::figures f = t.show();
   std::fprintf(stderr, "\n");
-  std::printf("used_before=%" PRIu64 " used=%" PRIu64 " live=%" PRIu64 " copied=%" PRIu64 "\n", before, f.disk.used,
-              f.disk.live, f.copied);
+  std::printf("used_before=%" PRIu64 " used=%" PRIu64 " live=%" PRIu64 " copied=%" PRIu64 "\n", before,
+              f.disk.used, f.disk.live, f.copied);
 }
 
 void backup_store(const store_query& q) {
--- a/src/store/store_command.hpp
+++ b/src/store/store_command.hpp
@@ -8,8 +8,8 @@
 
 struct store_query {
   std::string folder, to;
-  std::string table;                                    // of dump; empty: all
-  std::uint64_t segment = std::uint64_t{8} << 20;       // of compact: as the store's owner has them
+  std::string table;                               // of dump; empty: all
+  std::uint64_t segment = std::uint64_t{8} << 20;  // of compact: as the store's owner has them
   std::uint64_t space = std::uint64_t{1} << 30;
   double amplification = 2;
 };
--- a/src/store/table_records.cpp
+++ b/src/store/table_records.cpp
@@ -18,8 +18,8 @@
   if (body.size() < row_head) return std::nullopt;
   const std::size_t table = get<std::uint16_t>(body, 0), key = get<std::uint32_t>(body, 2);
   if (table + key > body.size() - row_head) return std::nullopt;
-  return row{body.substr(row_head, table), body.substr(row_head + table, key), body.substr(row_head + table + key),
-             get<std::int64_t>(body, 6)};
+  return row{body.substr(row_head, table), body.substr(row_head + table, key),
+             body.substr(row_head + table + key), get<std::int64_t>(body, 6)};
 }
 
 std::string encode_position(const position& p) {
--- a/src/store/table_records.hpp
+++ b/src/store/table_records.hpp
@@ -1,7 +1,7 @@
 // What a store of tables writes into its log and its checkpoints: records to bytes and back. No files here.
 //
-// A body: the length of the table's name (16 bits) and of the key (32 bits), when it ages (64 bits), the name, the key, and
-// the value; little-endian.
+// A body: the length of the table's name (16 bits) and of the key (32 bits), when it ages (64 bits), the
+// name, the key, and the value; little-endian.
 #pragma once
 
 #include <cstdint>
--- a/src/store/table_service.cpp
+++ b/src/store/table_service.cpp
@@ -11,14 +11,23 @@
 }  // namespace
 
 table_service::table_service(std::shared_ptr<file_system> fs, std::string folder, std::unique_ptr<tables> t,
-                             table_service_options o, std::function<std::int64_t()> now, std::function<void()> notify)
-    : fs_(std::move(fs)), folder_(std::move(folder)), options_(o), now_(std::move(now)), notify_(std::move(notify)),
-      tables_(std::move(t)), queue_(o.queue), condition_{false, {}, {}, tables_->rules()} {
+                             table_service_options o, std::function<std::int64_t()> now,
+                             std::function<void()> notify)
+    : fs_(std::move(fs)),
+      folder_(std::move(folder)),
+      options_(o),
+      now_(std::move(now)),
+      notify_(std::move(notify)),
+      tables_(std::move(t)),
+      queue_(o.queue),
+      condition_{false, {}, {}, tables_->rules()} {
   look_after(false);
   thread_ = std::thread([this] { serve(); });
 }
 
-table_service::~table_service() { stop(); }
+table_service::~table_service() {
+  stop();
+}
 
 void table_service::stop() {
   queue_.stop();
@@ -47,7 +56,8 @@
 
 // Under the tables' guard: what is said of them is what they are.
 void table_service::report(std::vector<done> out) {
-  condition c{tables_->writable(), tables_->writable() ? std::string() : fault_, tables_->show().disk, tables_->rules()};
+  condition c{tables_->writable(), tables_->writable() ? std::string() : fault_, tables_->show().disk,
+              tables_->rules()};
   const std::lock_guard lock(guard_);
   condition_ = std::move(c);
   done_.insert(done_.end(), std::make_move_iterator(out.begin()), std::make_move_iterator(out.end()));
@@ -97,8 +107,8 @@
   return tables_->show();
 }
 
-// What waits in memory goes to disk in its time, and a disk that failed is tried again, also where nobody asks for anything:
-// whoever knows that it cannot be written to does not.
+// What waits in memory goes to disk in its time, and a disk that failed is tried again, also where nobody
+// asks for anything: whoever knows that it cannot be written to does not.
 void table_service::look_after(bool leaving) {
   const auto lock = hold();
   const std::int64_t now = now_();
@@ -138,8 +148,8 @@
   return due && *due <= now_();
 }
 
-// Under the tables' guard. In their order: a get behind a commit sees it. Durable commits that stand next to each other go
-// together.
+// Under the tables' guard. In their order: a get behind a commit sees it. Durable commits that stand next to
+// each other go together.
 std::vector<table_service::done> table_service::carry_out(std::vector<task>& all) {
   const std::int64_t now = now_();
   std::vector<done> out;
@@ -147,7 +157,8 @@
     const task& t = all[i];
     if (t.what == kind::commit && t.how == durability::now) {
       std::vector<const batch*> group;
-      for (std::size_t k = i; k < all.size() && all[k].what == kind::commit && all[k].how == durability::now; ++k)
+      for (std::size_t k = i; k < all.size() && all[k].what == kind::commit && all[k].how == durability::now;
+           ++k)
         group.push_back(&all[k].writes);
       const std::vector<tables::committed> done_with = tables_->commit_all(group, now);
       for (const tables::committed& c : done_with) {
--- a/src/store/table_service.hpp
+++ b/src/store/table_service.hpp
@@ -1,8 +1,9 @@
-// A store of tables with a thread of its own, so that nobody else has to wait for its disk: batches that are asked for while a
-// commit is under way go to disk together with the next (group commit). Its queue is bounded; what does not fit is told.
+// A store of tables with a thread of its own, so that nobody else has to wait for its disk: batches that are
+// asked for while a commit is under way go to disk together with the next (group commit). Its queue is
+// bounded; what does not fit is told.
 //
-// Background work is done in slices by whoever calls for them, beside the thread: the two take turns, so a commit waits for a
-// slice at most.
+// Background work is done in slices by whoever calls for them, beside the thread: the two take turns, so a
+// commit waits for a slice at most.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +23,8 @@
 struct table_service_options {
   std::size_t queue = 4096;  // requests waiting, at most
   std::size_t group = 256;   // batches in one commit
-  std::chrono::nanoseconds retry = std::chrono::milliseconds(500);  // after a failure, until the disk is tried again
+  std::chrono::nanoseconds retry =
+      std::chrono::milliseconds(500);  // after a failure, until the disk is tried again
 };
 
 class table_service {
@@ -40,22 +42,24 @@
     bool writable = false;
     std::string fault;  // why not
     sizes disk;
-    cleaning rules;     // rules.of(disk, ...): whether something may be written
+    cleaning rules;  // rules.of(disk, ...): whether something may be written
   };
   enum class work { clean, checkpoint, age };
   struct slice {
     bool more = false;
     std::uint64_t read = 0, written = 0;  // bytes: of the segment to be cleaned, of copies
-    std::string fault;          // not empty: tried again later
+    std::string fault;                    // not empty: tried again later
   };
 
-  // `fs` and `folder`: as the tables have them. `now`: the owner's clock; `notify`: something can be collected. Both from the
-  // thread, `now` also from who calls for slices, which may outlive the owner's own end: so `fs` is shared.
-  table_service(std::shared_ptr<file_system> fs, std::string folder, std::unique_ptr<tables> t, table_service_options o,
-                std::function<std::int64_t()> now, std::function<void()> notify);
+  // `fs` and `folder`: as the tables have them. `now`: the owner's clock; `notify`: something can be
+  // collected. Both from the thread, `now` also from who calls for slices, which may outlive the owner's own
+  // end: so `fs` is shared.
+  table_service(std::shared_ptr<file_system> fs, std::string folder, std::unique_ptr<tables> t,
+                table_service_options o, std::function<std::int64_t()> now, std::function<void()> notify);
   ~table_service();
-  // What was asked for is done first, and what waits in memory is written; from then on `notify` is not called, and commit()
-  // and get() take nothing. For an owner that goes while a slice of somebody else's still has this.
+  // What was asked for is done first, and what waits in memory is written; from then on `notify` is not
+  // called, and commit() and get() take nothing. For an owner that goes while a slice of somebody else's
+  // still has this.
   void stop();
   table_service(const table_service&) = delete;
   table_service& operator=(const table_service&) = delete;
@@ -95,7 +99,8 @@
   const std::function<std::int64_t()> now_;
   const std::function<void()> notify_;
 
-  // Held by whoever waits for the tables: a mutex alone is not fair, and slices on end would keep the commits out.
+  // Held by whoever waits for the tables: a mutex alone is not fair, and slices on end would keep the commits
+  // out.
   mutable std::mutex turn_;
   mutable std::mutex tables_guard_;
   std::unique_ptr<tables> tables_;  // under tables_guard_
--- a/src/store/tables.cpp
+++ b/src/store/tables.cpp
@@ -13,7 +13,9 @@
 constexpr const char* unfinished_backup = "/backup.part";
 constexpr std::chrono::nanoseconds retry = std::chrono::milliseconds(500);
 
-std::uint64_t record_bytes(std::size_t body) { return record_head + padded(body); }
+std::uint64_t record_bytes(std::size_t body) {
+  return record_head + padded(body);
+}
 std::uint64_t record_bytes(const std::string& table, const std::string& key, std::size_t value) {
   return record_bytes(row_head + table.size() + key.size() + value);
 }
@@ -25,7 +27,9 @@
   return least.count();
 }
 
-bool aged(std::int64_t expiry, std::int64_t now) { return expiry != 0 && now >= expiry; }
+bool aged(std::int64_t expiry, std::int64_t now) {
+  return expiry != 0 && now >= expiry;
+}
 
 row row_of(std::string_view body, const std::string& where) {
   const auto r = decode_row(body);
@@ -38,7 +42,8 @@
 }
 
 bool of_a_table(std::uint32_t type) {
-  return type == static_cast<std::uint32_t>(table_record::put) || type == static_cast<std::uint32_t>(table_record::erase);
+  return type == static_cast<std::uint32_t>(table_record::put) ||
+         type == static_cast<std::uint32_t>(table_record::erase);
 }
 
 // One record of the log, as a start reads it.
@@ -76,11 +81,13 @@
 
 }  // namespace
 
-// ---- Start ----------------------------------------------------------------------------------------------------
+// ---- Start
+// ----------------------------------------------------------------------------------------------------
 
 tables::tables(file_system& fs, tables_options o, std::int64_t now)
     : fs_(fs), options_(std::move(o)), cleaning_(options_.disk) {
-  log_options l{options_.folder, options_.disk.segment, options_.disk.space, options_.salt, {}, format::tables};
+  log_options l{options_.folder, options_.disk.segment, options_.disk.space, options_.salt, {},
+                format::tables};
   l.from = [this]() -> std::optional<position> {
     found_ = read_checkpoint(fs_, options_.folder, [this](std::string_view entry) { enter(index_, entry); });
     if (!found_ || !found_->fault.empty()) return std::nullopt;
@@ -104,8 +111,8 @@
     if (found_->from.segment > newest || (end > 0 && end < found_->from.offset))
       throw damaged(options_.folder + ": the log ends before its checkpoint");
   }
-  // What was written over or erased behind the checkpoint, and whose later records are cleaned away as well: its own
-  // segment went before theirs.
+  // What was written over or erased behind the checkpoint, and whose later records are cleaned away as well:
+  // its own segment went before theirs.
   if (log_->oldest() != 0) index_.forget_before(log_->oldest());
   figures_.read = log_->counts().records;
   if (found_) figures_.checkpoint_fault = found_->fault;
@@ -119,16 +126,21 @@
 
 tables::~tables() = default;
 
-std::int64_t tables::moment(std::int64_t now) const { return std::max(now, latest_); }
+std::int64_t tables::moment(std::int64_t now) const {
+  return std::max(now, latest_);
+}
 
 void tables::reopen(std::int64_t now) {
   latest_ = moment(now);
   if (!log_->is_open()) log_->open(latest_);
 }
 
-// ---- Writing --------------------------------------------------------------------------------------------------
+// ---- Writing
+// --------------------------------------------------------------------------------------------------
 
-std::uint64_t tables::lazy_most() const { return std::min(options_.lazy_bytes, log_->largest_frame() - frame_head); }
+std::uint64_t tables::lazy_most() const {
+  return std::min(options_.lazy_bytes, log_->largest_frame() - frame_head);
+}
 
 sizes tables::disk() const {
   const std::uint64_t room = log_->room_in_all();
@@ -139,12 +151,15 @@
   std::uint64_t bytes = 0;
   for (const auto& [where, value] : b.all()) {
     const auto& [table, key] = where;
-    if (table.empty() || table.size() > longest_table_name) throw std::invalid_argument("a table's name: 1 to 255 bytes");
-    if (key.size() > options_.longest_key) throw std::invalid_argument("a key of " + std::to_string(key.size()) + " bytes");
+    if (table.empty() || table.size() > longest_table_name)
+      throw std::invalid_argument("a table's name: 1 to 255 bytes");
+    if (key.size() > options_.longest_key)
+      throw std::invalid_argument("a key of " + std::to_string(key.size()) + " bytes");
     bytes += record_bytes(table, key, value ? value->size() : 0);
   }
   if (frame_head + bytes > options_.disk.segment / 4)  // the largest frame
-    throw std::invalid_argument("a batch of " + std::to_string(bytes) + " bytes: over a quarter of a segment");
+    throw std::invalid_argument("a batch of " + std::to_string(bytes) +
+                                " bytes: over a quarter of a segment");
   return bytes;
 }
 
@@ -160,17 +175,22 @@
   return g;
 }
 
-// Beside others of a group that are not in the index yet: they count as if all their keys were new to each other.
-verdict tables::verdict_of(const batch& b, std::uint64_t beside, std::int64_t growing, std::size_t fresh_keys) const {
+// Beside others of a group that are not in the index yet: they count as if all their keys were new to each
+// other.
+verdict tables::verdict_of(const batch& b, std::uint64_t beside, std::int64_t growing,
+                           std::size_t fresh_keys) const {
   const growth g = growth_of(b);
   if (g.keys > 0 && index_.keys() + fresh_keys + g.keys > options_.most_keys) return {false, std::nullopt};
   if (!log_->is_open()) return {false, retry};
   sizes s = disk();
   s.room = s.room > beside ? s.room - beside : 0;
-  return cleaning_.of(s, frame_head + bytes_of(b), g.bytes > 0 ? g.bytes + std::max<std::int64_t>(growing, 0) : g.bytes);
+  return cleaning_.of(s, frame_head + bytes_of(b),
+                      g.bytes > 0 ? g.bytes + std::max<std::int64_t>(growing, 0) : g.bytes);
 }
 
-verdict tables::may_write(const batch& b) const { return verdict_of(b, 0, 0, 0); }
+verdict tables::may_write(const batch& b) const {
+  return verdict_of(b, 0, 0, 0);
+}
 
 std::vector<tables::pending> tables::records_of(const batch& b, sequence seq) const {
   std::vector<pending> out;
@@ -179,7 +199,9 @@
     const auto life = options_.life.find(p.table);
     if (value && life != options_.life.end()) p.expiry = latest_ + life->second.count();
     const table_record type = value ? table_record::put : table_record::erase;
-    p.what = {{static_cast<std::uint32_t>(type), encode_row({p.table, p.key, value ? *value : std::string(), p.expiry})}, never};
+    p.what = {{static_cast<std::uint32_t>(type),
+               encode_row({p.table, p.key, value ? *value : std::string(), p.expiry})},
+              never};
     out.push_back(std::move(p));
   }
   return out;
@@ -251,7 +273,8 @@
     try {
       if (frame_head + waiting_bytes_ + bytes > log_->largest_frame()) flush(now);
       const std::size_t before = waiting_.size();
-      waiting_.insert(waiting_.end(), std::make_move_iterator(frame.begin()), std::make_move_iterator(frame.end()));
+      waiting_.insert(waiting_.end(), std::make_move_iterator(frame.begin()),
+                      std::make_move_iterator(frame.end()));
       try {
         append(waiting_, now);
       } catch (const io_error&) {
@@ -301,7 +324,8 @@
   return waiting_since_ + options_.lazy_time.count();
 }
 
-// ---- Reading --------------------------------------------------------------------------------------------------
+// ---- Reading
+// --------------------------------------------------------------------------------------------------
 
 std::optional<sequence> tables::sequence_of(std::optional<snapshot> of) const {
   if (!of) return std::nullopt;
@@ -362,7 +386,8 @@
     close_snapshot(snapshots_.begin()->first);
 }
 
-// ---- Cleaning -------------------------------------------------------------------------------------------------
+// ---- Cleaning
+// -------------------------------------------------------------------------------------------------
 
 tables::wanted_segment tables::oldest_wanted() const {
   const std::uint64_t number = log_->oldest();
@@ -370,7 +395,8 @@
   return {number, log_->end_of(number)};
 }
 
-tables::read_ahead tables::read_segment(file_system& fs, const std::string& folder, const wanted_segment& which) {
+tables::read_ahead tables::read_segment(file_system& fs, const std::string& folder,
+                                        const wanted_segment& which) {
   read_ahead r;
   r.number = which.number;
   const std::string path = folder + "/" + log::file_name(which.number);
@@ -380,13 +406,15 @@
               [&](std::uint32_t type, std::string_view, std::uint64_t offset, std::uint64_t size) {
                 // An erasure has nothing older left to hide: the segment is the oldest.
                 if (type == static_cast<std::uint32_t>(table_record::put))
-                  r.puts.push_back({which.number, static_cast<std::uint32_t>(offset), static_cast<std::uint32_t>(size)});
+                  r.puts.push_back(
+                      {which.number, static_cast<std::uint32_t>(offset), static_cast<std::uint32_t>(size)});
               });
   return r;
 }
 
 void tables::take(read_ahead r, std::int64_t now) {
-  if (!cleaned_ && r.number != 0 && r.number == log_->oldest()) cleaned_ = cleaned_segment{std::move(r), 0, moment(now), 0};
+  if (!cleaned_ && r.number != 0 && r.number == log_->oldest())
+    cleaned_ = cleaned_segment{std::move(r), 0, moment(now), 0};
 }
 
 bool tables::clean_step(std::int64_t now) {
@@ -394,7 +422,8 @@
   end_old_snapshots(latest_);
   held_by_snapshot_ = false;
   if (backup_) return false;
-  // Guards against counting on what a crash may take back: a record written over in memory only still counts on disk.
+  // Guards against counting on what a crash may take back: a record written over in memory only still counts
+  // on disk.
   flush(now);
   if (!cleaned_) {
     const wanted_segment next = oldest_wanted();
@@ -460,12 +489,14 @@
     }
     age_at_ = *next;
     const place* p = index_.find(next->first, next->second);
-    if (p != nullptr && aged(p->expiry, latest_) && p->waiting == nullptr) index_.erase(next->first, next->second, ++last_);
+    if (p != nullptr && aged(p->expiry, latest_) && p->waiting == nullptr)
+      index_.erase(next->first, next->second, ++last_);
   }
   return true;
 }
 
-// ---- Checkpoints ----------------------------------------------------------------------------------------------
+// ---- Checkpoints
+// ----------------------------------------------------------------------------------------------
 
 bool tables::checkpoint_step(std::int64_t now) {
   try {
@@ -502,7 +533,8 @@
   return true;
 }
 
-// ---- Backup ---------------------------------------------------------------------------------------------------
+// ---- Backup
+// ---------------------------------------------------------------------------------------------------
 
 void tables::begin_backup(const std::string& folder) {
   expect_empty(fs_, folder);
@@ -540,13 +572,16 @@
   expect_empty(fs, folder);
   for (const std::string& name : names) {
     const std::string from = backup + "/" + name;
-    if (log::number_of(name) || name.ends_with(".seg.aged")) copy(fs, from, fs.size_of(from), folder + "/" + name);
+    if (log::number_of(name) || name.ends_with(".seg.aged"))
+      copy(fs, from, fs.size_of(from), folder + "/" + name);
   }
   fs.sync_folder(folder);
-  if (inspect_tables(fs, folder, now).log.records != before.log.records) throw damaged(folder + ": not as " + backup);
+  if (inspect_tables(fs, folder, now).log.records != before.log.records)
+    throw damaged(folder + ": not as " + backup);
 }
 
-// ---- Figures --------------------------------------------------------------------------------------------------
+// ---- Figures
+// --------------------------------------------------------------------------------------------------
 
 tables::figures tables::show() const {
   figures f = figures_;
@@ -567,7 +602,8 @@
   sequence s = 0;
   std::uint64_t oldest = 0;
   // Read before the log, as nothing may change here: a folder that a process has is refused below.
-  found.checkpoint = read_checkpoint(fs, folder, [&](std::string_view entry) { enter(by_checkpoint, entry); });
+  found.checkpoint =
+      read_checkpoint(fs, folder, [&](std::string_view entry) { enter(by_checkpoint, entry); });
   const bool whole = found.checkpoint && found.checkpoint->fault.empty();
   found.log = log::inspect(
       fs, folder, [](std::uint32_t, std::string_view) { return never; },
@@ -578,7 +614,8 @@
           return;
         }
         replay(all, type, body, at, ++s);
-        if (whole && std::pair(at.segment, at.offset) >= std::pair(found.checkpoint->from.segment, found.checkpoint->from.offset))
+        if (whole && std::pair(at.segment, at.offset) >=
+                         std::pair(found.checkpoint->from.segment, found.checkpoint->from.offset))
           replay(by_checkpoint, type, body, at, s);
       },
       format::tables);
@@ -591,14 +628,17 @@
     ++found.keys[table];
     if (whole) {
       const place* q = by_checkpoint.find(table, key);
-      if (q == nullptr || !(q->at == p->at)) throw damaged(folder + "/checkpoint: says otherwise than the log");
+      if (q == nullptr || !(q->at == p->at))
+        throw damaged(folder + "/checkpoint: says otherwise than the log");
     }
     if (!each) continue;
     const std::string bytes = fs.read(folder + "/" + log::file_name(p->at.segment), p->at.offset, p->at.size);
     std::uint32_t type = 0;
-    each(table, key, std::string(row_of(decode_record(bytes, type, where_in(p->at)), where_in(p->at)).value), p->expiry);
+    each(table, key, std::string(row_of(decode_record(bytes, type, where_in(p->at)), where_in(p->at)).value),
+         p->expiry);
   }
-  if (whole && by_checkpoint.keys() > all.keys()) throw damaged(folder + "/checkpoint: has keys that the log has not");
+  if (whole && by_checkpoint.keys() > all.keys())
+    throw damaged(folder + "/checkpoint: has keys that the log has not");
   return found;
 }
 
--- a/src/store/task_queue.hpp
+++ b/src/store/task_queue.hpp
@@ -1,4 +1,5 @@
-// The bounded queue before a thread that a disk blocks: whoever asks never waits, and hears at once where it is full.
+// The bounded queue before a thread that a disk blocks: whoever asks never waits, and hears at once where it
+// is full.
 #pragma once
 
 #include <chrono>
@@ -28,8 +29,8 @@
     return true;
   }
 
-  // The serving thread's: waits so long for a task, then moves to `out` the first and all behind it that `fits(task, taken)`
-  // says yes to, up to the first no. False: stopped, and all is served.
+  // The serving thread's: waits so long for a task, then moves to `out` the first and all behind it that
+  // `fits(task, taken)` says yes to, up to the first no. False: stopped, and all is served.
   template <typename Fits>
   bool take(std::vector<Task>& out, std::chrono::nanoseconds wait, Fits&& fits) {
     out.clear();
--- a/src/store/versions.cpp
+++ b/src/store/versions.cpp
@@ -33,7 +33,8 @@
   for (std::size_t i = 0; i < c.older.size(); ++i) {
     const sequence until = i + 1 < c.older.size() ? c.older[i + 1].since : c.now.since;
     // An erasure is the same as nothing where nothing older is left.
-    if (seen(c.older[i].since, until) && (c.older[i].where || !kept.empty())) kept.push_back(std::move(c.older[i]));
+    if (seen(c.older[i].since, until) && (c.older[i].where || !kept.empty()))
+      kept.push_back(std::move(c.older[i]));
   }
   c.older = std::move(kept);
   return c.older.empty() && !c.now.where;
@@ -89,13 +90,14 @@
   return v != nullptr && v->where ? &*v->where : nullptr;
 }
 
-const place* versions::find(const std::string& table, const std::string& key, std::optional<sequence> s) const {
+const place* versions::find(const std::string& table, const std::string& key,
+                            std::optional<sequence> s) const {
   const chain* c = chain_of(table, key);
   return c == nullptr ? nullptr : as_of(*c, s);
 }
 
-void versions::scan(const std::string& table, const std::string& from, const std::string& to, std::optional<sequence> s,
-                    const visitor& each) const {
+void versions::scan(const std::string& table, const std::string& from, const std::string& to,
+                    std::optional<sequence> s, const visitor& each) const {
   const auto t = tables_.find(table);
   if (t == tables_.end()) return;
   for (auto i = t->second.lower_bound(from); i != t->second.end() && (to.empty() || i->first < to); ++i) {
@@ -116,7 +118,9 @@
 versions::standing versions::at(const std::string& table, const std::string& key, const position& p) const {
   const chain* c = chain_of(table, key);
   if (c == nullptr) return standing::none;
-  const auto is = [&](const version& v) { return v.where && v.where->waiting == nullptr && v.where->at == p; };
+  const auto is = [&](const version& v) {
+    return v.where && v.where->waiting == nullptr && v.where->at == p;
+  };
   if (is(c->now)) return standing::current;
   return std::any_of(c->older.begin(), c->older.end(), is) ? standing::seen_by_snapshot : standing::none;
 }
--- a/src/store/versions.hpp
+++ b/src/store/versions.hpp
@@ -1,8 +1,8 @@
-// The index of a store of tables: which keys there are, in order, and where the value of each stands, now and as of each
-// snapshot that is open.
+// The index of a store of tables: which keys there are, in order, and where the value of each stands, now and
+// as of each snapshot that is open.
 //
-// Free of I/O and clocks. Not thread-safe: owned by one thread. A key costs one node of a tree: about 200 bytes, and its own
-// bytes beyond 15.
+// Free of I/O and clocks. Not thread-safe: owned by one thread. A key costs one node of a tree: about 200
+// bytes, and its own bytes beyond 15.
 #pragma once
 
 #include <cstdint>
@@ -24,9 +24,9 @@
 
 // Where a value is.
 struct place {
-  position at;                               // counts where `waiting` is empty
-  std::int64_t expiry = 0;                   // it is there before that moment only
-  std::uint64_t bytes = 0;                   // its record takes on disk
+  position at;                                 // counts where `waiting` is empty
+  std::int64_t expiry = 0;                     // it is there before that moment only
+  std::uint64_t bytes = 0;                     // its record takes on disk
   std::shared_ptr<const std::string> waiting;  // the value itself, while it is not on disk
 };
 
@@ -39,15 +39,18 @@
   void on_disk(const std::string& table, const std::string& key, sequence s, const position& at);
 
   // As of a snapshot, or now. None: not there; whether it has aged is the caller's to see.
-  const place* find(const std::string& table, const std::string& key, std::optional<sequence> as_of = std::nullopt) const;
+  const place* find(const std::string& table, const std::string& key,
+                    std::optional<sequence> as_of = std::nullopt) const;
   // Keys from `from` to before `to` (empty: to the last), in order, until `each` returns false.
   using visitor = std::function<bool(const std::string& key, const place&)>;
-  void scan(const std::string& table, const std::string& from, const std::string& to, std::optional<sequence> as_of,
-            const visitor& each) const;
+  void scan(const std::string& table, const std::string& from, const std::string& to,
+            std::optional<sequence> as_of, const visitor& each) const;
   // The first key behind this one, over all tables; none: that was the last.
-  std::optional<std::pair<std::string, std::string>> behind(const std::string& table, const std::string& key) const;
+  std::optional<std::pair<std::string, std::string>> behind(const std::string& table,
+                                                            const std::string& key) const;
 
-  // What is at this place of the log: the value of a key as it is now, one that only a snapshot sees, or nothing.
+  // What is at this place of the log: the value of a key as it is now, one that only a snapshot sees, or
+  // nothing.
   enum class standing { none, seen_by_snapshot, current };
   standing at(const std::string& table, const std::string& key, const position& p) const;
   // The current value was copied.
@@ -62,8 +65,8 @@
   void close_snapshot(sequence s);
   std::size_t snapshots() const { return snapshots_.size(); }
 
-  std::size_t keys() const { return keys_; }           // there now
-  std::uint64_t live_bytes() const { return live_; }   // of their records
+  std::size_t keys() const { return keys_; }          // there now
+  std::uint64_t live_bytes() const { return live_; }  // of their records
   sequence last() const { return last_; }
 
  private:
--- a/src/telemetry/telemetry.cpp
+++ b/src/telemetry/telemetry.cpp
@@ -70,16 +70,16 @@
   log("counters",
       "connections=%" PRIu64 " taken_in=%" PRIu64 " sent=%" PRIu64 " served=%" PRIu64 " refused=%" PRIu64
       " failed=%" PRIu64 " given_up=%" PRIu64 " gone=%" PRIu64 " bad_requests=%" PRIu64 " bad_frames=%" PRIu64
-      " checks=%" PRIu64 " silent=%" PRIu64 " made_room=%" PRIu64 " turned_away=%" PRIu64 " links_lost=%" PRIu64 " nacks=%" PRIu64
-      " console_calls=%" PRIu64 " console_bad=%" PRIu64,
+      " checks=%" PRIu64 " silent=%" PRIu64 " made_room=%" PRIu64 " turned_away=%" PRIu64
+      " links_lost=%" PRIu64 " nacks=%" PRIu64 " console_calls=%" PRIu64 " console_bad=%" PRIu64,
       c.connections, c.taken_in, c.sent, c.served, c.refused, c.failed, c.given_up, c.gone, c.bad_requests,
       c.bad_frames, c.checks, c.silent, c.made_room, c.turned_away, c.links_lost, c.nacks, c.console_calls,
       c.console_bad);
   if (c.results_bytes == 0 && c.results_known == 0) return;  // nothing is kept
   log("counters",
-      "repeats_answered=%" PRIu64 " repeats_joined=%" PRIu64 " repeats_in_doubt=%" PRIu64 " key_conflicts=%" PRIu64
-      " no_room=%" PRIu64 " results_known=%" PRIu64 " results_in_doubt=%" PRIu64 " results_bytes=%" PRIu64
-      " results_commits=%" PRIu64,
+      "repeats_answered=%" PRIu64 " repeats_joined=%" PRIu64 " repeats_in_doubt=%" PRIu64
+      " key_conflicts=%" PRIu64 " no_room=%" PRIu64 " results_known=%" PRIu64 " results_in_doubt=%" PRIu64
+      " results_bytes=%" PRIu64 " results_commits=%" PRIu64,
       c.repeats_answered, c.repeats_joined, c.repeats_in_doubt, c.key_conflicts, c.no_room, c.results_known,
       c.results_in_doubt, c.results_bytes, c.results_commits);
 }
--- a/src/telemetry/telemetry.hpp
+++ b/src/telemetry/telemetry.hpp
@@ -32,13 +32,14 @@
   std::uint64_t links_lost = 0;    // to the runtime
   std::uint64_t nacks = 0;
   // Keyed requests.
-  std::uint64_t repeats_answered = 0;  // with the kept result
-  std::uint64_t repeats_joined = 0;    // while their first was held or ran
-  std::uint64_t repeats_in_doubt = 0;  // told that the outcome is unknown
-  std::uint64_t key_conflicts = 0;     // same key, other content
-  std::uint64_t no_room = 0;           // refused since nothing could be recorded
+  std::uint64_t repeats_answered = 0;   // with the kept result
+  std::uint64_t repeats_joined = 0;     // while their first was held or ran
+  std::uint64_t repeats_in_doubt = 0;   // told that the outcome is unknown
+  std::uint64_t key_conflicts = 0;      // same key, other content
+  std::uint64_t no_room = 0;            // refused since nothing could be recorded
   std::uint64_t background_faults = 0;  // damage that scrubbing found, and jobs that failed
-  std::uint64_t results_known = 0, results_in_doubt = 0, results_bytes = 0, results_commits = 0;  // as it stands
+  std::uint64_t results_known = 0, results_in_doubt = 0, results_bytes = 0,
+                results_commits = 0;  // as it stands
   // By request class, as the settings list them; sized by the dispatcher.
   std::vector<std::uint64_t> served_by_class, refused_by_class, failed_by_class;
   // The operators' console.
--- a/src/thrift/front.cpp
+++ b/src/thrift/front.cpp
@@ -263,10 +263,11 @@
   return next_sweep_;
 }
 
-// Asks the least wanted to go while there is room yet. Guards against closes in a full table, which cross requests
-// that are on their way: who was told has stopped sending by the time its place is needed.
+// Asks the least wanted to go while there is room yet. Guards against closes in a full table, which cross
+// requests that are on their way: who was told has stopped sending by the time its place is needed.
 void server::thin_out() {
-  const auto most = static_cast<std::size_t>(config_.bounds.kept * static_cast<double>(config_.bounds.connections));
+  const auto most =
+      static_cast<std::size_t>(config_.bounds.kept * static_cast<double>(config_.bounds.connections));
   if (connections_.size() <= most) return;
   std::size_t told = 0;
   std::vector<std::pair<time_point, connection*>> unused;
--- a/src/thrift/front.hpp
+++ b/src/thrift/front.hpp
@@ -30,10 +30,12 @@
   // Takes no new connection and asks callers to let go of those that stand.
   void leave();
   bool leaving() const { return leaving_; }
-  // Ends each connection that nothing is owed on; what is read of it from then on is thrown away. A connection whose
-  // request has come and is not read yet is left for the next call. Returns whether all are ended.
+  // Ends each connection that nothing is owed on; what is read of it from then on is thrown away. A
+  // connection whose request has come and is not read yet is left for the next call. Returns whether all are
+  // ended.
   bool end_connections();
-  // What health checks answer; the dispatcher's word where nobody says otherwise. Called on the reactor's thread.
+  // What health checks answer; the dispatcher's word where nobody says otherwise. Called on the reactor's
+  // thread.
   void answer_health_by(std::function<bool()> healthy) { healthy_ = std::move(healthy); }
   bool empty() const { return connections_.empty(); }
 
--- a/src/thrift/request.cpp
+++ b/src/thrift/request.cpp
@@ -76,7 +76,8 @@
   r.label = field(f, "txn");
   hex(r.label, "txn");
   const auto door = parsed<std::int64_t>(field(f, "door"));
-  if (!door || *door < now_ms - furthest_door_ms || *door > now_ms + furthest_door_ms) throw bad_field("door");
+  if (!door || *door < now_ms - furthest_door_ms || *door > now_ms + furthest_door_ms)
+    throw bad_field("door");
   // A door in the future is another clock that runs ahead: as if it had just come.
   r.waited = std::chrono::milliseconds(std::max<std::int64_t>(now_ms - *door, 0));
   r.caller = known(parsed<unsigned>(field(f, "lb")), "lb");
--- a/src/thrift/request.hpp
+++ b/src/thrift/request.hpp
@@ -24,7 +24,7 @@
   std::string field;  // empty: none does
   std::size_t longest = 0;
   std::vector<std::chrono::nanoseconds> windows;  // 0 = the class is not keyed
-  bool required = false;  // a keyed request without it is wrong; else it has no key
+  bool required = false;                          // a keyed request without it is wrong; else it has no key
 };
 
 // As the configuration has them; of no class where nothing keeps results.
--- a/src/uwsgi/client.hpp
+++ b/src/uwsgi/client.hpp
@@ -21,8 +21,8 @@
   // The protocol knows no pause: the attempt is broken off for good.
   void pause(request_id id) override;
   void resume(request_id) override {}
-  // Sends the request's vars with the one that the settings name put in, and no body. 404: it never ran there; 2xx:
-  // this is its response; anything else: the server does not know yet.
+  // Sends the request's vars with the one that the settings name put in, and no body. 404: it never ran
+  // there; 2xx: this is its response; anything else: the server does not know yet.
   bool inquire(request_id id, const request& what) override;
 
   std::size_t running() const { return attempts_.size(); }
--- a/src/uwsgi/exchange.hpp
+++ b/src/uwsgi/exchange.hpp
@@ -22,8 +22,8 @@
 
 class exchange : public net::stream::owner {
  public:
-  // Reported once, unless close() was called first. The response is the whole of it, head included; head is null
-  // unless it is whole.
+  // Reported once, unless close() was called first. The response is the whole of it, head included; head is
+  // null unless it is whole.
   using report = std::function<void(exchange_end, const response_head*, std::string_view response)>;
 
   // Throws Poco::Exception where no connection can be begun.
--- a/src/uwsgi/front.cpp
+++ b/src/uwsgi/front.cpp
@@ -93,7 +93,8 @@
 }
 
 request_id server::read(const packet& p) {
-  return dispatcher_.on_arrival(*this, backend_, to_request(p, *config_.uwsgi, names_, config_.keyed ? &*config_.keyed : nullptr));
+  return dispatcher_.on_arrival(
+      *this, backend_, to_request(p, *config_.uwsgi, names_, config_.keyed ? &*config_.keyed : nullptr));
 }
 
 void server::respond(request_id id, const answer& final) {
--- a/src/uwsgi/front.hpp
+++ b/src/uwsgi/front.hpp
@@ -28,8 +28,9 @@
 
   // Takes no new connection.
   void leave();
-  // Ends each connection that nothing is owed on; what is read of it from then on is thrown away. A connection whose
-  // request has come and is not read yet is left for the next call. Returns whether all are ended.
+  // Ends each connection that nothing is owed on; what is read of it from then on is thrown away. A
+  // connection whose request has come and is not read yet is left for the next call. Returns whether all are
+  // ended.
   bool end_connections();
   bool empty() const { return connections_.empty(); }
 
--- a/src/uwsgi/packet.cpp
+++ b/src/uwsgi/packet.cpp
@@ -145,7 +145,8 @@
     if (colon == std::string_view::npos) continue;
     if (same_name(line.substr(0, colon), "retry-after")) {
       constexpr std::size_t longest_s = 86400;
-      if (const auto s = to_count(trimmed(line.substr(colon + 1)))) head.retry_after = std::chrono::seconds(std::min(*s, longest_s));
+      if (const auto s = to_count(trimmed(line.substr(colon + 1))))
+        head.retry_after = std::chrono::seconds(std::min(*s, longest_s));
     }
     if (!same_name(line.substr(0, colon), "content-length")) continue;
     head.content = to_count(trimmed(line.substr(colon + 1)));
--- a/src/uwsgi/request.cpp
+++ b/src/uwsgi/request.cpp
@@ -44,7 +44,8 @@
 
 }  // namespace
 
-request to_request(const packet& p, const uwsgi_config& mapping, vocabulary& names, const keyed_config* keys) {
+request to_request(const packet& p, const uwsgi_config& mapping, vocabulary& names,
+                   const keyed_config* keys) {
   request r;
   r.request_class = known(names.class_of(meaning(p, mapping.request_class)), mapping.request_class);
   r.tenant = known(names.tenant_of(meaning(p, mapping.tenant)), mapping.tenant);
--- a/tests/budgets/office_test.cpp
+++ b/tests/budgets/office_test.cpp
@@ -1,7 +1,6 @@
 // Budgets of a whole fleet in one process (ctest -L budgets): clocks that run apart, links that lose, copy,
 // delay and cut, members paused, killed and started anew; an auditor sums what all act on at every step of
 // true time.
-#include "budgets/demand.hpp"
 #include "budgets/office.hpp"
 
 #include <rapidcheck.h>
@@ -18,6 +17,7 @@
 #include <string>
 
 #include "../check.hpp"
+#include "budgets/demand.hpp"
 
 using namespace marblewharf::budgets;
 using namespace std::chrono_literals;
@@ -53,8 +53,9 @@
     return address[1] - 'a' + (address[0] == 'g' ? waits : 0);
   }
   static std::vector<budget> both() {
-    return {{"rate", 90, 1, 1, false, {}},
-            {"runs", 60, 2, 1, true, settles ? std::chrono::duration_cast<duration>(longest * 1.2) : duration{}}};
+    return {
+        {"rate", 90, 1, 1, false, {}},
+        {"runs", 60, 2, 1, true, settles ? std::chrono::duration_cast<duration>(longest * 1.2) : duration{}}};
   }
   static office_options options() {
     office_options o;
@@ -207,7 +208,8 @@
           if (!w.paused.contains(who)) w.kill(who);
           break;
         case 5:
-          if (!w.members.contains(who)) w.members.contains(who + world::waits) ? w.take_over(who) : w.start(who);
+          if (!w.members.contains(who))
+            w.members.contains(who + world::waits) ? w.take_over(who) : w.start(who);
           break;
         case 6:
           if (!w.paused.contains(who)) w.beside(who);
@@ -411,8 +413,8 @@
 
 // What is in flight over a lease that ended counts, and is no claim: others may have its share by now.
 void overhang() {
-  allocator a({.rules = {1s, drift}, .reserve = 0, .members = 2}, {{"runs", 10, 0, 1, true, {}}}, 7,
-              "l", 1, 0s);
+  allocator a({.rules = {1s, drift}, .reserve = 0, .members = 2}, {{"runs", 10, 0, 1, true, {}}}, 7, "l", 1,
+              0s);
   const auto given = [&](const std::string& from, entry e) {
     a.receive(10s, message{kind::request, from, 0, 1, 1, 7, {e}});
     return a.take_outbox().at(0).m.entries.at(0).held;
@@ -435,8 +437,8 @@
   CHECK(w.members.at(w.leader())->mismatched() > 0);
 }
 
-// A process beside its member's first one: it finds the one that allocates without hearing who leads, has its part while
-// both run, and no safe share; it has that once it is the member, and goes on with what it holds.
+// A process beside its member's first one: it finds the one that allocates without hearing who leads, has its
+// part while both run, and no safe share; it has that once it is the member, and goes on with what it holds.
 void beside() {
   world w(5, 10);
   for (int i = 0; i < 5; ++i) w.demand[i] = {300, 300};
@@ -456,15 +458,16 @@
 
 // What a process before left in flight counts in the member's safe share until it has surely ended.
 void safe_after_settling() {
-  holder h({.rules = {1s, drift}}, {{"rate", 90, 1, 1, false, {}}, {"runs", 60, 2, 1, true, 900ms}}, "m", 5, 7);
+  holder h({.rules = {1s, drift}}, {{"rate", 90, 1, 1, false, {}}, {"runs", 60, 2, 1, true, 900ms}}, "m", 5,
+           7);
   CHECK(h.share(0, 10s) == 0 && h.share(1, 10s) == 0);
   h.join(10s);
   CHECK(h.share(0, 10s) == 1 && h.share(1, 10s) == 0);
   CHECK(h.share(1, 10899ms) == 0 && h.share(1, 10900ms) == 2);
 }
 
-// After the one that allocates was lost, rates grow again once the leases that it granted are over, and do not wait for
-// what settles in flight.
+// After the one that allocates was lost, rates grow again once the leases that it granted are over, and do
+// not wait for what settles in flight.
 void rates_need_no_settling() {
   const std::vector<budget> all = {{"rate", 90, 0, 1, false, {}}, {"runs", 60, 0, 1, true, 5s}};
   const lease_rules rules{1s, drift};
@@ -480,7 +483,8 @@
   CHECK(given(surely_over(rules) + 5s)[1].held == 50);
 }
 
-// Arrivals a second with headroom; a burst fades; what was turned away for want of room counts as wanted for a while.
+// Arrivals a second with headroom; a burst fades; what was turned away for want of room counts as wanted for
+// a while.
 void demands() {
   rate_demand r;
   time_point at = 10s;
--- a/tests/budgets/wire_test.cpp
+++ b/tests/budgets/wire_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 message sample() {
-  return {kind::request,      "127.0.0.1:7946",     17,  42, 1'764'576'000'123,
+  return {kind::request,      "127.0.0.1:7946",           17,  42, 1'764'576'000'123,
           0xfeedfacecafebeef, {{12.5, 40, 7}, {0, 3, 0}}, true};
 }
 
--- a/tests/dependencies/decisions_test.cpp
+++ b/tests/dependencies/decisions_test.cpp
@@ -36,7 +36,8 @@
       } else if (cap.take(now)) {
         extras.push_back(now);
         const auto within = [&](const std::vector<time_point>& all, duration d) {
-          return static_cast<double>(std::count_if(all.begin(), all.end(), [&](time_point t) { return t > now - d; }));
+          return static_cast<double>(
+              std::count_if(all.begin(), all.end(), [&](time_point t) { return t > now - d; }));
         };
         RC_ASSERT(within(extras, 9500ms) <= share * within(firsts, 10s) + floor * 10 + 1e-9);
       }
@@ -148,8 +149,8 @@
   for (std::uint64_t r = 0; r < 8; ++r) CHECK(ramp.choose(2600ms, r, true) == 1u);
 }
 
-// Of two endpoints the first has answered in 50 ms. The other is asked too, but until it answers it draws no more calls
-// than its part: its time is not known to be short.
+// Of two endpoints the first has answered in 50 ms. The other is asked too, but until it answers it draws no
+// more calls than its part: its time is not known to be short.
 void the_unanswered_draws_its_part() {
   endpoints all(2, {});
   all.on_start(0);
@@ -171,9 +172,9 @@
   CHECK(ahead.choose(1s, 0, true) == 1u);
 }
 
-// Three endpoints, calls one after the other. The one that was not drawn at first is asked all the same, though the others are
-// quicker than anything that could be taken for it; one that was slow once is asked again after a while, and one that stays
-// eight times as slow gets few calls.
+// Three endpoints, calls one after the other. The one that was not drawn at first is asked all the same,
+// though the others are quicker than anything that could be taken for it; one that was slow once is asked
+// again after a while, and one that stays eight times as slow gets few calls.
 void each_is_asked_now_and_then() {
   std::mt19937_64 draws(7);
   endpoints all(3, {.fade = 500ms});
@@ -287,8 +288,8 @@
   return r;
 }
 
-// A share of a fleet's calls bounds those in flight beside the limit that adapts; without a share nothing waits for one:
-// what stands in does so at once, and calls go again when there is a share.
+// A share of a fleet's calls bounds those in flight beside the limit that adapts; without a share nothing
+// waits for one: what stands in does so at once, and calls go again when there is a share.
 void a_share_bounds_calls() {
   world w({four_parts()}, four_rules(), 11);
   w.behave = [](const start_call&) { return std::pair<duration, call_end>{40ms, call_end::good}; };
@@ -317,7 +318,8 @@
   holds("one end for each gathering, in time", [] {
     const auto seed = static_cast<unsigned>(*rc::gen::inRange(1, 1 << 30));
     world w({four_parts(*rc::gen::inRange(0, 2) == 1)}, four_rules(), seed);
-    const int bad = *rc::gen::inRange(0, 100), late = *rc::gen::inRange(0, 50), refuses = *rc::gen::inRange(0, 30);
+    const int bad = *rc::gen::inRange(0, 100), late = *rc::gen::inRange(0, 50),
+              refuses = *rc::gen::inRange(0, 30);
     w.behave = [&](const start_call&) -> std::pair<duration, call_end> {
       const int dice = static_cast<int>(w.random() % 100);
       const duration d = std::chrono::milliseconds(1 + w.random() % 40);
@@ -349,8 +351,8 @@
   });
 }
 
-// One of four slows eightfold: its parts go missing or come late, those of the others are as they were, and what is sent
-// grows by no more than the shares allow.
+// One of four slows eightfold: its parts go missing or come late, those of the others are as they were, and
+// what is sent grows by no more than the shares allow.
 void one_slows_eightfold() {
   world w({four_parts()}, four_rules(300ms), 7);
   bool slow = false;
@@ -378,8 +380,9 @@
   }
   int calls = 0;
   for (std::size_t d = 0; d < 4; ++d) calls += w.started[d] - before.at(d);
-  std::printf("healthy parts missing %d of 6000, late %d of 2000, calls %.3f times the first calls, limit %u\n",
-              healthy_missing, complete_late, calls / 8000.0, w.c.allowed(2));
+  std::printf(
+      "healthy parts missing %d of 6000, late %d of 2000, calls %.3f times the first calls, limit %u\n",
+      healthy_missing, complete_late, calls / 8000.0, w.c.allowed(2));
   CHECK(healthy_missing == 0 && complete_late == 0);
   CHECK(calls <= 1.1 * 8000);
   slow = false;
@@ -393,14 +396,19 @@
 void what_stands_in() {
   plan p{"kurs-liste", 3s, 50ms, {}};
   using kind = stand_in::kind;
-  p.parts.push_back({"kurse", 0, false, {{kind::dependency, 1, {}, ""}, {kind::stale, 0, 30s, ""}, {kind::fixed, 0, {}, "none"}}});
+  p.parts.push_back(
+      {"kurse",
+       0,
+       false,
+       {{kind::dependency, 1, {}, ""}, {kind::stale, 0, 30s, ""}, {kind::fixed, 0, {}, "none"}}});
   std::vector<dependency_rules> rules(2);
   rules[0].budget = rules[1].budget = 500ms;
   rules[0].tries = rules[1].tries = 1;
   world w({p}, rules, 3);
   std::set<std::size_t> down;
   w.behave = [&](const start_call& s) {
-    return std::pair<duration, call_end>{10ms, down.contains(s.dependency) ? call_end::failed : call_end::good};
+    return std::pair<duration, call_end>{10ms,
+                                         down.contains(s.dependency) ? call_end::failed : call_end::good};
   };
   gathering_id id = 0;
   const auto ask = [&] {
@@ -419,7 +427,8 @@
   // A required part that is missing ends it at once.
   world r({four_parts(true)}, four_rules(), 4);
   r.behave = [&](const start_call& s) {
-    return std::pair<duration, call_end>{s.dependency == 1 ? 5ms : 400ms, s.dependency == 1 ? call_end::failed : call_end::good};
+    return std::pair<duration, call_end>{s.dependency == 1 ? 5ms : 400ms,
+                                         s.dependency == 1 ? call_end::failed : call_end::good};
   };
   r.begin(1, 2900ms);
   r.run_until(r.now + 3s);
@@ -455,15 +464,18 @@
   none.parts.clear();
   CHECK(fault(none) == "has no part");
   plan longer = p;
-  longer.parts[0].stand_ins = {{kind::dependency, 1, {}, ""}, {kind::dependency, 2, {}, ""}, {kind::dependency, 3, {}, ""}};
+  longer.parts[0].stand_ins = {
+      {kind::dependency, 1, {}, ""}, {kind::dependency, 2, {}, ""}, {kind::dependency, 3, {}, ""}};
   CHECK(!fault(longer).empty());
 }
 
-// Nine endpoints, three a level, as failover/locality_test has the shares: here they are what calls really do.
+// Nine endpoints, three a level, as failover/locality_test has the shares: here they are what calls really
+// do.
 nearness three_levels(unsigned most_each = 0) {
   using failover::level;
-  return {{level::zone, level::zone, level::zone, level::region, level::region, level::region, level::rest, level::rest,
-           level::rest}, {.most_each = most_each}};
+  return {{level::zone, level::zone, level::zone, level::region, level::region, level::region, level::rest,
+           level::rest, level::rest},
+          {.most_each = most_each}};
 }
 std::array<int, 3> levels_of(endpoints& all, time_point now, int n) {
   std::array<int, 3> at{};
@@ -497,7 +509,8 @@
   for (const std::size_t e : {6u, 7u, 8u}) all.set_reachable(e, false);
   const auto panic = levels_of(all, 1300ms, 900);
   CHECK(panic[0] > 200 && panic[1] > 200 && panic[2] > 200);
-  // A bound on each: one call at each of the zone's, then the region takes the next, and panic breaks no bound.
+  // A bound on each: one call at each of the zone's, then the region takes the next, and panic breaks no
+  // bound.
   endpoints bounded(9, {}, three_levels(1));
   std::mt19937_64 random(8);
   std::array<int, 3> at{};
@@ -511,8 +524,8 @@
   CHECK(!bounded.choose(1s, random(), false) && !bounded.next_use(1s));
 }
 
-// Whatever happens to endpoints: no call to one that is out of reach while the levels can take all calls, never the one
-// that just failed, never over a bound.
+// Whatever happens to endpoints: no call to one that is out of reach while the levels can take all calls,
+// never the one that just failed, never over a bound.
 void nearness_holds() {
   holds("calls go only where the shares allow", [] {
     const auto most_each = static_cast<unsigned>(*rc::gen::inRange(0, 4));
--- a/tests/dependencies/library_test.cpp
+++ b/tests/dependencies/library_test.cpp
@@ -23,12 +23,15 @@
 
 void gathers() {
   std::atomic<int> cancelled = 0;
-  gathering g({{.name = "kurse", .endpoints = {says("101.42")}},
-               {.name = "stamm", .endpoints = {hangs(cancelled)}, .budget = 100ms}},
-              {{"kurs", "kurse", false, {}}, {"name", "stamm", false, {{.source = "", .oldest = 0s, .fixed = "?"}}}}, 2s);
+  gathering g(
+      {{.name = "kurse", .endpoints = {says("101.42")}},
+       {.name = "stamm", .endpoints = {hangs(cancelled)}, .budget = 100ms}},
+      {{"kurs", "kurse", false, {}}, {"name", "stamm", false, {{.source = "", .oldest = 0s, .fixed = "?"}}}},
+      2s);
   const auto begin = std::chrono::steady_clock::now();
   const gathered one = g.gather(1, 1s);
-  CHECK(!one.complete && !one.failed && one.parts[0].state == part_state::fresh && one.parts[0].bytes == "101.42");
+  CHECK(!one.complete && !one.failed && one.parts[0].state == part_state::fresh &&
+        one.parts[0].bytes == "101.42");
   CHECK(one.parts[1].state == part_state::stand_in && one.parts[1].bytes == "?");
   CHECK(std::chrono::steady_clock::now() - begin >= 90ms);
   // One that hangs takes none of the others' threads, and what nobody waits for is told so.
@@ -44,8 +47,9 @@
   std::atomic<int> good = 0;
   const source_call fails = [](const call_terms&) -> std::string { throw std::runtime_error("down"); };
   const source_call busy = [](const call_terms&) -> std::string { throw not_now(10s); };
-  gathering g({{.name = "kurse", .endpoints = {fails, [&](const call_terms&) { return ++good, std::string("x"); }}}},
-              {{"kurs", "kurse", true, {}}}, 2s);
+  gathering g(
+      {{.name = "kurse", .endpoints = {fails, [&](const call_terms&) { return ++good, std::string("x"); }}}},
+      {{"kurs", "kurse", true, {}}}, 2s);
   int served = 0;
   for (int i = 0; i < 20; ++i) served += !g.gather(1, 1s).failed;
   CHECK(served >= 15 && good >= served);
@@ -55,8 +59,11 @@
 
 void calls_stay_near() {
   std::atomic<int> at[3] = {};
-  const auto counts = [&at](int i) { return [&at, i](const call_terms&) { return ++at[i], std::string("x"); }; };
-  gathering g({{.name = "kurse", .endpoints = {counts(0), counts(1), counts(2)},
+  const auto counts = [&at](int i) {
+    return [&at, i](const call_terms&) { return ++at[i], std::string("x"); };
+  };
+  gathering g({{.name = "kurse",
+                .endpoints = {counts(0), counts(1), counts(2)},
                 .where = {nearness::elsewhere, nearness::own_zone, nearness::own_region}}},
               {{"kurs", "kurse", true, {}}}, 2s);
   for (int i = 0; i < 30; ++i) CHECK(!g.gather(1, 1s).failed);
@@ -74,7 +81,8 @@
 void plans() {
   const auto refused = [](std::vector<part_of> parts, std::chrono::nanoseconds aim) {
     try {
-      gathering g({{.name = "a", .endpoints = {says("a")}}, {.name = "b", .endpoints = {says("b")}}}, std::move(parts), aim);
+      gathering g({{.name = "a", .endpoints = {says("a")}}, {.name = "b", .endpoints = {says("b")}}},
+                  std::move(parts), aim);
     } catch (const std::invalid_argument& e) {
       return std::string(e.what());
     }
@@ -83,14 +91,17 @@
   CHECK(refused({{"p", "a", false, {}}}, 2s).empty());
   CHECK(refused({{"p", "c", false, {}}}, 2s) == "no source: c");
   CHECK(refused({{"p", "a", false, {}}}, 500ms) != "");
-  CHECK(refused({{"p", "a", false, {{.source = "a", .oldest = {}, .fixed = {}}}}}, 9s) == "part p falls back on a, which it has tried");
+  CHECK(refused({{"p", "a", false, {{.source = "a", .oldest = {}, .fixed = {}}}}}, 9s) ==
+        "part p falls back on a, which it has tried");
 }
 
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {
-      {"gathers", gathers}, {"another", another_endpoint_and_required}, {"near", calls_stay_near}, {"plans", plans}};
+  const std::map<std::string, void (*)()> tests = {{"gathers", gathers},
+                                                   {"another", another_endpoint_and_required},
+                                                   {"near", calls_stay_near},
+                                                   {"plans", plans}};
   tests.at(argv[1])();
   return 0;
 }
--- a/tests/dependencies/outcomes_test.cpp
+++ b/tests/dependencies/outcomes_test.cpp
@@ -1,4 +1,5 @@
-// What is known of writes by their keys, and the room that they take at their participants (ctest -L dependencies).
+// What is known of writes by their keys, and the room that they take at their participants (ctest -L
+// dependencies).
 #include "dependencies/outcomes.hpp"
 
 #include <rapidcheck.h>
@@ -84,8 +85,8 @@
   CHECK(o.of({3, 3}).how == standing::committed && o.of({3, 3}).which == 9);
 }
 
-// Writes and gatherings together never have more than the share, writes alone never more than the participant takes, a
-// write has all of its calls or none, and whatever is given back can be taken again.
+// Writes and gatherings together never have more than the share, writes alone never more than the participant
+// takes, a write has all of its calls or none, and whatever is given back can be taken again.
 void calls() {
   CHECK(rc::check("room at participants", [] {
     const std::size_t n = 3;
@@ -106,7 +107,8 @@
           open.pop_back();
           break;
         default: {
-          const std::vector<std::size_t> wants = d == 2 ? std::vector<std::size_t>{0, 1, 2} : std::vector<std::size_t>{d};
+          const std::vector<std::size_t> wants =
+              d == 2 ? std::vector<std::size_t>{0, 1, 2} : std::vector<std::size_t>{d};
           std::vector<std::size_t> before;
           bool fits = true;
           for (std::size_t p = 0; p < n; ++p) before.push_back(book.writes(p));
@@ -131,7 +133,8 @@
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {{"against_a_map", against_a_map}, {"bounded", bounded}, {"calls", calls}};
+  const std::map<std::string, void (*)()> tests = {
+      {"against_a_map", against_a_map}, {"bounded", bounded}, {"calls", calls}};
   tests.at(argv[1])();
   std::printf("%s passed\n", argv[1]);
   return 0;
--- a/tests/dependencies/transaction_test.cpp
+++ b/tests/dependencies/transaction_test.cpp
@@ -1,18 +1,20 @@
-// The write over several participants under lost, late and repeated steps, a disk that fails and crashes at any moment:
-// whole at all or at none once all is quiet, and no answer that is not so.
+// The write over several participants under lost, late and repeated steps, a disk that fails and crashes at
+// any moment: whole at all or at none once all is quiet, and no answer that is not so.
+#include "dependencies/transaction.hpp"
+
 #include <rapidcheck.h>
 
 #include <map>
 #include <random>
 
 #include "../check.hpp"
-#include "dependencies/transaction.hpp"
 
 using namespace marblewharf::dependencies;
 
 namespace {
 
-// Knows the write by its id: repeated steps change nothing, and a prepare that comes behind its abort is turned down.
+// Knows the write by its id: repeated steps change nothing, and a prepare that comes behind its abort is
+// turned down.
 struct peer {
   part_kind kind{};
   enum class state { none, prepared, committed, aborted } is = state::none;
@@ -28,7 +30,8 @@
           if (is == state::none) is = willing ? state::committed : state::aborted;
           return is == state::committed ? step_end::yes : step_end::no;
         }
-        CHECK(is == state::prepared || is == state::committed);  // never asked to commit what it has not promised
+        CHECK(is == state::prepared ||
+              is == state::committed);  // never asked to commit what it has not promised
         is = state::committed;
         return step_end::yes;
       case step_kind::abort:
@@ -157,7 +160,8 @@
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {{"whole", whole_or_none}, {"refused", what_cannot_be_kept}};
+  const std::map<std::string, void (*)()> tests = {{"whole", whole_or_none},
+                                                   {"refused", what_cannot_be_kept}};
   tests.at(argv[1])();
   return 0;
 }
--- a/tests/dependencies/write_folder_test.cpp
+++ b/tests/dependencies/write_folder_test.cpp
@@ -1,5 +1,5 @@
-// The folder of writes over several participants: its rows, and an older program's folder moved up, with crashes and
-// failures at each call on the way (ctest -L dependencies).
+// The folder of writes over several participants: its rows, and an older program's folder moved up, with
+// crashes and failures at each call on the way (ctest -L dependencies).
 #include "dependencies/write_folder.hpp"
 
 #include <rapidcheck.h>
@@ -35,8 +35,8 @@
     const begun_write w{id_of(*rc::gen::inRange(1, 1'000'000)), text(), text(), text(), text()};
     const std::string begun = *batch_of_begun(w).all().at({open_table, w.id});
     const auto back = read_begun(w.id, begun);
-    RC_ASSERT(back && back->request_class == w.request_class && back->key == w.key && back->payload == w.payload &&
-              back->endpoints == w.endpoints);
+    RC_ASSERT(back && back->request_class == w.request_class && back->key == w.key &&
+              back->payload == w.payload && back->endpoints == w.endpoints);
     const std::size_t cut = static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(begun.size())));
     RC_ASSERT(!read_begun(w.id, begun.substr(0, cut)) && !read_begun(w.id, begun + "x"));
     const outcome_id o{*rc::gen::arbitrary<std::uint64_t>(),
@@ -63,8 +63,8 @@
   store::put(body, static_cast<std::uint32_t>(what));
   store::put(body, static_cast<std::uint32_t>(committed));
   const std::string none;
-  for (const std::string* text : {whole ? &w.request_class : &none, whole ? &w.key : &none, whole ? &w.payload : &result,
-                                  whole ? &w.endpoints : &none}) {
+  for (const std::string* text : {whole ? &w.request_class : &none, whole ? &w.key : &none,
+                                  whole ? &w.payload : &result, whole ? &w.endpoints : &none}) {
     store::put(body, static_cast<std::uint32_t>(text->size()));
     body += *text;
   }
@@ -88,7 +88,8 @@
   const auto append = [&](const store::entry& e) { l.append(std::span(&e, 1), second); };
   for (int i = 1; i <= n; ++i) {
     const begun_write w{id_of(static_cast<std::uint64_t>(i)), "kurs-meldung", "key" + std::to_string(i),
-                        std::string(random() % 400, 'p'), random() % 2 == 0 ? "127.0.0.1:80 127.0.0.1:81" : ""};
+                        std::string(random() % 400, 'p'),
+                        random() % 2 == 0 ? "127.0.0.1:80 127.0.0.1:81" : ""};
     m.begun[w.id] = w;
     append(older_entry(w, log_mark::begun, false, true, now + 50 * second));
     log_mark last = log_mark::begun;
@@ -107,8 +108,8 @@
     }
     const bool committed = last == log_mark::decided, aged = random() % 4 == 0;
     const std::string result(random() % 900, static_cast<char>('a' + i % 26));
-    append(
-        older_entry(w, log_mark::over, committed, false, aged ? now - second : now + 50 * second, committed ? result : ""));
+    append(older_entry(w, log_mark::over, committed, false, aged ? now - second : now + 50 * second,
+                       committed ? result : ""));
     if (committed && !aged) m.over[static_cast<std::uint64_t>(i)] = result;
   }
   return m;
@@ -133,8 +134,8 @@
   }
 }
 
-// All of an older folder is there, once; what ends afterwards stays ended, though the older marks stand until they are
-// cleaned away; and the older program refuses the folder.
+// All of an older folder is there, once; what ends afterwards stays ended, though the older marks stand until
+// they are cleaned away; and the older program refuses the folder.
 void moved_up() {
   constexpr std::int64_t now = 1000 * second;
   for (unsigned seed = 1; seed <= 20; ++seed) {
@@ -165,7 +166,8 @@
     expect(open_write_folder(fs, options(), now + second), m, now + second);
     try {
       store::log older(
-          fs, {"f", segment, 16 * segment, 7}, [](std::uint32_t, std::string_view) { return std::int64_t{0}; },
+          fs, {"f", segment, 16 * segment, 7},
+          [](std::uint32_t, std::string_view) { return std::int64_t{0}; },
           [](std::uint32_t, std::string_view, const store::position&) {});
       CHECK(false);
     } catch (const store::damaged& e) {
@@ -174,8 +176,8 @@
   }
 }
 
-// The power goes, or the disk fails, at each call of the move, and again at some call of the next try: in the end all is
-// there, and nothing twice.
+// The power goes, or the disk fails, at each call of the move, and again at some call of the next try: in the
+// end all is there, and nothing twice.
 void moved_up_with_faults() {
   constexpr std::int64_t now = 1000 * second;
   std::uint64_t faults = 0;
@@ -226,8 +228,10 @@
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {
-      {"rows", rows}, {"moved_up", moved_up}, {"moved_up_with_faults", moved_up_with_faults}, {"no_room", no_room}};
+  const std::map<std::string, void (*)()> tests = {{"rows", rows},
+                                                   {"moved_up", moved_up},
+                                                   {"moved_up_with_faults", moved_up_with_faults},
+                                                   {"no_room", no_room}};
   tests.at(argv[1])();
   std::printf("%s passed\n", argv[1]);
   return 0;
--- a/tests/dependencies/writes_test.cpp
+++ b/tests/dependencies/writes_test.cpp
@@ -1,11 +1,11 @@
-// Writes over three participants while steps are lost, cut and repeated and the node is killed: once all is quiet each is
-// whole at all of them or at none, and no answer was otherwise.
+// Writes over three participants while steps are lost, cut and repeated and the node is killed: once all is
+// quiet each is whole at all of them or at none, and no answer was otherwise.
 //
 //   marblewharf_writes_test [KILLS [SEED [near|beside]]]
 //
-// `near`: one participant has two endpoints with places, far and near; all steps of a write go to the one it began at.
-// `beside`: instead of a kill and a start, a second process of the node is started beside the first, which then is killed
-// or told to leave.
+// `near`: one participant has two endpoints with places, far and near; all steps of a write go to the one it
+// began at. `beside`: instead of a kill and a start, a second process of the node is started beside the
+// first, which then is killed or told to leave.
 #include <array>
 #include <filesystem>
 #include <random>
@@ -30,10 +30,11 @@
   int injected = 0, violations = 0;
   // By write and participant: p prepared, c committed, a aborted.
   std::map<std::string, std::map<int, char>> state;
-  std::map<std::string, std::string> key_of;             // by write
+  std::map<std::string, std::string> key_of;               // by write
   std::map<std::string, std::multiset<std::string>> told;  // by key: statuses
-  std::map<std::string, std::map<int, int>> begun_at;      // by write and participant: the endpoint of its first step
-  std::array<int, 2> steps_at{};                           // by endpoint, of the participant that has two
+  std::map<std::string, std::map<int, int>>
+      begun_at;                   // by write and participant: the endpoint of its first step
+  std::array<int, 2> steps_at{};  // by endpoint, of the participant that has two
 
   reaction step(int who, bool one_phase, const uwsgi_request& q, int endpoint = 0) {
     const std::lock_guard lock(guard);
@@ -74,7 +75,8 @@
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   const sockaddr_in a = address_of(port);
   const std::string bytes = uwsgi_peer::packet(
-      {{"PATH_INFO", "/kurs/meldung"}, {"REMOTE_USER", "isar-invest"}, {"KEY", key}, {"CONTENT_LENGTH", "1"}}, "x");
+      {{"PATH_INFO", "/kurs/meldung"}, {"REMOTE_USER", "isar-invest"}, {"KEY", key}, {"CONTENT_LENGTH", "1"}},
+      "x");
   std::string in;
   if (::connect(fd, reinterpret_cast<const sockaddr*>(&a), sizeof a) == 0 &&
       ::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL) > 0) {
@@ -114,8 +116,8 @@
   const std::string konto_section =
       "dependency konto {\n endpoints = {\"" + konto.address() + "\", \"" + konto_near.address() +
       "\"}\n places = {z1, z0}\n out = 200ms\n}\nfleet {\n name = kurse\n listen = \"" + fleet_at +
-      "\"\n zone = z0\n seeds = {\"" + fleet_at + "\"}\n}\nzone z0 {\n region = r\n members = {\"" + fleet_at +
-      "\"}\n}\nzone z1 {\n region = r\n members = {\"" + own_host() + ":9\"}\n}\n";
+      "\"\n zone = z0\n seeds = {\"" + fleet_at + "\"}\n}\nzone z0 {\n region = r\n members = {\"" +
+      fleet_at + "\"}\n}\nzone z1 {\n region = r\n members = {\"" + own_host() + ":9\"}\n}\n";
   const auto dependency = [](const std::string& n, const uwsgi_server& s, const char* more) {
     return "dependency " + n + " {\n endpoints = {\"" + s.address() + "\"}\n " + more + "\n}\n";
   };
@@ -123,13 +125,17 @@
   o.quota = o.other_quota = 100000;
   o.cores = 16;
   o.write_aim_ms = 700;
-  o.operators = "uwsgi {\n listen = \"" + own_host() + ":" + std::to_string(port) + "\"\n servers = {\"" + own_host() +
-                ":1\"}\n class_var = PATH_INFO\n tenant_var = REMOTE_USER\n}\n" + (near ? konto_section : dependency("konto", konto, "")) +
-                dependency("buch", buch, "") + dependency("melde", melde, "one_phase = yes") +
+  o.operators = "uwsgi {\n listen = \"" + own_host() + ":" + std::to_string(port) + "\"\n servers = {\"" +
+                own_host() + ":1\"}\n class_var = PATH_INFO\n tenant_var = REMOTE_USER\n}\n" +
+                (near ? konto_section : dependency("konto", konto, "")) + dependency("buch", buch, "") +
+                dependency("melde", melde, "one_phase = yes") +
                 "class kurs-meldung {\n uwsgi_values = {\"/kurs/meldung\"}\n keyed = yes\n window = 10m\n"
                 " participants = {konto, buch, melde}\n}\n"
-                "keyed {\n folder = \"" + folder + "/results\"\n uwsgi_var = KEY\n inquiry_tries = 2\n inquiry_pause = 20ms\n}\n"
-                "writes {\n folder = \"" + folder + "/writes\"\n step_var = STEP\n id_var = WRITE_ID\n retry = 60ms\n}\n";
+                "keyed {\n folder = \"" +
+                folder +
+                "/results\"\n uwsgi_var = KEY\n inquiry_tries = 2\n inquiry_pause = 20ms\n}\n"
+                "writes {\n folder = \"" +
+                folder + "/writes\"\n step_var = STEP\n id_var = WRITE_ID\n retry = 60ms\n}\n";
   peers::idle_runtime runtime;
   std::atomic<bool> over = false;
   auto n = std::make_unique<node>(runtime.at, o);
@@ -140,7 +146,8 @@
       std::mt19937 mine(seed + 10 + static_cast<unsigned>(c));
       int next = 0;
       while (!over) {
-        const int k = mine() % 3 == 0 && next > 0 ? next - 1 - static_cast<int>(mine() % std::min(next, 4)) : next++;
+        const int k =
+            mine() % 3 == 0 && next > 0 ? next - 1 - static_cast<int>(mine() % std::min(next, 4)) : next++;
         const std::string key = std::to_string(c) + "-" + std::to_string(k);
         const std::string status = ask(port, key);
         if (status == "cut") std::this_thread::sleep_for(3ms);
@@ -157,8 +164,10 @@
       next->logged(" start: n0");
       next->logged("writes are turned away until it lets go");
       std::this_thread::sleep_for(std::chrono::milliseconds(random() % 300));
-      if (random() % 2 == 0) n->signal(SIGKILL);
-      else n->signal(SIGTERM);
+      if (random() % 2 == 0)
+        n->signal(SIGKILL);
+      else
+        n->signal(SIGTERM);
       n->wait();
       n = std::move(next);
       n->logged("/writes taken over");
@@ -181,7 +190,8 @@
     open = false;
     for (const auto& [id, at] : b.state) {
       for (const auto& [who, is] : at) open = open || is == 'p';
-      const auto committed = std::count_if(at.begin(), at.end(), [](const auto& s) { return s.second == 'c'; });
+      const auto committed =
+          std::count_if(at.begin(), at.end(), [](const auto& s) { return s.second == 'c'; });
       open = open || (committed != 0 && committed != 3);
     }
   }
@@ -205,7 +215,8 @@
   {
     const std::lock_guard lock(b.guard);
     for (const auto& [id, at] : b.state) {
-      const auto committed = std::count_if(at.begin(), at.end(), [](const auto& s) { return s.second == 'c'; });
+      const auto committed =
+          std::count_if(at.begin(), at.end(), [](const auto& s) { return s.second == 'c'; });
       half += committed != 0 && committed != 3;
       whole_writes += committed == 3;
       whole[b.key_of[id]] += committed == 3;
@@ -216,16 +227,19 @@
   for (const auto& [key, told] : b.told) {
     twice += whole[key] > 1;
     served_not_whole += told.contains("200") && whole[key] != 1;
-    const bool sure = std::all_of(told.begin(), told.end(), [](const std::string& s) { return s == "502" || s == "503"; });
+    const bool sure =
+        std::all_of(told.begin(), told.end(), [](const std::string& s) { return s == "502" || s == "503"; });
     failed_but_whole += sure && whole[key] != 0;
     for (const std::string& s : told) ++statuses[s];
   }
   for (const auto& [status, times] : statuses) std::printf("%s: %d\n", status.c_str(), times);
-  for (const auto& [status, times] : resolved) std::printf("asked again in the end, %s: %d\n", status.c_str(), times);
-  std::printf("%d kills, %d faults, %zu writes begun, %d whole, %d half, %d keys twice, %d served and not whole, "
-              "%d failed and whole, %d broken promises\n",
-              kills, b.injected, b.state.size(), whole_writes, half, twice, served_not_whole, failed_but_whole,
-              b.violations);
+  for (const auto& [status, times] : resolved)
+    std::printf("asked again in the end, %s: %d\n", status.c_str(), times);
+  std::printf(
+      "%d kills, %d faults, %zu writes begun, %d whole, %d half, %d keys twice, %d served and not whole, "
+      "%d failed and whole, %d broken promises\n",
+      kills, b.injected, b.state.size(), whole_writes, half, twice, served_not_whole, failed_but_whole,
+      b.violations);
   CHECK(half == 0 && twice == 0 && served_not_whole == 0 && failed_but_whole == 0 && b.violations == 0);
   CHECK(whole_writes > 20);
   if (near) {
--- a/tests/failover/locality_test.cpp
+++ b/tests/failover/locality_test.cpp
@@ -1,4 +1,6 @@
 // Traffic kept near (ctest -L failover).
+#include "failover/locality.hpp"
+
 #include <rapidcheck.h>
 
 #include <cmath>
@@ -7,7 +9,6 @@
 #include <vector>
 
 #include "../check.hpp"
-#include "failover/locality.hpp"
 
 using namespace marblewharf::failover;
 
@@ -21,7 +22,9 @@
   return out;
 }
 
-bool near(double a, double b) { return std::fabs(a - b) < 1e-9; }
+bool near(double a, double b) {
+  return std::fabs(a - b) < 1e-9;
+}
 
 void levels_by_place() {
   const place caller{"muc-a", "muc"};
@@ -84,10 +87,14 @@
 
 int main(int, char** argv) {
   const std::string name = argv[1] != nullptr ? argv[1] : "";
-  if (name == "levels") levels_by_place();
-  else if (name == "spill") spills_in_proportion();
-  else if (name == "locality_properties") properties();
-  else CHECK(false);
+  if (name == "levels")
+    levels_by_place();
+  else if (name == "spill")
+    spills_in_proportion();
+  else if (name == "locality_properties")
+    properties();
+  else
+    CHECK(false);
   std::printf("%s passed\n", name.c_str());
   return 0;
 }
--- a/tests/failover/zone_view_test.cpp
+++ b/tests/failover/zone_view_test.cpp
@@ -1,5 +1,7 @@
 // The view of zones decided in common, under random cuts, losses and times (rapidcheck), and its hard cases
 // (ctest -L failover).
+#include "failover/zone_view.hpp"
+
 #include <rapidcheck.h>
 
 #include <cstdio>
@@ -12,7 +14,6 @@
 
 #include "../check.hpp"
 #include "failover/routes.hpp"
-#include "failover/zone_view.hpp"
 
 using namespace marblewharf::failover;
 using namespace std::chrono_literals;
@@ -21,9 +22,9 @@
 
 constexpr duration step = 100ms, lease = 1s, longest_delay = 400ms;
 
-// Members z0-0 .. z{Z-1}-{M-1}; a cut puts each zone on side 0 or 1. In each round every member looks at every other zone
-// and sends what it stands by, with news of others, to a few members of its side; some of it is lost, some comes twice,
-// and each copy takes its own time, so that votes overtake each other.
+// Members z0-0 .. z{Z-1}-{M-1}; a cut puts each zone on side 0 or 1. In each round every member looks at
+// every other zone and sends what it stands by, with news of others, to a few members of its side; some of it
+// is lost, some comes twice, and each copy takes its own time, so that votes overtake each other.
 struct fleet {
   fleet(int zones, int per_zone, duration hold_down = 2s) : zone_count(zones) {
     std::map<std::string, std::string> zone_of;
@@ -72,9 +73,9 @@
       if (views.at(to).hear(now, v)) moved(v.zone, before, views.at(to).of(v.zone));
     }
   }
-  // What the test knows apart from the code: a verdict stands only on votes that a majority of the members of a majority
-  // of the other zones stood by for that very epoch of late: within the lease, and the way of the votes that were
-  // passed on before it.
+  // What the test knows apart from the code: a verdict stands only on votes that a majority of the members of
+  // a majority of the other zones stood by for that very epoch of late: within the lease, and the way of the
+  // votes that were passed on before it.
   void moved(const std::string& z, const verdict& before, const verdict& after) {
     CHECK(after.epoch > before.epoch);
     CHECK(after.out == (after.epoch % 2 == 1));
@@ -105,7 +106,8 @@
   std::map<std::string, std::string> zone_by_member;
   std::map<std::string, int> side;
   std::vector<std::string> names;
-  std::map<std::pair<std::string, std::string>, sight> sights;  // of one member on one zone, where not by the cut
+  std::map<std::pair<std::string, std::string>, sight>
+      sights;  // of one member on one zone, where not by the cut
   std::multimap<time_point, std::pair<std::string, vote>> in_flight;
   std::map<std::pair<std::string, std::uint64_t>, std::map<std::string, time_point>> cast;  // last stood by
   std::map<std::pair<std::string, std::uint64_t>, std::set<bool>> decided;
@@ -137,7 +139,8 @@
   }));
 }
 
-// A zone cut off from the others both ways: the others declare it out, it declares nobody out and keeps its own.
+// A zone cut off from the others both ways: the others declare it out, it declares nobody out and keeps its
+// own.
 void cut_off_zone() {
   fleet f(3, 3);
   std::mt19937_64 random(1);
@@ -176,7 +179,8 @@
   CHECK(f.all_see(0, "z1", false) && f.all_see(1, "z0", false));
 }
 
-// Each member in turn finds z2 gone for one look, never two at a time: what they voted at different times is no agreement.
+// Each member in turn finds z2 gone for one look, never two at a time: what they voted at different times is
+// no agreement.
 void votes_do_not_add_up_over_time() {
   fleet f(3, 3);
   std::mt19937_64 random(4);
@@ -190,21 +194,23 @@
 
 // Votes that come late and out of order: the voter's latest one counts, whatever comes last.
 void overtaken_votes() {
-  zone_view v({{"a", "z0"}, {"b", "z1"}, {"c", "z2"}, {"d", "z3"}}, "a", {.hold_down = 1s, .vote_lease = 10s});
+  zone_view v({{"a", "z0"}, {"b", "z1"}, {"c", "z2"}, {"d", "z3"}}, "a",
+              {.hold_down = 1s, .vote_lease = 10s});
   CHECK(!v.hear(1s, vote{"c", "z1", 0, false, 8}));  // taken back, before the vote itself comes
   CHECK(!v.hear(2s, vote{"c", "z1", 1, true, 7}));
   CHECK(!v.hear(2s, vote{"d", "z1", 1, true, 3}));
-  CHECK(v.observe(2s, "z1", sight::gone));           // two zones of three: a majority, with this member's own
+  CHECK(v.observe(2s, "z1", sight::gone));  // two zones of three: a majority, with this member's own
   CHECK(v.of("z1").out);
-  zone_view w({{"a", "z0"}, {"b", "z1"}, {"c", "z2"}, {"d", "z3"}}, "a", {.hold_down = 1s, .vote_lease = 10s});
+  zone_view w({{"a", "z0"}, {"b", "z1"}, {"c", "z2"}, {"d", "z3"}}, "a",
+              {.hold_down = 1s, .vote_lease = 10s});
   CHECK(!w.hear(1s, vote{"c", "z1", 1, true, 7}));
-  CHECK(!w.hear(9s, vote{"c", "z1", 1, true, 7}));   // a copy prolongs nothing
+  CHECK(!w.hear(9s, vote{"c", "z1", 1, true, 7}));  // a copy prolongs nothing
   CHECK(w.observe(11s, "z1", sight::gone) && !w.of("z1").out);
-  CHECK(w.hear(11s, vote{"c", "z1", 1, true, 9}));   // issued again
+  CHECK(w.hear(11s, vote{"c", "z1", 1, true, 9}));  // issued again
 }
 
-// Three zones that all lost each other, each voting the others out, and then meet at once: what they stood by while they
-// were apart declares nobody out.
+// Three zones that all lost each other, each voting the others out, and then meet at once: what they stood by
+// while they were apart declares nobody out.
 void partitions_meet() {
   for (std::uint64_t seed = 1; seed < 20; ++seed) {
     fleet f(3, 3);
@@ -219,8 +225,9 @@
   }
 }
 
-// The same, but z2 and the others lost each other just now: z2 holds z1 gone while z0's members are only suspect there, and
-// so do not count as gone. Healed in that moment, z2 agreed with z0 that z1 is out, though all three were there.
+// The same, but z2 and the others lost each other just now: z2 holds z1 gone while z0's members are only
+// suspect there, and so do not count as gone. Healed in that moment, z2 agreed with z0 that z1 is out, though
+// all three were there.
 void partitions_meet_early() {
   for (std::uint64_t seed = 1; seed < 20; ++seed) {
     fleet f(3, 3);
@@ -266,36 +273,51 @@
 // What one member makes of a zone: gone only where all are, and none answered it of late.
 void sights() {
   const sight_rules rules{.since_start = 60s, .start_grace = 5s, .contact_window = 1s};
-  const member_sight dead{member_is::dead, 10s}, alive{member_is::alive, 10s}, suspect{member_is::suspect, 10s}, unheard{};
+  const member_sight dead{member_is::dead, 10s}, alive{member_is::alive, 10s},
+      suspect{member_is::suspect, 10s}, unheard{};
   CHECK(sight_of(std::vector{dead, dead}, rules) == sight::gone);
   CHECK(sight_of(std::vector{dead, alive}, rules) == sight::healthy);
   CHECK(sight_of(std::vector{dead, member_sight{member_is::alive, 10s, 500ms}}, rules) == sight::unsure);
   CHECK(sight_of(std::vector{dead, suspect}, rules) == sight::silent);
   CHECK(sight_of(std::vector{dead, member_sight{member_is::suspect, 500ms}}, rules) == sight::unsure);
-  CHECK(sight_of(std::vector{dead, member_sight{member_is::dead, 500ms}}, rules) == sight::unsure);  // hearsay
+  CHECK(sight_of(std::vector{dead, member_sight{member_is::dead, 500ms}}, rules) ==
+        sight::unsure);  // hearsay
   CHECK(sight_of(std::vector{dead, unheard}, rules) == sight::gone);
   CHECK(sight_of(std::vector{dead, unheard}, {.since_start = 4s, .start_grace = 5s, .contact_window = 1s}) ==
         sight::unsure);
   CHECK(sight_of({}, rules) == sight::unsure);
-  CHECK(zone_routable({1, true, {}}, true) && !zone_routable({1, true, {}}, false) && zone_routable({2, false, {}}, false));
+  CHECK(zone_routable({1, true, {}}, true) && !zone_routable({1, true, {}}, false) &&
+        zone_routable({2, false, {}}, false));
 }
 
 }  // namespace
 
 int main(int, char** argv) {
   const std::string name = argv[1] != nullptr ? argv[1] : "";
-  if (name == "random") random_schedules();
-  else if (name == "cut_off") cut_off_zone();
-  else if (name == "flapping") flapping_zone();
-  else if (name == "two_zones") two_zones_never();
-  else if (name == "refused") refused_votes();
-  else if (name == "over_time") votes_do_not_add_up_over_time();
-  else if (name == "overtaken") overtaken_votes();
-  else if (name == "meet") partitions_meet();
-  else if (name == "meet_early") partitions_meet_early();
-  else if (name == "no_quorum_in_touch") no_vote_without_a_quorum_in_touch();
-  else if (name == "sights") sights();
-  else CHECK(false);
+  if (name == "random")
+    random_schedules();
+  else if (name == "cut_off")
+    cut_off_zone();
+  else if (name == "flapping")
+    flapping_zone();
+  else if (name == "two_zones")
+    two_zones_never();
+  else if (name == "refused")
+    refused_votes();
+  else if (name == "over_time")
+    votes_do_not_add_up_over_time();
+  else if (name == "overtaken")
+    overtaken_votes();
+  else if (name == "meet")
+    partitions_meet();
+  else if (name == "meet_early")
+    partitions_meet_early();
+  else if (name == "no_quorum_in_touch")
+    no_vote_without_a_quorum_in_touch();
+  else if (name == "sights")
+    sights();
+  else
+    CHECK(false);
   std::printf("%s passed\n", name.c_str());
   return 0;
 }
--- a/tests/fleet/audit.hpp
+++ b/tests/fleet/audit.hpp
@@ -4,10 +4,10 @@
 
 #include <array>
 #include <atomic>
+#include <ctime>
 #include <deque>
 #include <functional>
 #include <map>
-#include <ctime>
 #include <thread>
 
 #include "fleet.hpp"
@@ -59,7 +59,8 @@
   return spans;
 }
 
-// The spans of one member. While two of its processes run side by side, the safe share is counted for the first.
+// The spans of one member. While two of its processes run side by side, the safe share is counted for the
+// first.
 inline std::vector<in_force> spans_of(int number, const std::vector<process_line>& lines, double safe) {
   std::vector<in_force> all;
   double alone_from = 0;
@@ -155,7 +156,8 @@
     const std::string log = f->leave(i);
     timespec t{};
     ::clock_gettime(CLOCK_BOOTTIME, &t);
-    ended_[at].push_back({std::exchange(logs_[at], "") + log, static_cast<double>(t.tv_sec) * 1e9 + static_cast<double>(t.tv_nsec)});
+    ended_[at].push_back({std::exchange(logs_[at], "") + log,
+                          static_cast<double>(t.tv_sec) * 1e9 + static_cast<double>(t.tv_nsec)});
   }
   // Cuts these nodes from the others, both ways.
   void cut(const std::set<int>& side) {
--- a/tests/fleet/fleet.hpp
+++ b/tests/fleet/fleet.hpp
@@ -1,6 +1,6 @@
-// A fleet of price nodes on loopback: N processes of the real program in zones and regions, each with a runtime and a
-// console of its own, their membership datagrams led through the fault relay. Shared by the tests, the tool and the
-// measurement. The seed is MARBLEWHARF_SEED's, or 1.
+// A fleet of price nodes on loopback: N processes of the real program in zones and regions, each with a
+// runtime and a console of its own, their membership datagrams led through the fault relay. Shared by the
+// tests, the tool and the measurement. The seed is MARBLEWHARF_SEED's, or 1.
 #pragma once
 
 #include <atomic>
@@ -20,8 +20,8 @@
 
 using namespace harness;
 
-// UDP ports on this process's own address, held until this goes: given away one by one, the system hands the same one out
-// again, to the next node or to the relay (19 of 3,000 fleets of nine).
+// UDP ports on this process's own address, held until this goes: given away one by one, the system hands the
+// same one out again, to the next node or to the relay (19 of 3,000 fleets of nine).
 class held_udp_ports {
  public:
   explicit held_udp_ports(int n) {
@@ -64,7 +64,7 @@
   std::vector<std::string> regions = {};  // by zone; empty: all in r0
   int probe_ms = 100;
   std::string hold_down = "1s";
-  std::string more_of_fleet = "";         // further lines of the section
+  std::string more_of_fleet = "";                  // further lines of the section
   std::function<std::string(int)> operators = {};  // further text of node i's operator's file
   std::function<void(int, node_options&)> edit = {};
 };
@@ -107,8 +107,8 @@
     at(i).signal(SIGKILL);
     at(i).wait();
   }
-  // A replacement: a second process of node i beside the first, with the same addresses but for runtime and console.
-  // Returns once it takes clients; at(i) is the second from then on.
+  // A replacement: a second process of node i beside the first, with the same addresses but for runtime and
+  // console. Returns once it takes clients; at(i) is the second from then on.
   void beside(int i) {
     {
       const std::lock_guard lock(guard(i));
@@ -155,7 +155,9 @@
   std::string zone_line(int z, bool out) const {
     return "\nz" + std::to_string(z) + " " + region(z) + (out ? " out" : " in");
   }
-  bool says(int i, int z, bool out) const { return zones_seen_by(i).find(zone_line(z, out)) != std::string::npos; }
+  bool says(int i, int z, bool out) const {
+    return zones_seen_by(i).find(zone_line(z, out)) != std::string::npos;
+  }
   // Waits until every member in `observers` says so of zone z.
   void all_say(const std::vector<int>& observers, int z, bool out) const {
     for (const int i : observers) wait([&] { return says(i, z, out); }, i);
@@ -175,7 +177,8 @@
   std::size_t alive_seen_by(int i) const {
     const std::string text = members_seen_by(i);
     std::size_t alive = 0;
-    for (std::size_t at = text.find(" alive "); at != std::string::npos; at = text.find(" alive ", at + 1)) ++alive;
+    for (std::size_t at = text.find(" alive "); at != std::string::npos; at = text.find(" alive ", at + 1))
+      ++alive;
     return alive;
   }
   // How often these members saw any zone declared out. Figures, not log lines: those have a bound a second.
@@ -184,8 +187,8 @@
     for (const int i : who) n += figure(console(i), "fleet.declared_out");
     return n;
   }
-  // What happens is waited for, not timed: three times the harness's patience, since nine processes under sanitizers on
-  // a busy machine are slow.
+  // What happens is waited for, not timed: three times the harness's patience, since nine processes under
+  // sanitizers on a busy machine are slow.
   template <typename F>
   void wait(F&& done, int i) const {
     const auto until = harness::clock::now() + std::chrono::milliseconds(3 * patience_ms);
@@ -231,11 +234,12 @@
 
   std::string operators(int i) const {
     std::ostringstream o;
-    o << "fleet {\n name = kurse\n listen = \"" << own_host() << ":" << udp(i) << "\"\n advertise = \"" << address(i)
-      << "\"\n zone = z" << i / options_.per_zone << "\n seeds = {\"" << address(0) << "\", \""
+    o << "fleet {\n name = kurse\n listen = \"" << own_host() << ":" << udp(i) << "\"\n advertise = \""
+      << address(i) << "\"\n zone = z" << i / options_.per_zone << "\n seeds = {\"" << address(0) << "\", \""
       << address(size() > options_.per_zone ? options_.per_zone : 0) << "\"}\n"
       << " probe_interval = " << options_.probe_ms << "ms\n probe_timeout = " << options_.probe_ms * 2 / 5
-      << "ms\n hold_down = " << options_.hold_down << "\n vote_lease = 3s\n start_grace = 2s\n" << options_.more_of_fleet << "}\n";
+      << "ms\n hold_down = " << options_.hold_down << "\n vote_lease = 3s\n start_grace = 2s\n"
+      << options_.more_of_fleet << "}\n";
     for (int z = 0; z < options_.zones; ++z) {
       o << "zone z" << z << " {\n region = " << region(z) << "\n members = {";
       for (int k = 0; k < options_.per_zone; ++k)
--- a/tests/fleet/relay.hpp
+++ b/tests/fleet/relay.hpp
@@ -1,9 +1,9 @@
-// A fault relay between the nodes of a fleet, in userspace on loopback: each node advertises a port of the relay, which
-// passes datagrams on to the node's own port unless the faults set say otherwise.
+// A fault relay between the nodes of a fleet, in userspace on loopback: each node advertises a port of the
+// relay, which passes datagrams on to the node's own port unless the faults set say otherwise.
 //
-// Faults: links cut one way or both (between nodes or whole zones), a share of datagrams lost, a share sent twice, and
-// each one delayed by its own draw, so that they overtake each other. Seeded; whoever makes one prints the seed. One
-// thread of its own, which ends with the relay. Calls from any thread.
+// Faults: links cut one way or both (between nodes or whole zones), a share of datagrams lost, a share sent
+// twice, and each one delayed by its own draw, so that they overtake each other. Seeded; whoever makes one
+// prints the seed. One thread of its own, which ends with the relay. Calls from any thread.
 #pragma once
 
 #include <arpa/inet.h>
@@ -126,7 +126,8 @@
     while (true) {
       sockaddr_in from{};
       socklen_t size = sizeof from;
-      const ssize_t n = ::recvfrom(fronts_[i], datagram, sizeof datagram, 0, reinterpret_cast<sockaddr*>(&from), &size);
+      const ssize_t n =
+          ::recvfrom(fronts_[i], datagram, sizeof datagram, 0, reinterpret_cast<sockaddr*>(&from), &size);
       if (n <= 0) return;
       const auto sender = by_port_.find(ntohs(from.sin_port));
       const std::string bytes(datagram, static_cast<std::size_t>(n));
--- a/tests/fleet/routed.hpp
+++ b/tests/fleet/routed.hpp
@@ -11,11 +11,13 @@
 struct routed {
   routed() {
     for (int i = 0; i < 9; ++i)
-      at.push_back(std::make_unique<peers::uwsgi_server>(
-          [](const peers::uwsgi_request&) { return peers::reaction{0us, peers::manner::whole, "101.42"}; }));
+      at.push_back(std::make_unique<peers::uwsgi_server>([](const peers::uwsgi_request&) {
+        return peers::reaction{0us, peers::manner::whole, "101.42"};
+      }));
     fleet_options o;
     o.regions = {"r0", "r0", "r1"};
-    // Address of a member known only once the relay is up: the places are zones here, members where `by_member`.
+    // Address of a member known only once the relay is up: the places are zones here, members where
+    // `by_member`.
     o.operators = [this](int i) { return i == 0 ? front() : std::string(); };
     f = std::make_unique<fleet>(o);
   }
@@ -35,8 +37,11 @@
     for (const auto& s : at) before.push_back(s->requests);
     for (int i = 0; i < n; ++i) {
       connection c = connection::to(port);
-      c.send(uwsgi_peer::packet({{"PATH_INFO", "/kurs/liste"}, {"REMOTE_USER", "isar-invest"},
-                                 {"QUERY_STRING", "q=" + std::to_string(i)}, {"CONTENT_LENGTH", "2"}}, "in"));
+      c.send(uwsgi_peer::packet({{"PATH_INFO", "/kurs/liste"},
+                                 {"REMOTE_USER", "isar-invest"},
+                                 {"QUERY_STRING", "q=" + std::to_string(i)},
+                                 {"CONTENT_LENGTH", "2"}},
+                                "in"));
       CHECK(c.rest().find("101.42") != std::string::npos || !all_well);
     }
     for (std::size_t i = 0; i < at.size(); ++i) got.push_back(at[i]->requests - before[i]);
--- a/tests/keyed/crash_fs.hpp
+++ b/tests/keyed/crash_fs.hpp
@@ -1,5 +1,6 @@
-// A file system in memory that fails or crashes at a chosen call. After a crash it holds what was synced, and of the
-// rest what a seed says: writes lost, whole or torn at sectors, names changed or not, in the order in which they were.
+// A file system in memory that fails or crashes at a chosen call. After a crash it holds what was synced, and
+// of the rest what a seed says: writes lost, whole or torn at sectors, names changed or not, in the order in
+// which they were.
 #pragma once
 
 #include <algorithm>
--- a/tests/keyed/keeper_test.cpp
+++ b/tests/keyed/keeper_test.cpp
@@ -1,4 +1,6 @@
 // Dispatcher, keeper and the store's thread together, over a disk that stops and comes back.
+#include "keyed/keeper.hpp"
+
 #include <atomic>
 #include <filesystem>
 #include <functional>
@@ -7,14 +9,15 @@
 
 #include "../check.hpp"
 #include "core/dispatcher.hpp"
-#include "keyed/keeper.hpp"
 
 using namespace marblewharf;
 using namespace std::chrono_literals;
 
 namespace {
 
-time_point steady() { return std::chrono::steady_clock::now().time_since_epoch(); }
+time_point steady() {
+  return std::chrono::steady_clock::now().time_since_epoch();
+}
 
 // The real disk, behind a switch.
 class switched_disk : public store::posix_file_system {
@@ -68,8 +71,11 @@
     wrenrill::settings s;
     s.cores = 8;
     s.tick = 1ms;
-    s.classes.push_back({.name = "kurs-meldung", .aim = deadline, .deadline = deadline,
-                         .repeats = wrenrill::effect::keyed, .window = deadline});
+    s.classes.push_back({.name = "kurs-meldung",
+                         .aim = deadline,
+                         .deadline = deadline,
+                         .repeats = wrenrill::effect::keyed,
+                         .window = deadline});
     return s;
   }
   void open() {
@@ -164,7 +170,8 @@
   CHECK(r.keeper->known().size() == 1 && r.keeper->known().doubtful() == 0);
 }
 
-// The run has ended and its record waits: nobody hears 'served', a repeat joins, and both hear once it is on disk.
+// The run has ended and its record waits: nobody hears 'served', a repeat joins, and both hear once it is on
+// disk.
 void a_repeat_between_end_and_record() {
   rig r;
   const request_id first = r.ask("a");
@@ -179,8 +186,8 @@
   CHECK(r.results[first] == "done" && r.results[repeat] == "done" && r.ran["a"] == 1);
 }
 
-// The disk fails between run and record, past the caller's deadline: it hears that the outcome is unknown to it, in
-// time; the record comes with the disk, and a later repeat has its result.
+// The disk fails between run and record, past the caller's deadline: it hears that the outcome is unknown to
+// it, in time; the record comes with the disk, and a later repeat has its result.
 void a_record_that_comes_too_late() {
   rig r(700ms);
   const auto begin = steady();
--- a/tests/keyed/kill_test.cpp
+++ b/tests/keyed/kill_test.cpp
@@ -1,5 +1,6 @@
-// Repeated keyed writes from several callers through both fronts, while the node is killed at random moments. What a
-// run of it finds: no key executed twice, none answered 'served' with two results, nothing lost that was answered.
+// Repeated keyed writes from several callers through both fronts, while the node is killed at random moments.
+// What a run of it finds: no key executed twice, none answered 'served' with two results, nothing lost that
+// was answered.
 //
 //   marblewharf_kill_test [KILLS [SEED]]
 #include <atomic>
@@ -21,10 +22,10 @@
 
 struct world {
   std::mutex guard;
-  std::map<std::string, int> executed;             // by key
+  std::map<std::string, int> executed;  // by key
   std::map<std::string, std::set<std::string>> served;
-  std::map<std::string, int> heard;                // kinds of answers
-  std::atomic<bool> over = false;   // for callers
+  std::map<std::string, int> heard;  // kinds of answers
+  std::atomic<bool> over = false;    // for callers
   std::atomic<bool> closed = false;  // for those that serve them
   std::atomic<int> thrift_port = 0;
   int uwsgi_port = 0;
@@ -47,7 +48,8 @@
   std::string out;
   for (std::size_t i = 0; i < in.size(); i += 3) {
     unsigned v = 0;
-    for (std::size_t k = 0; k < 3; ++k) v = v << 8 | (i + k < in.size() ? static_cast<std::uint8_t>(in[i + k]) : 0u);
+    for (std::size_t k = 0; k < 3; ++k)
+      v = v << 8 | (i + k < in.size() ? static_cast<std::uint8_t>(in[i + k]) : 0u);
     for (std::size_t k = 0; k < 4; ++k) out += i + k > in.size() ? '=' : digits[v >> (18 - 6 * k) & 63];
   }
   return out;
@@ -81,12 +83,13 @@
         const std::string msg = member(line, "msg");
         if (msg == "sync") link.send("{\"msg\":\"ready\",\"how\":\"running\",\"duration\":60000}\n");
         if (msg == "gauges")
-          link.send("{\"msg\":\"load\",\"cookie\":\"" + member(line, "cookie") + "\",\"stats\":[0.2,1,0.1,3]}\n");
+          link.send("{\"msg\":\"load\",\"cookie\":\"" + member(line, "cookie") +
+                    "\",\"stats\":[0.2,1,0.1,3]}\n");
         if (msg != "start") continue;
         const std::string result = w.execute(unbase64(member(line, "blob")));
         ends.emplace(clock::now() + std::chrono::microseconds(random() % 8000),
-                     "\"call\":\"" + member(line, "call") + "\",\"how\":\"fine\",\"duration\":1.0,\"blob\":\"" +
-                         base64(result) + "\"}\n");
+                     "\"call\":\"" + member(line, "call") +
+                         "\",\"how\":\"fine\",\"duration\":1.0,\"blob\":\"" + base64(result) + "\"}\n");
       }
       while (!ends.empty() && ends.begin()->first <= clock::now()) {
         link.send("{\"msg\":\"end\",\"serial\":" + std::to_string(++serial) + "," + ends.begin()->second);
@@ -106,7 +109,8 @@
     std::string in;
     const auto whole = [&] {
       if (in.size() < 4) return false;
-      const std::size_t vars = static_cast<std::uint8_t>(in[1]) | static_cast<std::size_t>(static_cast<std::uint8_t>(in[2])) << 8;
+      const std::size_t vars =
+          static_cast<std::uint8_t>(in[1]) | static_cast<std::size_t>(static_cast<std::uint8_t>(in[2])) << 8;
       return in.size() >= 4 + vars + 8;  // bodies have 8 bytes
     };
     while (!whole() && c.more(in)) {
@@ -140,12 +144,16 @@
     const std::string p = in.substr(4);
     const std::size_t name = to_u32(std::string_view(p).substr(4));
     const reply r{"", 0, p.substr(12 + name)};
-    const std::string kind = p[3] != 2 ? "exception" : r.rest[2] == 0 ? "served" : r.rest[2] == 1 ? "refused" : "failed";
+    const std::string kind = p[3] != 2        ? "exception"
+                             : r.rest[2] == 0 ? "served"
+                             : r.rest[2] == 1 ? "refused"
+                                              : "failed";
     return w.hear(kind, key, kind == "served" ? result(r) : "");
   }
   frail c(w.uwsgi_port);
-  c.send(uwsgi_peer::packet({{"PATH_INFO", "/kurs/meldung"}, {"REMOTE_USER", "isar-invest"}, {"KEY", key},
-                             {"CONTENT_LENGTH", "8"}}, key));
+  c.send(uwsgi_peer::packet(
+      {{"PATH_INFO", "/kurs/meldung"}, {"REMOTE_USER", "isar-invest"}, {"KEY", key}, {"CONTENT_LENGTH", "8"}},
+      key));
   while (c.more(in)) {
   }
   const std::size_t body = in.find("\r\n\r\n");
@@ -199,7 +207,8 @@
                 "\"}\n class_var = PATH_INFO\n tenant_var = REMOTE_USER\n}\n"
                 "class kurs-meldung {\n uwsgi_values = {\"/kurs/meldung\"}\n keyed = yes\n window = 10m\n}\n"
                 "keyed {\n folder = \"" +
-                folder + "/results\"\n uwsgi_var = KEY\n thrift_field = key\n segment = 128KiB\n space = 1GiB\n}\n";
+                folder +
+                "/results\"\n uwsgi_var = KEY\n thrift_field = key\n segment = 128KiB\n space = 1GiB\n}\n";
   std::vector<std::thread> threads, callers;
   threads.emplace_back(be_runtime, std::ref(w), std::cref(door), random());
   for (int i = 0; i < 3; ++i) threads.emplace_back(be_uwsgi_server, std::ref(w), std::cref(server), random());
@@ -240,7 +249,8 @@
   }
   for (const auto& [key, results] : w.served) two_results += results.size() > 1;
   for (const auto& [kind, times] : w.heard) std::printf("%s: %d\n", kind.c_str(), times);
-  std::printf("%d kills, %d runs, %zu keys answered, %zu of them asked for again\n", kills, runs, answered.size(), asked);
+  std::printf("%d kills, %d runs, %zu keys answered, %zu of them asked for again\n", kills, runs,
+              answered.size(), asked);
   CHECK(twice == 0);
   CHECK(two_results == 0);
   CHECK(answered.size() > static_cast<std::size_t>(kills));
--- a/tests/keyed/memory_results_test.cpp
+++ b/tests/keyed/memory_results_test.cpp
@@ -1,10 +1,11 @@
 // The idempotency table in memory: its bounds, and what it forgets when. Time is handed in.
+#include "keyed/memory_results.hpp"
+
 #include <map>
 #include <string>
 #include <vector>
 
 #include "../check.hpp"
-#include "keyed/memory_results.hpp"
 
 using namespace marblewharf;
 using namespace std::chrono_literals;
@@ -30,8 +31,13 @@
 constexpr std::size_t memory = 64 << 10;
 
 struct table {
-  table() : book({.windows = {0s, 1500ms}, .longest_wait = 4s, .memory = memory, .largest_result = 4096, .open = 8},
-                 counters) {
+  table()
+      : book({.windows = {0s, 1500ms},
+              .longest_wait = 4s,
+              .memory = memory,
+              .largest_result = 4096,
+              .open = 8},
+             counters) {
     book.report_to(events);
   }
   standing arrive(request_id id, const std::string& key, time_point at, std::uint64_t content = 1) {
@@ -59,8 +65,8 @@
   keyed::memory_results book;
 };
 
-// However many keys come, results stay within the memory; what finds no room is refused, and there is room again once
-// the first have aged.
+// However many keys come, results stay within the memory; what finds no room is refused, and there is room
+// again once the first have aged.
 void bounded() {
   table t;
   const std::string result(4096, 'x');
@@ -148,8 +154,11 @@
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {
-      {"bounded", bounded}, {"bounded_open", bounded_open}, {"window", window}, {"in_doubt", in_doubt}, {"taken_keys", taken_keys}};
+  const std::map<std::string, void (*)()> tests = {{"bounded", bounded},
+                                                   {"bounded_open", bounded_open},
+                                                   {"window", window},
+                                                   {"in_doubt", in_doubt},
+                                                   {"taken_keys", taken_keys}};
   const auto found = tests.find(argv[1] != nullptr ? argv[1] : "");
   CHECK(found != tests.end());
   found->second();
--- a/tests/keyed/store_test.cpp
+++ b/tests/keyed/store_test.cpp
@@ -1,4 +1,5 @@
-// The store and the ledger over a file system that fails: every call in turn, every byte cut, every byte changed.
+// The store and the ledger over a file system that fails: every call in turn, every byte cut, every byte
+// changed.
 #include <cstdio>
 #include <cstdlib>
 #include <functional>
@@ -184,7 +185,8 @@
 }
 
 // What a folder holds, by key: 'd' in doubt, else the result's size; none: it was not started on.
-std::optional<std::map<std::uint64_t, std::uint64_t>> recovered(const std::map<std::string, std::string>& image) {
+std::optional<std::map<std::uint64_t, std::uint64_t>> recovered(
+    const std::map<std::string, std::string>& image) {
   crash::fs fs;
   fs.load(image);
   std::map<std::uint64_t, std::uint64_t> found;
@@ -276,8 +278,8 @@
     }
   }
   CHECK(damage > 0 && torn > 0);
-  std::printf("%llu changed bytes found, %llu taken for a torn end\n", static_cast<unsigned long long>(damage),
-              static_cast<unsigned long long>(torn));
+  std::printf("%llu changed bytes found, %llu taken for a torn end\n",
+              static_cast<unsigned long long>(damage), static_cast<unsigned long long>(torn));
 }
 
 void ages_and_makes_room() {
@@ -298,8 +300,9 @@
   CHECK(n > first + first / 2);
 }
 
-// A segment that has aged goes while the one behind it has been open for long: a start then knows no later hour than that
-// one's first, and must not take the segment for missing. With each call failing in turn, also with the power lost.
+// A segment that has aged goes while the one behind it has been open for long: a start then knows no later
+// hour than that one's first, and must not take the segment for missing. With each call failing in turn, also
+// with the power lost.
 void goes_before_a_later_header() {
   const auto play = [](std::uint64_t fail_at, crash::fault how, unsigned seed) {
     crash::fs fs;
@@ -365,10 +368,12 @@
   std::printf("each of %llu calls\n", static_cast<unsigned long long>(calls));
 }
 
-// A clock that is set back keeps no key longer than its window and dates none before others; a long stop ages them.
+// A clock that is set back keeps no key longer than its window and dates none before others; a long stop ages
+// them.
 void the_clock_does_not_go_back() {
   const ageing_clock back(10s, 1000s, 5s);
-  CHECK(back.at(5s) == std::chrono::nanoseconds(1000s).count() && back.at(6s) == std::chrono::nanoseconds(1001s).count());
+  CHECK(back.at(5s) == std::chrono::nanoseconds(1000s).count() &&
+        back.at(6s) == std::chrono::nanoseconds(1001s).count());
   const ageing_clock later(5000s, 1000s, 5s);
   CHECK(later.at(5s) == std::chrono::nanoseconds(5000s).count());
 }
--- a/tests/membership/swim_properties_test.cpp
+++ b/tests/membership/swim_properties_test.cpp
@@ -1,5 +1,5 @@
-// Properties of the membership state machine over random schedules of messages and faults (rapidcheck; ctest -L
-// membership; the seed is fixed by RC_PARAMS in CTest and printed by rapidcheck where a case fails).
+// Properties of the membership state machine over random schedules of messages and faults (rapidcheck; ctest
+// -L membership; the seed is fixed by RC_PARAMS in CTest and printed by rapidcheck where a case fails).
 #include <rapidcheck.h>
 
 #include <cstdio>
@@ -23,10 +23,12 @@
   }
   static std::string at(int i) { return "m" + std::to_string(i) + ":1"; }
   void start(int i) {
-    // As the node does it: the time of the start, so above any incarnation the last one can have reached by refuting.
+    // As the node does it: the time of the start, so above any incarnation the last one can have reached by
+    // refuting.
     const auto incarnation = static_cast<std::uint64_t>(now / 1ms) * 1000 + 1;
-    members[i] = std::make_unique<swim>(options{}, claim{at(i), "z" + std::to_string(i % 3), "r0", incarnation, health::alive},
-                                        std::vector<std::string>{at(0), at(1)}, now);
+    members[i] = std::make_unique<swim>(
+        options{}, claim{at(i), "z" + std::to_string(i % 3), "r0", incarnation, health::alive},
+        std::vector<std::string>{at(0), at(1)}, now);
     seen[i].clear();
   }
   void tick(double loss, double twice, duration longest) {
@@ -88,8 +90,13 @@
         case 1: w.cut.clear(); break;
         case 2: w.paused.insert(who); break;
         case 3: w.paused.erase(who); break;
-        case 4: w.members.erase(who); w.paused.erase(who); break;  // killed
-        case 5: if (!w.members.contains(who)) w.start(who); break;
+        case 4:
+          w.members.erase(who);
+          w.paused.erase(who);
+          break;  // killed
+        case 5:
+          if (!w.members.contains(who)) w.start(who);
+          break;
       }
       const double loss = *rc::gen::inRange(0, 50) / 100.0;
       for (int t = 0; t < 50; ++t) w.tick(loss, 0.1, 200ms);
@@ -106,8 +113,8 @@
   }));
 }
 
-// Without faults nobody is ever suspected; under loss alone nobody who answers is declared dead before it was suspected
-// for the shortest suspicion.
+// Without faults nobody is ever suspected; under loss alone nobody who answers is declared dead before it was
+// suspected for the shortest suspicion.
 void no_faults() {
   CHECK(rc::check("no faults, no suspicion", [] {
     const int n = *rc::gen::inRange(2, 12);
--- a/tests/membership/swim_test.cpp
+++ b/tests/membership/swim_test.cpp
@@ -1,4 +1,6 @@
 // The membership state machine over a network of the test's own, in one process (ctest -L membership).
+#include "membership/swim.hpp"
+
 #include <cstdio>
 #include <cstdlib>
 #include <map>
@@ -7,7 +9,6 @@
 #include <string>
 
 #include "../check.hpp"
-#include "membership/swim.hpp"
 
 using namespace marblewharf::membership;
 using namespace std::chrono_literals;
@@ -137,8 +138,8 @@
   CHECK(suspected_for(true) <= s.suspicion_timeout(3) + 10ms);
 }
 
-// Two members that could not reach each other, nor hear of each other by the changes' gossip, when they joined: both
-// learn of the other from the table that goes round.
+// Two members that could not reach each other, nor hear of each other by the changes' gossip, when they
+// joined: both learn of the other from the table that goes round.
 void strangers_meet() {
   std::mt19937_64 random(1);
   time_point now = 0s;
@@ -190,16 +191,25 @@
   const std::string name = argv[1] != nullptr ? argv[1] : "";
   // Eight schedules a case: the seed and the seven after it, each a fleet of its own.
   for (std::uint64_t s = seed; s < seed + 8; ++s) {
-    if (name == "converges") converges(s);
-    else if (name == "silent") a_silent_member_is_declared_dead(s);
-    else if (name == "paused") a_paused_member_refutes(s);
-    else if (name == "heals") a_partition_heals(s);
+    if (name == "converges")
+      converges(s);
+    else if (name == "silent")
+      a_silent_member_is_declared_dead(s);
+    else if (name == "paused")
+      a_paused_member_refutes(s);
+    else if (name == "heals")
+      a_partition_heals(s);
   }
-  if (name == "suspicion") suspicion_shrinks_with_confirmations();
-  else if (name == "hearsay") hearsay_confirms_nothing();
-  else if (name == "bounds") tables_are_bounded();
-  else if (name == "meet") strangers_meet();
-  else if (name != "converges" && name != "silent" && name != "paused" && name != "heals") CHECK(false);
+  if (name == "suspicion")
+    suspicion_shrinks_with_confirmations();
+  else if (name == "hearsay")
+    hearsay_confirms_nothing();
+  else if (name == "bounds")
+    tables_are_bounded();
+  else if (name == "meet")
+    strangers_meet();
+  else if (name != "converges" && name != "silent" && name != "paused" && name != "heals")
+    CHECK(false);
   std::printf("%s passed\n", name.c_str());
   return 0;
 }
--- a/tests/membership/wire_test.cpp
+++ b/tests/membership/wire_test.cpp
@@ -1,11 +1,11 @@
 // The datagrams of membership (ctest -L membership).
-#include <msgpack.hpp>
+#include "membership/wire.hpp"
 
 #include <cstdio>
+#include <msgpack.hpp>
 #include <string>
 
 #include "../check.hpp"
-#include "membership/wire.hpp"
 
 using namespace marblewharf::membership;
 
@@ -66,8 +66,8 @@
 void gossip_is_cut_to_fit() {
   message m = sample();
   for (int i = 0; i < 200; ++i)
-    m.gossip.push_back(claim{"127.0.0.1:" + std::to_string(8000 + i), "zone-" + std::to_string(i), "r", 1,
-                             health::alive});
+    m.gossip.push_back(
+        claim{"127.0.0.1:" + std::to_string(8000 + i), "zone-" + std::to_string(i), "r", 1, health::alive});
   const std::string bytes = encode("kurse", m);
   CHECK(bytes.size() <= datagram_most);
   const decoded d = decode("kurse", bytes);
@@ -79,11 +79,16 @@
 
 int main(int, char** argv) {
   const std::string name = argv[1] != nullptr ? argv[1] : "";
-  if (name == "round_trip") round_trip();
-  else if (name == "foreign") another_fleet_or_version();
-  else if (name == "damaged") damaged();
-  else if (name == "cut_to_fit") gossip_is_cut_to_fit();
-  else CHECK(false);
+  if (name == "round_trip")
+    round_trip();
+  else if (name == "foreign")
+    another_fleet_or_version();
+  else if (name == "damaged")
+    damaged();
+  else if (name == "cut_to_fit")
+    gossip_is_cut_to_fit();
+  else
+    CHECK(false);
   std::printf("%s passed\n", name.c_str());
   return 0;
 }
--- a/tests/net/budgets_test.cpp
+++ b/tests/net/budgets_test.cpp
@@ -147,9 +147,9 @@
   s.audit();
 }
 
-// Nodes replaced one after another by second processes, the one that allocates among them, while far more runs are wanted
-// than there may be: for a while two processes of a member run side by side, and what all of them have in flight stays
-// within the whole all the same.
+// Nodes replaced one after another by second processes, the one that allocates among them, while far more
+// runs are wanted than there may be: for a while two processes of a member run side by side, and what all of
+// them have in flight stays within the whole all the same.
 void replaced() {
   shared_fleet s({.run_ms = 150, .safe = 5});
   s.all_want(400);
@@ -165,8 +165,8 @@
   s.audit();
 }
 
-// Nodes killed and started anew at once, with runs longer than that takes: what the process before left at the runtime
-// still counts, its safe share too.
+// Nodes killed and started anew at once, with runs longer than that takes: what the process before left at
+// the runtime still counts, its safe share too.
 void restarted_at_once() {
   shared_fleet s({.run_ms = 700, .safe = 5});
   s.all_want(400);
@@ -269,8 +269,12 @@
   CHECK(source.most_open <= most);
   std::filesystem::remove_all(folders);
 }
-void gathered_calls_in_flight() { calls_in_flight(false); }
-void written_calls_in_flight() { calls_in_flight(true); }
+void gathered_calls_in_flight() {
+  calls_in_flight(false);
+}
+void written_calls_in_flight() {
+  calls_in_flight(true);
+}
 
 void faults_name_file_line_and_key() {
   const auto status = [](const std::string& text) {
--- a/tests/net/cold_start_test.cpp
+++ b/tests/net/cold_start_test.cpp
@@ -91,8 +91,9 @@
   }
 }
 
-// The sum of what all run, against the sum of what the settings allow them: without the 2 sqrt(N) + 2 that the rule
-// puts down to chance, as no part of it is chance here. Returns the highest share of the allowed sum.
+// The sum of what all run, against the sum of what the settings allow them: without the 2 sqrt(N) + 2 that
+// the rule puts down to chance, as no part of it is chance here. Returns the highest share of the allowed
+// sum.
 double check_sum(const fleet& all) {
   double running = 0, allowed = 0;
   for (const member& m : all) {
@@ -103,8 +104,8 @@
   return running / allowed;
 }
 
-// Far more is asked of every process at once than a cold one survives; first no run ends, then each does that was
-// started, so that others take its place.
+// Far more is asked of every process at once than a cold one survives; first no run ends, then each does that
+// was started, so that others take its place.
 void the_ramp_holds_for_the_sum() {
   fleet all;
   for (member& m : all) m.runtime_up();
@@ -128,12 +129,12 @@
     std::this_thread::sleep_for(5ms);
   }
   for (const member& m : all) started += m.started();
-  std::printf("%zu cold processes: at the most %.2f of the allowed sum ran at once, %zu runs begun\n", processes, most,
-              started);
+  std::printf("%zu cold processes: at the most %.2f of the allowed sum ran at once, %zu runs begun\n",
+              processes, most, started);
 }
 
-// All are killed in one moment and start again under their addresses: nine in ten are ready within 10 s, and each that
-// says so serves.
+// All are killed in one moment and start again under their addresses: nine in ten are ready within 10 s, and
+// each that says so serves.
 void all_restart_together() {
   fleet all;
   for (member& m : all) m.runtime_up();
