--- a/tests/net/dependencies_test.cpp
+++ b/tests/net/dependencies_test.cpp
@@ -30,8 +30,9 @@
       return "dependency " + name + " {\n endpoints = {" + at + "}\n budget = 400ms\n " + more + "\n}\n";
     };
     const auto quoted = [](const uwsgi_server& s) { return "\"" + s.address() + "\""; };
-    o.operators = "uwsgi {\n listen = \"" + own_host() + ":" + std::to_string(uwsgi_port) + "\"\n servers = {" +
-                  quoted(plain) + "}\n class_var = PATH_INFO\n tenant_var = REMOTE_USER\n}\n" +
+    o.operators = "uwsgi {\n listen = \"" + own_host() + ":" + std::to_string(uwsgi_port) +
+                  "\"\n servers = {" + quoted(plain) +
+                  "}\n class_var = PATH_INFO\n tenant_var = REMOTE_USER\n}\n" +
                   "dependencies {\n budget_var = BUDGET_MS\n}\n" +
                   dependency("kurse", quoted(kurse1) + ", " + quoted(kurse2), "out = 300ms") +
                   dependency("stamm", quoted(stamm1) + ", " + quoted(stamm2), "path = \"/stamm\"") +
@@ -44,21 +45,26 @@
   }
   connection ask(const std::string& query = "q=1", const std::string& path = "/kurs/liste") {
     connection c = connection::to(uwsgi_port);
-    c.send(uwsgi_peer::packet({{"PATH_INFO", path}, {"REMOTE_USER", "isar-invest"}, {"QUERY_STRING", query},
-                               {"CONTENT_LENGTH", "2"}}, "in"));
+    c.send(uwsgi_peer::packet({{"PATH_INFO", path},
+                               {"REMOTE_USER", "isar-invest"},
+                               {"QUERY_STRING", query},
+                               {"CONTENT_LENGTH", "2"}},
+                              "in"));
     return c;
   }
   std::string answer(const std::string& query = "q=1") { return ask(query).rest(); }
 
   runtime r;
   uwsgi_server plain{says("plain")};
-  uwsgi_server kurse1{says("101.42")}, kurse2{says("101.42")}, stamm1{says("DAX")}, stamm2{says("DAX")}, ersatz{says("90")};
+  uwsgi_server kurse1{says("101.42")}, kurse2{says("101.42")}, stamm1{says("DAX")}, stamm2{says("DAX")},
+      ersatz{says("90")};
   int uwsgi_port;
   std::unique_ptr<node> n;
 };
 
-const std::string two_parts = "part kurse {\n class = kurs-abfrage\n from = kurse\n}\n"
-                              "part stamm {\n class = kurs-abfrage\n from = stamm\n}\n";
+const std::string two_parts =
+    "part kurse {\n class = kurs-abfrage\n from = kurse\n}\n"
+    "part stamm {\n class = kurs-abfrage\n from = stamm\n}\n";
 
 std::string part(const std::string& answer, const std::string& name) {
   const std::size_t at = answer.find("Part: " + name + "\r\n");
@@ -69,7 +75,9 @@
   return answer.substr(state, answer.find("\r\n", state) - state) + " " +
          answer.substr(body, static_cast<std::size_t>(std::stoi(answer.substr(size_at))));
 }
-bool has(const std::string& text, const std::string& what) { return text.find(what) != std::string::npos; }
+bool has(const std::string& text, const std::string& what) {
+  return text.find(what) != std::string::npos;
+}
 
 // Any bytes of each, the budget told, other classes as ever.
 void gathers_parts() {
@@ -118,7 +126,8 @@
 
 // Whatever is wrong with an answer, the other endpoint has the next attempt.
 void tries_another_endpoint() {
-  for (const manner how : {manner::error, manner::reset, manner::half, manner::garbage, manner::huge, manner::busy}) {
+  for (const manner how :
+       {manner::error, manner::reset, manner::half, manner::garbage, manner::huge, manner::busy}) {
     site s(two_parts);
     s.kurse1.change(does(how));
     int fresh = 0;
@@ -128,8 +137,10 @@
 }
 
 void falls_back() {
-  site s("part kurse {\n class = kurs-abfrage\n from = kurse\n fallback = {\"dependency ersatz\", \"stale 30s\", \"fixed -\"}\n}\n" +
-         two_parts.substr(two_parts.find("part stamm")));
+  site s(
+      "part kurse {\n class = kurs-abfrage\n from = kurse\n fallback = {\"dependency ersatz\", \"stale "
+      "30s\", \"fixed -\"}\n}\n" +
+      two_parts.substr(two_parts.find("part stamm")));
   CHECK(part(s.answer(), "kurse") == "fresh 101.42");
   s.kurse1.change(does(manner::error));
   s.kurse2.change(does(manner::error));
@@ -195,9 +206,10 @@
     node_options o;
     o.aim_ms = 2900;
     const std::string at = "\"" + own_host() + ":1\"";
-    o.operators = "uwsgi {\n listen = \"" + own_host() + ":" + std::to_string(free_port()) + "\"\n servers = {" + at +
-                  "}\n class_var = P\n tenant_var = T\n}\ndependency kurse {\n endpoints = {" + at +
-                  "}\n budget = 2s\n}\ndependency ersatz {\n endpoints = {" + at + "}\n budget = 2s\n}\n" + parts;
+    o.operators =
+        "uwsgi {\n listen = \"" + own_host() + ":" + std::to_string(free_port()) + "\"\n servers = {" + at +
+        "}\n class_var = P\n tenant_var = T\n}\ndependency kurse {\n endpoints = {" + at +
+        "}\n budget = 2s\n}\ndependency ersatz {\n endpoints = {" + at + "}\n budget = 2s\n}\n" + parts;
     node n(r, o);
     CHECK(n.wait() == 1);
     return n.log();
@@ -206,22 +218,21 @@
   CHECK(has(fault(head + " from = kurse\n fallback = {\"dependency ersatz\"}\n}\n"),
             "operators.conf:17: part \"kurse\".from needs 4000ms one after the other"));
   CHECK(has(fault(head + " from = kurse\n fallback = {\"dependency kurse\"}\n}\n"), "which it has tried"));
-  CHECK(has(fault(head + " from = none\n}\n"), "operators.conf:17: part \"kurse\".from names no dependency: \"none\""));
-  CHECK(has(fault(head + " from = kurse\n fallback = {\"stale soon\"}\n}\n"), "operators.conf:18: part \"kurse\".fallback is none of"));
-  CHECK(has(fault("part kurse {\n class = kurs-meldung\n from = kurse\n}\n"), "has an effect: only reads are gathered"));
+  CHECK(has(fault(head + " from = none\n}\n"),
+            "operators.conf:17: part \"kurse\".from names no dependency: \"none\""));
+  CHECK(has(fault(head + " from = kurse\n fallback = {\"stale soon\"}\n}\n"),
+            "operators.conf:18: part \"kurse\".fallback is none of"));
+  CHECK(has(fault("part kurse {\n class = kurs-meldung\n from = kurse\n}\n"),
+            "has an effect: only reads are gathered"));
 }
 
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {{"gathers", gathers_parts},
-                                                   {"stalls", one_stalls},
-                                                   {"another", tries_another_endpoint},
-                                                   {"falls_back", falls_back},
-                                                   {"required", a_required_part},
-                                                   {"comes_back", comes_back},
-                                                   {"leaves", leaves_and_drains},
-                                                   {"plans", plans_are_checked}};
+  const std::map<std::string, void (*)()> tests = {
+      {"gathers", gathers_parts},    {"stalls", one_stalls},        {"another", tries_another_endpoint},
+      {"falls_back", falls_back},    {"required", a_required_part}, {"comes_back", comes_back},
+      {"leaves", leaves_and_drains}, {"plans", plans_are_checked}};
   tests.at(argv[1])();
   return 0;
 }
--- a/tests/net/dispatcher_test.cpp
+++ b/tests/net/dispatcher_test.cpp
@@ -129,7 +129,8 @@
   CHECK(r.desk.open() == 0);
 }
 
-// Guards against tables that grow on a long day: callers' numbers are ever new, and some leave before they run.
+// Guards against tables that grow on a long day: callers' numbers are ever new, and some leave before they
+// run.
 void nothing_is_kept_of_what_is_over() {
   rig r(usual());
   const auto serve = [&](int count) {
--- a/tests/net/fleet_test.cpp
+++ b/tests/net/fleet_test.cpp
@@ -1,5 +1,5 @@
-// A fleet of nine price nodes in three zones on loopback: membership, zones decided in common and calls kept near, with
-// faults between the processes (ctest -L failover).
+// A fleet of nine price nodes in three zones on loopback: membership, zones decided in common and calls kept
+// near, with faults between the processes (ctest -L failover).
 #include "../fleet/routed.hpp"
 #include "membership/wire.hpp"
 
@@ -20,8 +20,8 @@
   CHECK(f.zones_seen_by(4).find("\nregion r0 in 2/2\nregion r1 in 1/1\nEOF\n") != std::string::npos);
 }
 
-// A whole zone killed at once: the others declare it out, and with it its region; restarted cold with the same
-// addresses and new incarnations, it is back after the hold-down.
+// A whole zone killed at once: the others declare it out, and with it its region; restarted cold with the
+// same addresses and new incarnations, it is back after the hold-down.
 void zone_killed_and_restarted() {
   fleet f({.regions = {"r0", "r0", "r1"}});
   f.whole();
@@ -34,7 +34,8 @@
   f.at(0).logged("failover: zone z2 declared back in common, epoch 2");
 }
 
-// One node killed and restarted with its address: known dead, then alive with a higher incarnation; its zone stays in.
+// One node killed and restarted with its address: known dead, then alive with a higher incarnation; its zone
+// stays in.
 void restarted_alone() {
   fleet f;
   f.whole();
@@ -65,14 +66,16 @@
   f.all_say(f.members_of(0, 2), 2, true);
   std::this_thread::sleep_for(2s);  // the cut-off side has had its looks and votes meanwhile
   for (const int i : f.members_of(2, 3))
-    for (const int z : {0, 1}) CHECK(f.zones_seen_by(i).find(f.zone_line(z, false) + " 0 ") != std::string::npos);
+    for (const int z : {0, 1})
+      CHECK(f.zones_seen_by(i).find(f.zone_line(z, false) + " 0 ") != std::string::npos);
   CHECK(f.declared_out(f.members_of(0, 2)) == 6);  // z2, once each
   f.relay->heal();
   f.whole();
 }
 
-// Zone 2 comes and goes every 500 ms for 8 s: declared out once, and not back before it has held still for the hold-down
-// (2 s). Half a second is less than a suspicion takes: its members are alive all the while, only probes go unanswered.
+// Zone 2 comes and goes every 500 ms for 8 s: declared out once, and not back before it has held still for
+// the hold-down (2 s). Half a second is less than a suspicion takes: its members are alive all the while,
+// only probes go unanswered.
 void flapping() {
   fleet f({.hold_down = "2s"});
   f.whole();
@@ -94,8 +97,8 @@
   for (const int i : f.members_of(0, 2)) CHECK(figure(f.console(i), "fleet.declared_back") == 1);
 }
 
-// Two partitions at once: zone 2 is out by a verdict, then zones 0 and 1 lose each other too, so that nobody holds a
-// quorum; then both heal in the same instant.
+// Two partitions at once: zone 2 is out by a verdict, then zones 0 and 1 lose each other too, so that nobody
+// holds a quorum; then both heal in the same instant.
 void two_partitions_heal_at_once() {
   fleet f;
   f.whole();
@@ -112,8 +115,8 @@
   CHECK(f.declared_out(f.members_of(0, 2)) == 6 && f.declared_out(f.members_of(2, 3)) == 0);
 }
 
-// A fifth of all datagrams lost, a tenth sent twice, each delayed by up to 30 ms so that they overtake each other, for
-// eight seconds: no zone is declared out.
+// A fifth of all datagrams lost, a tenth sent twice, each delayed by up to 30 ms so that they overtake each
+// other, for eight seconds: no zone is declared out.
 void lossy() {
   fleet f;
   f.whole();
@@ -143,8 +146,12 @@
   f.whole();
   using namespace marblewharf::membership;
   // A claim that member 1 is dead, in another fleet's name: believed, it would make member 0 say so.
-  const message lie{kind::ping, claim{"127.0.0.9:1", "z0", "r0", 1, health::alive}, 1, "",
-                    {claim{f.address(1), "z0", "r0", 1'000'000'000'000'000, health::dead}}, {}};
+  const message lie{kind::ping,
+                    claim{"127.0.0.9:1", "z0", "r0", 1, health::alive},
+                    1,
+                    "",
+                    {claim{f.address(1), "z0", "r0", 1'000'000'000'000'000, health::dead}},
+                    {}};
   send_datagram(f.udp(0), encode("renten", lie));
   std::string later = encode("kurse", lie);
   later[7] = static_cast<char>(wire_version + 1);  // fixarray, fixstr "kurse" (6 bytes), then the version
@@ -158,9 +165,9 @@
   f.whole();
 }
 
-// A whole zone replaced by second processes that run beside the first ones for longer than a suspicion takes, and a member
-// whose first process is killed meanwhile: nobody is held dead, no zone is declared out, each successor comes in with a
-// higher incarnation once the address is its own.
+// A whole zone replaced by second processes that run beside the first ones for longer than a suspicion takes,
+// and a member whose first process is killed meanwhile: nobody is held dead, no zone is declared out, each
+// successor comes in with a higher incarnation once the address is its own.
 void replaced() {
   fleet f;
   f.whole();
@@ -184,15 +191,18 @@
 
 // ---- Calls kept near --------------------------------------------------------------------------------------
 
-// All well: every call stays in the zone. Its endpoints broken: the region takes them. The region's other zone declared
-// out as well: the rest does.
+// All well: every call stays in the zone. Its endpoints broken: the region takes them. The region's other
+// zone declared out as well: the rest does.
 void near_while_safe() {
   routed r;
   r.f->whole();
   CHECK(routed::sum(r.ask(60), 0, 3) == 60);
   for (std::size_t i = 0; i < 3; ++i)
-    r.at[i]->change([](const peers::uwsgi_request&) { return peers::reaction{0us, peers::manner::reset, ""}; });
-  r.f->wait([&] { return routed::sum(r.ask(10, false), 0, 3) == 0; }, 0);  // some fail until all three are held out
+    r.at[i]->change([](const peers::uwsgi_request&) {
+      return peers::reaction{0us, peers::manner::reset, ""};
+    });
+  r.f->wait([&] { return routed::sum(r.ask(10, false), 0, 3) == 0; },
+            0);  // some fail until all three are held out
   CHECK(routed::sum(r.ask(60), 3, 6) == 60);
   for (const int i : r.f->members_of(1, 2)) r.f->kill(i);
   r.f->all_say({0}, 1, true);
@@ -214,8 +224,9 @@
   r.f->whole();
 }
 
-// A node paused past its suspicion timeout and resumed: nothing is routed to its place while it is suspected or dead;
-// then it refutes with a higher incarnation, and calls go there again. Its zone, two of three alive, stays in.
+// A node paused past its suspicion timeout and resumed: nothing is routed to its place while it is suspected
+// or dead; then it refutes with a higher incarnation, and calls go there again. Its zone, two of three alive,
+// stays in.
 void paused_and_resumed() {
   // Places by member: their addresses are known once a relay stands, so node 0 is started again with them.
   routed r;
@@ -223,7 +234,8 @@
   for (int i = 0; i < 9; ++i) r.places += (i > 0 ? ", \"" : "\"") + r.f->address(i) + "\"";
   r.f->start(0);
   r.f->whole();
-  // A call that this machine made slow keeps others away for some of `fade`: it is waited for, not counted at once.
+  // A call that this machine made slow keeps others away for some of `fade`: it is waited for, not counted at
+  // once.
   const auto shares = [&] { return r.ask(30)[1] > 5; };
   r.f->wait(shares, 0);
   r.f->at(1).signal(SIGSTOP);
@@ -242,20 +254,34 @@
 int main(int, char** argv) {
   std::printf("seed %llu\n", static_cast<unsigned long long>(seed()));
   const std::string name = argv[1] != nullptr ? argv[1] : "";
-  if (name == "converges") converges();
-  else if (name == "zone_killed") zone_killed_and_restarted();
-  else if (name == "restarted_alone") restarted_alone();
-  else if (name == "paused") paused_and_resumed();
-  else if (name == "strangers") strangers_are_counted_and_dropped();
-  else if (name == "cut_both_ways") cut_off(true);
-  else if (name == "cut_one_way") cut_off(false);
-  else if (name == "flapping") flapping();
-  else if (name == "heal_at_once") two_partitions_heal_at_once();
-  else if (name == "lossy") lossy();
-  else if (name == "replaced") replaced();
-  else if (name == "near") near_while_safe();
-  else if (name == "cut_off_serves") cut_off_serves_on();
-  else CHECK(false);
+  if (name == "converges")
+    converges();
+  else if (name == "zone_killed")
+    zone_killed_and_restarted();
+  else if (name == "restarted_alone")
+    restarted_alone();
+  else if (name == "paused")
+    paused_and_resumed();
+  else if (name == "strangers")
+    strangers_are_counted_and_dropped();
+  else if (name == "cut_both_ways")
+    cut_off(true);
+  else if (name == "cut_one_way")
+    cut_off(false);
+  else if (name == "flapping")
+    flapping();
+  else if (name == "heal_at_once")
+    two_partitions_heal_at_once();
+  else if (name == "lossy")
+    lossy();
+  else if (name == "replaced")
+    replaced();
+  else if (name == "near")
+    near_while_safe();
+  else if (name == "cut_off_serves")
+    cut_off_serves_on();
+  else
+    CHECK(false);
   std::printf("%s passed\n", name.c_str());
   return 0;
 }
--- a/tests/net/harness.hpp
+++ b/tests/net/harness.hpp
@@ -140,7 +140,8 @@
     }
     return std::exchange(in_, {});
   }
-  // What still comes, and whether the other side ended the stream in order: false where the connection was reset.
+  // What still comes, and whether the other side ended the stream in order: false where the connection was
+  // reset.
   bool ends_in_order(std::string& rest) {
     while (true) {
       pollfd p{fd_, POLLIN, 0};
@@ -267,22 +268,24 @@
   int stop_ms = 3200;
   int aim_ms = 20000;  // far beyond a slow machine's delays, where a test is not about time
   int write_aim_ms = 20000;
-  int quota = 100, other_quota = 100;  // requests a second of isar-invest and lech-vermoegen
-  std::string operators{};             // text of an operator's file
-  std::string record{};                // a capture file to write
-  std::string edit_from{}, edit_to{};  // in the text of the configuration
-  int directory_port = 0;              // 0: as the node's own
-  int listen_port = 0;                 // 0: one of its own; else beside a node that listens there
-  std::string tmpdir{};                // $TMPDIR of the process; empty: as the test's
-  int console_port = 0;                // 0: no console
+  int quota = 100, other_quota = 100;          // requests a second of isar-invest and lech-vermoegen
+  std::string operators{};                     // text of an operator's file
+  std::string record{};                        // a capture file to write
+  std::string edit_from{}, edit_to{};          // in the text of the configuration
+  int directory_port = 0;                      // 0: as the node's own
+  int listen_port = 0;                         // 0: one of its own; else beside a node that listens there
+  std::string tmpdir{};                        // $TMPDIR of the process; empty: as the test's
+  int console_port = 0;                        // 0: no console
   std::string program = program_under_test();  // a measurement may compare two
-  int descriptors = 0;     // the process's own limit on open files; 0: as the test's
-  bool hold_config = false;  // the node waits in its read of the configuration: waits_for_config(), release_config()
+  int descriptors = 0;                         // the process's own limit on open files; 0: as the test's
+  bool hold_config =
+      false;  // the node waits in its read of the configuration: waits_for_config(), release_config()
 };
 
 class node {
  public:
-  node(const runtime& r, const node_options& o = {}) : port(o.listen_port != 0 ? o.listen_port : free_port()) {
+  node(const runtime& r, const node_options& o = {})
+      : port(o.listen_port != 0 ? o.listen_port : free_port()) {
     char dir[] = "/tmp/marblewharf-test-XXXXXX";
     CHECK(::mkdtemp(dir) != nullptr);
     dir_ = dir;
@@ -303,7 +306,8 @@
     std::string named = "PROXY_CONFIG=" + dir_ + "/config.json";
     std::string tmpdir = "TMPDIR=" + o.tmpdir;
     std::vector<char*> environment = {named.data()};
-    if (!o.tmpdir.empty()) environment.push_back(tmpdir.data());  // the first of a name is the one that counts
+    if (!o.tmpdir.empty())
+      environment.push_back(tmpdir.data());  // the first of a name is the one that counts
     for (char** e = environ; *e != nullptr; ++e) environment.push_back(*e);
     environment.push_back(nullptr);
     pid_ = ::fork();
@@ -442,8 +446,8 @@
     };
     const std::string console =
         o.console_port == 0 ? "" : "\"console\":" + host + std::to_string(o.console_port) + "\",";
-    return "{\"name\":\"n0\"," + console + "\"listen\":" + host + std::to_string(port) + "\",\"runtime\":" + host +
-           std::to_string(r.door.port) + "\",\"directory\":" + host +
+    return "{\"name\":\"n0\"," + console + "\"listen\":" + host + std::to_string(port) +
+           "\",\"runtime\":" + host + std::to_string(r.door.port) + "\",\"directory\":" + host +
            std::to_string(o.directory_port != 0 ? o.directory_port : port) +
            "\",\"seed\":\"8c1f\",\"stop_ms\":" + std::to_string(o.stop_ms) +
            ",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},\"settings\":{"
@@ -492,8 +496,8 @@
 }
 inline fields usual(int n, const std::string& verb = "kurs-abfrage", int ahead_ms = 0) {
   const auto door = ahead_ms + std::chrono::duration_cast<std::chrono::milliseconds>(
-                        std::chrono::system_clock::now().time_since_epoch())
-                        .count();
+                                   std::chrono::system_clock::now().time_since_epoch())
+                                   .count();
   return {{"verb", verb},  {"txn", label(n)},       {"door", std::to_string(door)},
           {"lb", "1"},     {"team", "isar-invest"}, {"cpu", "12.50"},
           {"ram", "24.5"}, {"standing", "0.6250"}};
--- a/tests/net/keyed_test.cpp
+++ b/tests/net/keyed_test.cpp
@@ -1,4 +1,5 @@
-// Keyed results on the real program: what a repeat hears while its first waits, runs, has ended, or was cut off.
+// Keyed results on the real program: what a repeat hears while its first waits, runs, has ended, or was cut
+// off.
 #include <sys/stat.h>
 
 #include <filesystem>
@@ -14,20 +15,22 @@
 namespace {
 
 struct site {
-  explicit site(node_options o = {}, std::string more_keyed = "", const std::string& more = "") : options(std::move(o)) {
+  explicit site(node_options o = {}, std::string more_keyed = "", const std::string& more = "")
+      : options(std::move(o)) {
     char name[] = "/tmp/marblewharf-keyed-XXXXXX";
     CHECK(::mkdtemp(name) != nullptr);
     folder = name;
     const std::string host = "\"" + own_host() + ":";
     uwsgi_port = free_port();
-    options.operators = "uwsgi {\n listen = " + host + std::to_string(uwsgi_port) + "\"\n servers = {" + host +
-                        std::to_string(server.port) +
-                        "\"}\n class_var = PATH_INFO\n tenant_var = REMOTE_USER\n}\n"
-                        "class kurs-abfrage {\n uwsgi_values = {\"/kurs/abfrage\"}\n " +
-                        more +
-                        "}\nclass kurs-meldung {\n uwsgi_values = {\"/kurs/meldung\"}\n keyed = yes\n window = 10m\n}\n"
-                        "keyed {\n folder = \"" +
-                        folder + "/results\"\n uwsgi_var = KEY\n thrift_field = key\n " + more_keyed + "\n}\n";
+    options.operators =
+        "uwsgi {\n listen = " + host + std::to_string(uwsgi_port) + "\"\n servers = {" + host +
+        std::to_string(server.port) +
+        "\"}\n class_var = PATH_INFO\n tenant_var = REMOTE_USER\n}\n"
+        "class kurs-abfrage {\n uwsgi_values = {\"/kurs/abfrage\"}\n " +
+        more +
+        "}\nclass kurs-meldung {\n uwsgi_values = {\"/kurs/meldung\"}\n keyed = yes\n window = 10m\n}\n"
+        "keyed {\n folder = \"" +
+        folder + "/results\"\n uwsgi_var = KEY\n thrift_field = key\n " + more_keyed + "\n}\n";
     start();
   }
   ~site() {
@@ -68,15 +71,22 @@
   return execute(seqid, f, body);
 }
 std::string uwsgi_write(const std::string& key, const std::string& body = "price",
-                        const std::string& path = "/kurs/meldung", const std::string& tenant = "isar-invest") {
-  fields vars = {{"PATH_INFO", path}, {"REMOTE_USER", tenant}, {"REQUEST_METHOD", "POST"},
+                        const std::string& path = "/kurs/meldung",
+                        const std::string& tenant = "isar-invest") {
+  fields vars = {{"PATH_INFO", path},
+                 {"REMOTE_USER", tenant},
+                 {"REQUEST_METHOD", "POST"},
                  {"CONTENT_LENGTH", std::to_string(body.size())}};
   if (!key.empty()) vars.emplace_back("KEY", key);
   return uwsgi_peer::packet(vars, body);
 }
-bool starts_with(const std::string& text, const std::string& with) { return text.rfind(with, 0) == 0; }
+bool starts_with(const std::string& text, const std::string& with) {
+  return text.rfind(with, 0) == 0;
+}
 
-std::string whole_response() { return std::string("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n") + std::string("d\0ne", 4); }
+std::string whole_response() {
+  return std::string("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n") + std::string("d\0ne", 4);
+}
 
 // The result, kept: byte for byte the same, on both fronts, also after a restart, and nothing runs again.
 void repeats_get_the_first_answer() {
@@ -426,7 +436,8 @@
   const auto asked = [&] {
     connection a = s.server.accept();
     const std::string head = a.take(4);
-    const std::string vars = a.take(static_cast<std::uint8_t>(head[1]) | static_cast<std::size_t>(head[2]) << 8);
+    const std::string vars =
+        a.take(static_cast<std::uint8_t>(head[1]) | static_cast<std::size_t>(head[2]) << 8);
     CHECK(vars.find("INQUIRY") != std::string::npos);
     return a;
   };
@@ -481,7 +492,8 @@
     o.operators.replace(o.operators.find(from), from.size(), std::to_string(free_port()));
     node second(other, o);
     other.up();
-    // It serves, but keeps its hands off the folder: keyed requests are refused, never run, until it is let go.
+    // It serves, but keeps its hands off the folder: keyed requests are refused, never run, until it is let
+    // go.
     second.logged("another process holds this folder: keyed requests are refused until it lets go");
     connection d = connection::to(second.port);
     d.send(write_of(1, 3, "k3"));
@@ -508,7 +520,8 @@
   };
   change(130);
   const auto broken = run("results verify " + results);
-  CHECK(broken.second == 1 && broken.first.find("0000000000000001.seg at byte 80: damaged") != std::string::npos);
+  CHECK(broken.second == 1 &&
+        broken.first.find("0000000000000001.seg at byte 80: damaged") != std::string::npos);
   {
     node n(*s.r, s.options);
     CHECK(n.wait() == 1);
@@ -524,8 +537,8 @@
   CHECK(s.r->expect("start") == label(9));
 }
 
-// A byte of a closed segment that the disk changed is found by the scrubbing, which names file and byte, and disturbs
-// nobody: other results are told, new writes are kept.
+// A byte of a closed segment that the disk changed is found by the scrubbing, which names file and byte, and
+// disturbs nobody: other results are told, new writes are kept.
 void changed_on_disk() {
   site s({}, "scrub = 100ms\n segment = 64KiB\n space = 1MiB");
   connection c = s.thrift();
--- a/tests/net/middleware_test.cpp
+++ b/tests/net/middleware_test.cpp
@@ -19,7 +19,8 @@
       ::prctl(PR_SET_PDEATHSIG, SIGKILL);
       ::dup2(in[0], 0);
       ::dup2(out[1], 1);
-      ::execl(EXAMPLE, "guarded_server", "0", folder.empty() ? nullptr : folder.c_str(), static_cast<char*>(nullptr));
+      ::execl(EXAMPLE, "guarded_server", "0", folder.empty() ? nullptr : folder.c_str(),
+              static_cast<char*>(nullptr));
       ::_exit(127);
     }
     ::close(in[0]);
@@ -100,7 +101,9 @@
 void keeps_keyed_responses() {
   char name[] = "/tmp/marblewharf-kept-XXXXXX";
   CHECK(::mkdtemp(name) != nullptr);
-  const auto body = [](const std::string& response) { return response.substr(response.find("\r\n\r\n") + 4); };
+  const auto body = [](const std::string& response) {
+    return response.substr(response.find("\r\n\r\n") + 4);
+  };
   {
     example e(name);
     const std::string first = e.post("k1", "a");
@@ -137,7 +140,8 @@
 int main(int, char** argv) {
   const std::map<std::string, void (*)()> tests = {
       {"served", serves_and_reports},
-      {"crowd", turns_away_what_cannot_be_in_time}, {"keyed", keeps_keyed_responses},
+      {"crowd", turns_away_what_cannot_be_in_time},
+      {"keyed", keeps_keyed_responses},
   };
   tests.at(argv[1])();
   return 0;
--- a/tests/net/node_test.cpp
+++ b/tests/net/node_test.cpp
@@ -133,7 +133,8 @@
   node n(old);
   old.up();
   connection c = connection::to(n.port);
-  // A link that has not caught up yet is let go: the node must have read the gauges before it is told to move.
+  // A link that has not caught up yet is let go: the node must have read the gauges before it is told to
+  // move.
   c.send(execute(1, usual(1, "kurs-meldung"), "a"));
   old.end(old.expect("start"), "fine", "YQ==");
   CHECK(read_reply(c).kind == "served");
@@ -355,7 +356,8 @@
 // connection that is in use.
 void silent_connections_shut_nobody_out() {
   runtime r;
-  node n(r, {.edit_from = "\"memory_mb\":192,\"sockets\":1024", .edit_to = "\"memory_mb\":32,\"sockets\":384"});
+  node n(r,
+         {.edit_from = "\"memory_mb\":192,\"sockets\":1024", .edit_to = "\"memory_mb\":32,\"sockets\":384"});
   r.up();
   std::vector<connection> used, silent;
   for (int i = 0; i < 200; ++i) {  // more than were let in when each had its whole buffer booked
@@ -396,8 +398,8 @@
   }
 }
 
-// Guards against a second effect, and against effects failed or runs forgotten, when the link to the runtime is
-// lost: a start that may have arrived is probed with a stop, which pauses what runs.
+// Guards against a second effect, and against effects failed or runs forgotten, when the link to the runtime
+// is lost: a start that may have arrived is probed with a stop, which pauses what runs.
 void a_lost_link_loses_no_run() {
   runtime r;
   node n(r);
@@ -422,8 +424,8 @@
   }
   CHECK(said[label(5)] == "start");  // never sent before
   CHECK(said[label(1)] == "stop" && said[label(2)] == "stop" && said[label(3)] == "stop");
-  r.end(label(1), "broken_off");     // it ran, and is paused
-  r.end(label(2), "fine", "YQ==");   // it ended as the stop came
+  r.end(label(1), "broken_off");    // it ran, and is paused
+  r.end(label(2), "fine", "YQ==");  // it ended as the stop came
   CHECK(r.expect("cont") == label(1));
   CHECK(r.expect("start") == label(3));  // nothing ended: it never arrived
   for (const int i : {1, 3, 5}) r.end(label(i), "fine", "YQ==");
@@ -546,8 +548,8 @@
   CHECK(n.wait() == 0);
 }
 
-// Guards callers against a close that crosses their next request: before the table is full, who asked just once is
-// told to go, and who comes back is kept.
+// Guards callers against a close that crosses their next request: before the table is full, who asked just
+// once is told to go, and who comes back is kept.
 void a_filling_table_asks_the_unused_to_go() {
   runtime r;
   node n(r, {.edit_from = "\"sockets\":1024", .edit_to = "\"sockets\":128"});  // 64 connections
@@ -567,8 +569,8 @@
   CHECK(!once.back().readable(0));
 }
 
-// Guards a request that waits unread in the system, on a connection just taken or long unused, against the close
-// of that connection for the sake of a new one (seen as a request lost in a full table).
+// Guards a request that waits unread in the system, on a connection just taken or long unused, against the
+// close of that connection for the sake of a new one (seen as a request lost in a full table).
 void a_full_table_closes_nobody_whose_request_is_here() {
   runtime r;
   node n(r, {.edit_from = "\"sockets\":1024", .edit_to = "\"sockets\":128"});  // 64 connections
@@ -622,7 +624,8 @@
       {"\"cores\":1.0,\"memory_mb\":192", "\"cores\":1.0", "limits.memory_mb is missing"},
       {",\"sockets\":1024", "", "limits.sockets is missing"},
       {"\"cores\":1.0", "\"cores\":0", "limits.cores"},
-      {"\"Name\":\"kurs-abfrage\"", "\"Name\":\"kurs\\nabfrage\"", "settings.Classes.0.Name has a control sign"},
+      {"\"Name\":\"kurs-abfrage\"", "\"Name\":\"kurs\\nabfrage\"",
+       "settings.Classes.0.Name has a control sign"},
       {"\"Name\":\"kurs-abfrage\"", "\"Name\":\"kurs-meldung\"", "settings.Classes.1.Name is there twice"},
       {"\"Name\":\"lech-vermoegen\"", "\"Name\":\"isar-invest\"", "settings.Tenants.1.Name is there twice"},
       {"\"Name\":\"isar-invest\"", "\"Name\":\"\"", "settings.Tenants.0.Name is missing"},
--- a/tests/net/ops_test.cpp
+++ b/tests/net/ops_test.cpp
@@ -16,8 +16,7 @@
 // A node whose configuration names a console on a port of its own.
 struct with_console {
   explicit with_console(runtime& r, node_options o = {}, int console_at = 0)
-      : console_port(console_at != 0 ? console_at : free_port()),
-        n(r, [&] {
+      : console_port(console_at != 0 ? console_at : free_port()), n(r, [&] {
           o.edit_from = "\"seed\"";
           o.edit_to = "\"console\":\"" + own_host() + ":" + std::to_string(console_port) + "\",\"seed\"";
           return o;
@@ -115,7 +114,8 @@
   CHECK(read_reply(c).kind == "failed");
   f = figures(w.console_port);
   CHECK(f["app.pending"] == 0 && f["app.upstream_requests"] == 2);
-  CHECK(f["app.completed.kurs-abfrage"] == 1 && f["app.failed.kurs-meldung"] == 1 && f["app.completed.kurs-meldung"] == 0);
+  CHECK(f["app.completed.kurs-abfrage"] == 1 && f["app.failed.kurs-meldung"] == 1 &&
+        f["app.completed.kurs-meldung"] == 0);
 
   CHECK(first_line(call(w.console_port, "hello\n")).rfind("400", 0) == 0);
   CHECK(first_line(call(w.console_port, "\n")).rfind("400", 0) == 0);
@@ -183,7 +183,8 @@
   CHECK(f.contains("app.pending"));
 }
 
-// A run that goes on after its request was given up is no longer pending; one whose caller left is not either.
+// A run that goes on after its request was given up is no longer pending; one whose caller left is not
+// either.
 void pending_counts_what_is_owed() {
   runtime r;
   with_console w(r, {.write_aim_ms = 400});
@@ -249,8 +250,8 @@
   return execute(seqid, f, "price");
 }
 
-// The keyed folder is written by one process at a time: the successor refuses keyed requests until the first has
-// ended, then answers a repeat with what the first one kept.
+// The keyed folder is written by one process at a time: the successor refuses keyed requests until the first
+// has ended, then answers a repeat with what the first one kept.
 void a_successor_takes_the_keyed_folder_over() {
   const shared_folder folder;
   const std::string operators = folder.keyed_operators();
@@ -264,7 +265,8 @@
   const std::string kept = result(read_reply(c));
   CHECK(kept == std::string("\x00\xff\x01", 3));
 
-  with_console second(second_runtime, {.operators = operators, .listen_port = first.n.port, .tmpdir = folder.path});
+  with_console second(second_runtime,
+                      {.operators = operators, .listen_port = first.n.port, .tmpdir = folder.path});
   second_runtime.up();
   second.n.logged("another process holds this folder: keyed requests are refused");
   wait_ready(second.console_port);
@@ -272,7 +274,8 @@
   CHECK(read_reply(c).kind == "closing");
   c.close();
   CHECK(first.n.wait() == 0);
-  // Until the successor holds the folder a keyed request is refused, never run; then the repeat gets the kept result.
+  // Until the successor holds the folder a keyed request is refused, never run; then the repeat gets the kept
+  // result.
   const auto until = clock::now() + std::chrono::milliseconds(patience_ms);
   int seqid = 1;
   for (bool answered = false; !answered;) {
@@ -292,8 +295,8 @@
   starts_nothing(second_runtime);  // the repeat never ran
 }
 
-// The first process killed outright in the middle of a keyed run: the successor takes the folder over and never runs
-// that write a second time; a repeat hears that its outcome is unknown.
+// The first process killed outright in the middle of a keyed run: the successor takes the folder over and
+// never runs that write a second time; a repeat hears that its outcome is unknown.
 void a_killed_first_process_runs_nothing_twice() {
   const shared_folder folder;
   const std::string operators = folder.keyed_operators();
@@ -304,7 +307,8 @@
   connection c = connection::to(first.n.port);
   c.send(keyed_write(1, 1, "k9"));
   first_runtime.expect("start");  // its intent is on disk before this
-  with_console second(second_runtime, {.operators = operators, .listen_port = first.n.port, .tmpdir = folder.path});
+  with_console second(second_runtime,
+                      {.operators = operators, .listen_port = first.n.port, .tmpdir = folder.path});
   second_runtime.up();
   second.n.logged("another process holds this folder");
   first.n.signal(SIGKILL);
@@ -340,7 +344,8 @@
   CHECK(first.n.log().find("a successor") == std::string::npos);
 }
 
-// `drain` during SIGTERM is answered and changes nothing of the leaving: what was read is answered, the process ends.
+// `drain` during SIGTERM is answered and changes nothing of the leaving: what was read is answered, the
+// process ends.
 void drains_while_it_leaves() {
   runtime r;
   with_console w(r, {.stop_ms = 2000});
@@ -375,15 +380,16 @@
   CHECK(w.n.wait() == 0);
 }
 
-// A successor given the same console address does not share it: the first process answers the console until it
-// leaves, then the successor binds it. With SO_REUSEPORT on both the kernel spread the calls over the two.
+// A successor given the same console address does not share it: the first process answers the console until
+// it leaves, then the successor binds it. With SO_REUSEPORT on both the kernel spread the calls over the two.
 void a_console_binds_alone() {
   const shared_folder folder;
   runtime first_runtime, second_runtime;
   with_console first(first_runtime, {.tmpdir = folder.path});
   first_runtime.up();
   wait_ready(first.console_port);
-  with_console second(second_runtime, {.listen_port = first.n.port, .tmpdir = folder.path}, first.console_port);
+  with_console second(second_runtime, {.listen_port = first.n.port, .tmpdir = folder.path},
+                      first.console_port);
   second_runtime.up();
   second.n.logged("held by another process");
   for (int i = 0; i < 10; ++i) CHECK(first_line(call(first.console_port, "drain\n")) == "200 draining");
@@ -396,8 +402,8 @@
 }
 
 // A node of the same name on another address, sharing $TMPDIR, is no successor: the one told to leave goes on
-// serving until its stop. Before the mark named the address, parallel tests (all named n0, all in /tmp) took each
-// other's marks and closed their listeners at SIGTERM.
+// serving until its stop. Before the mark named the address, parallel tests (all named n0, all in /tmp) took
+// each other's marks and closed their listeners at SIGTERM.
 void a_stranger_is_no_successor() {
   const shared_folder folder;
   runtime first_runtime, other_runtime;
--- a/tests/net/races_test.cpp
+++ b/tests/net/races_test.cpp
@@ -1,10 +1,10 @@
-// Races in the node's life, each forced: the stand-in for the runtime or the client holds, cuts or sends at the step
-// named, mostly while the node is stopped (SIGSTOP), so that the bad order comes every time.
+// Races in the node's life, each forced: the stand-in for the runtime or the client holds, cuts or sends at
+// the step named, mostly while the node is stopped (SIGSTOP), so that the bad order comes every time.
 #include <array>
 #include <map>
 
-#include "harness.hpp"
 #include "console_client.hpp"
+#include "harness.hpp"
 
 using namespace harness;
 
@@ -34,9 +34,9 @@
 
 // ---- The link to the runtime ------------------------------------------------------------------------------
 
-// The runtime answers the question behind the replayed notices, and is gone before the node has said what it then
-// has to say: the first command draws a reset, the second one fails. Guards against a link that counts as up, is not
-// there, and is never sought again: the node listened and served nobody.
+// The runtime answers the question behind the replayed notices, and is gone before the node has said what it
+// then has to say: the first command draws a reset, the second one fails. Guards against a link that counts
+// as up, is not there, and is never sought again: the node listened and served nobody.
 void the_link_breaks_while_runs_are_settled() {
   runtime r;
   node n(r);
@@ -65,8 +65,8 @@
   for (int i = 1; i <= 6; ++i) CHECK(read_reply(c).kind == "served");
 }
 
-// The node stands still between the runtime's `ready` and its reading of it. Guards against the delay being taken for
-// a later start of the runtime, and its runs for lost.
+// The node stands still between the runtime's `ready` and its reading of it. Guards against the delay being
+// taken for a later start of the runtime, and its runs for lost.
 void a_ready_that_is_read_late_is_no_restart() {
   runtime r;
   node n(r);
@@ -87,7 +87,8 @@
   CHECK(read_reply(c).kind == "served");
 }
 
-// Notices come again that were read before the link broke, and one is read for the first time: each run ends once.
+// Notices come again that were read before the link broke, and one is read for the first time: each run ends
+// once.
 void notices_come_again() {
   runtime r;
   node n(r);
@@ -123,7 +124,8 @@
   CHECK(answer.seqid == 1 && answer.kind != "served");
 }
 
-// A deadline that is shorter than the node's own timers: each request has its one answer, and nobody else's waits.
+// A deadline that is shorter than the node's own timers: each request has its one answer, and nobody else's
+// waits.
 void deadlines_shorter_than_the_timers() {
   runtime r;
   node n(r, {.edit_from = "\"Objective\":20000000000,\"Deadline\":60000000000",
@@ -147,9 +149,9 @@
 
 // ---- The end of the process -------------------------------------------------------------------------------
 
-// The node stands still from before its last step until after it; requests came meanwhile, on connections of both
-// kinds: resting ones and ones that just opened. Guards against a request that the last round of the reactor reads
-// and nobody answers.
+// The node stands still from before its last step until after it; requests came meanwhile, on connections of
+// both kinds: resting ones and ones that just opened. Guards against a request that the last round of the
+// reactor reads and nobody answers.
 void what_came_before_the_last_step_is_answered() {
   runtime r;
   node n(r);
@@ -164,7 +166,8 @@
   n.logged("notice to leave");
   std::this_thread::sleep_for(2000ms);
   n.signal(SIGSTOP);
-  for (std::size_t i = 0; i < resting.size(); ++i) resting[i].send(execute(2, usual(static_cast<int>(i)), "late"));
+  for (std::size_t i = 0; i < resting.size(); ++i)
+    resting[i].send(execute(2, usual(static_cast<int>(i)), "late"));
   cont_after(n, 1500ms);
   for (connection& c : resting) {
     reply answer;
@@ -179,8 +182,8 @@
   CHECK(n.wait() == 0);
 }
 
-// A client that rests until the node ends its connection sees that end in order, and what it writes behind it is
-// neither run nor answered with a reset that could take the last answer along.
+// A client that rests until the node ends its connection sees that end in order, and what it writes behind it
+// is neither run nor answered with a reset that could take the last answer along.
 void a_client_that_rests_to_the_end_sees_it_in_order() {
   runtime r;
   node n(r, {.stop_ms = 1500});
@@ -259,8 +262,8 @@
   CHECK(n.wait() == 0);
 }
 
-// The new address of the runtime does not answer, and SIGTERM comes while the node tries it: what runs ends on the old
-// one.
+// The new address of the runtime does not answer, and SIGTERM comes while the node tries it: what runs ends
+// on the old one.
 void a_notice_to_leave_during_a_reload() {
   runtime old, gone;
   gone.door.close();
@@ -282,7 +285,8 @@
   CHECK(n.wait() == 0);
 }
 
-// A run that was given up and paused, then SIGHUP and SIGTERM: it stays as it is on the new link, and holds nothing up.
+// A run that was given up and paused, then SIGHUP and SIGTERM: it stays as it is on the new link, and holds
+// nothing up.
 void signals_while_a_run_is_paused() {
   runtime old, next;
   node n(old, {.write_aim_ms = 300});
@@ -293,7 +297,8 @@
   CHECK(read_reply(c).kind == "failed");
   CHECK(old.expect("stop") == label(1));
   n.reload(next);
-  // The stop is said again now and then while the runtime has not told of an end; nothing else is of that run.
+  // The stop is said again now and then while the runtime has not told of an end; nothing else is of that
+  // run.
   const auto is_stop = [](const std::string& line) {
     return member(line, "msg") == "stop" && member(line, "call") == label(1);
   };
@@ -331,8 +336,8 @@
   CHECK(n.wait() == 0);
 }
 
-// SIGKILL at each state of a write, and a new process on its address with the same runtime: it serves, and starts
-// nothing of what the old one had.
+// SIGKILL at each state of a write, and a new process on its address with the same runtime: it serves, and
+// starts nothing of what the old one had.
 void killed_at_each_state() {
   enum class state { unread, half_read, held, running, ended };
   for (const state at : {state::unread, state::half_read, state::held, state::running, state::ended}) {
@@ -368,7 +373,8 @@
   }
 }
 
-// ---- Clients that are slow ----------------------------------------------------------------------------------
+// ---- Clients that are slow
+// ----------------------------------------------------------------------------------
 
 // Requests that come byte by byte, also with those of others between them, are read as any other.
 void a_request_that_comes_byte_by_byte() {
@@ -468,12 +474,14 @@
 
 // ---- Descriptors ------------------------------------------------------------------------------------------
 
-// Idle clients fill the table and callers the console while nobody hears the reports: the node stays under its limit,
-// its link to the runtime comes back, the console answers, known clients are served, and no thread spins.
+// Idle clients fill the table and callers the console while nobody hears the reports: the node stays under
+// its limit, its link to the runtime comes back, the console answers, known clients are served, and no thread
+// spins.
 void floods_leave_the_node_its_descriptors() {
   constexpr int sockets = 160;
   runtime r;
-  node_options o{.edit_from = "\"memory_mb\":192,\"sockets\":1024", .edit_to = "\"memory_mb\":32,\"sockets\":160"};
+  node_options o{.edit_from = "\"memory_mb\":192,\"sockets\":1024",
+                 .edit_to = "\"memory_mb\":32,\"sockets\":160"};
   o.directory_port = free_port();  // discovery is down: nobody is there
   o.descriptors = sockets;
   const int console = free_port();
@@ -530,8 +538,8 @@
   CHECK(read_reply(late).kind == "served");
 }
 
-// No descriptor is left to the process though its own table has room: the listener waits instead of spinning, and
-// serves again once there are some.
+// No descriptor is left to the process though its own table has room: the listener waits instead of spinning,
+// and serves again once there are some.
 void no_descriptor_left_does_not_spin() {
   runtime r;
   node n(r);
@@ -548,8 +556,9 @@
   CHECK(read_reply(waits).seqid == 1);
 }
 
-// Every connection has a request open, and one more comes with its request already sent: it is told to go elsewhere
-// and its end comes in order. Guards against a close over unread bytes, whose reset takes the word along.
+// Every connection has a request open, and one more comes with its request already sent: it is told to go
+// elsewhere and its end comes in order. Guards against a close over unread bytes, whose reset takes the word
+// along.
 void one_connection_too_many_is_ended_in_order() {
   constexpr int table = 64;
   runtime r;
@@ -572,8 +581,8 @@
 
 // ---- Replacement ------------------------------------------------------------------------------------------
 
-// The successor said that it takes the clients, and was killed before the first process got its notice: guards against
-// a first process that stops listening for one that is not there.
+// The successor said that it takes the clients, and was killed before the first process got its notice:
+// guards against a first process that stops listening for one that is not there.
 void a_successor_that_died_takes_nothing_over() {
   char folder[] = "/tmp/marblewharf-handover-XXXXXX";
   CHECK(::mkdtemp(folder) != nullptr);
@@ -635,7 +644,8 @@
   CHECK(read_reply(c).kind == "served");
 }
 
-// ---- Repeats of a keyed class, as the platform's settings have it -------------------------------------------
+// ---- Repeats of a keyed class, as the platform's settings have it
+// -------------------------------------------
 
 // The writes are keyed, and a repeat may come within `window_ms`.
 node_options keyed_writes(int window_ms) {
@@ -658,8 +668,8 @@
   }
 }
 
-// While the first try is held (its runtime is not there yet), runs, has just ended, and after its end, also one that
-// failed: one run, one outcome, one answer each.
+// While the first try is held (its runtime is not there yet), runs, has just ended, and after its end, also
+// one that failed: one run, one outcome, one answer each.
 void repeats_share_one_run() {
   runtime r;
   node n(r, keyed_writes(60000));
@@ -694,8 +704,9 @@
   starts_nothing(r);
 }
 
-// On either side of the end of the window, which opens as the try that ran came to the machine: guards against a
-// second run of a try that came in time and was read late, and against a result that is given for ever.
+// On either side of the end of the window, which opens as the try that ran came to the machine: guards
+// against a second run of a try that came in time and was read late, and against a result that is given for
+// ever.
 void repeats_round_the_end_of_the_window() {
   runtime r;
   node n(r, keyed_writes(1500));
@@ -715,7 +726,8 @@
   starts_nothing(r);
 }
 
-// A first try that never ran leaves nothing behind: its repeat runs. One whose caller left goes on for the repeat.
+// A first try that never ran leaves nothing behind: its repeat runs. One whose caller left goes on for the
+// repeat.
 void repeats_of_what_never_ran_and_of_what_was_left() {
   runtime r;
   node n(r, keyed_writes(60000));
@@ -758,8 +770,9 @@
   starts_nothing(r);
 }
 
-// Somebody sends another one's key with a body of his own, behind its run and before it: guards against a result that
-// goes to whom it does not belong, and against an honest request that fails for it. The runtime knows who is who.
+// Somebody sends another one's key with a body of his own, behind its run and before it: guards against a
+// result that goes to whom it does not belong, and against an honest request that fails for it. The runtime
+// knows who is who.
 void a_taken_key_harms_only_who_took_it() {
   runtime r;
   node n(r, keyed_writes(60000));
--- a/tests/net/settings_test.cpp
+++ b/tests/net/settings_test.cpp
@@ -59,18 +59,21 @@
 void means_what_it_says() {
   const config c = read(
       "# comment\nuwsgi {\n  listen = \"127.0.0.1:3030\"\n  servers = {\"127.0.0.1:1\", \"127.0.0.1:2\"}\n"
-      "  class_var = P\n  tenant_var = T\n  held = 8KiB\n}\nclass kurs-meldung {\n  uwsgi_values = {\"/a\", \"/b\"}\n"
+      "  class_var = P\n  tenant_var = T\n  held = 8KiB\n}\nclass kurs-meldung {\n  uwsgi_values = {\"/a\", "
+      "\"/b\"}\n"
       "  uwsgi_cost = 1.5s\n  keyed = yes\n  window = 90s\n}\ntenant isar-invest { uwsgi_values = {i} }\n"
       "keyed {\n  folder = \"/tmp/x\"\n  uwsgi_var = K\n  space = 64MiB\n}\n");
   CHECK(c.uwsgi && c.uwsgi->servers.size() == 2 && c.uwsgi->servers[1].port == 2);
-  CHECK(c.uwsgi->request_class.values.at("/b") == "kurs-meldung" && c.uwsgi->tenant.values.at("i") == "isar-invest");
+  CHECK(c.uwsgi->request_class.values.at("/b") == "kurs-meldung" &&
+        c.uwsgi->tenant.values.at("i") == "isar-invest");
   CHECK(c.uwsgi->default_cost[1] == 1500 && c.uwsgi->held_kb == 8);
   CHECK(c.keyed && c.keyed->windows[0] == 0s && c.keyed->windows[1] == 90s && c.keyed->space == 64u << 20);
   CHECK(!read("").uwsgi && !read("").keyed && !read("").fleet);  // no fleet named: membership is off
-  const config f = read(two_members +
-                        "uwsgi {\n  listen = \"127.0.0.1:3030\"\n  servers = {\"127.0.0.1:1\"}\n  class_var = P\n"
-                        "  tenant_var = T\n}\ndependency kurse {\n  endpoints = {\"127.0.0.1:1\", \"127.0.0.1:2\"}\n"
-                        "  places = {\"127.0.0.1:7947\", z0}\n  most_each = 7\n}\n");
+  const config f =
+      read(two_members +
+           "uwsgi {\n  listen = \"127.0.0.1:3030\"\n  servers = {\"127.0.0.1:1\"}\n  class_var = P\n"
+           "  tenant_var = T\n}\ndependency kurse {\n  endpoints = {\"127.0.0.1:1\", \"127.0.0.1:2\"}\n"
+           "  places = {\"127.0.0.1:7947\", z0}\n  most_each = 7\n}\n");
   const auto& near = f.dependencies->rules[0].near;
   CHECK(near.where.size() == 2 && near.where[0] == failover::level::zone && near.rules.most_each == 7);
   CHECK(f.fleet && f.fleet->name == "kurse" && f.fleet->seeds.size() == 1 && f.fleet->hold_down == 3s);
@@ -81,19 +84,23 @@
   const std::map<std::string, std::string> faults = {
       {"uwsgi {\n\n  listen = nowhere\n}\n", "/node.conf:3: uwsgi.listen is no host:port: \"nowhere\""},
       {"uwsgi {\n  listne = x\n}\n", "/node.conf:2: no such option 'listne'"},
-      {"class kurs-foo {\n}\n", "/node.conf:2: class \"kurs-foo\" names nothing in the settings (the section ends on this line)"},
+      {"class kurs-foo {\n}\n",
+       "/node.conf:2: class \"kurs-foo\" names nothing in the settings (the section ends on this line)"},
       {"class kurs-meldung {\n  keyed = maybe\n}\n",
        "/node.conf:2: class \"kurs-meldung\".keyed is neither yes nor no: \"maybe\""},
-      {"class kurs-meldung {\n  keyed = yes\n}\n", "/node.conf:0: keyed is missing, and a class has keyed = yes"},
+      {"class kurs-meldung {\n  keyed = yes\n}\n",
+       "/node.conf:0: keyed is missing, and a class has keyed = yes"},
       {keyed + "class kurs-abfrage {\n  keyed = yes\n  window = 3s\n}\n",
        "/node.conf:10: class \"kurs-abfrage\".window is out of bounds: \"3s\""},
       {"keyed {\n  folder = a\n  thrift_field = k\n  space = 12parsecs\n}\n",
        "/node.conf:4: keyed.space is no size such as 64MiB: \"12parsecs\""},
-      {"keyed {\n  folder = a\n}\n", "/node.conf:3: keyed.uwsgi_var and thrift_field are both missing (the section ends on this line)"},
+      {"keyed {\n  folder = a\n}\n",
+       "/node.conf:3: keyed.uwsgi_var and thrift_field are both missing (the section ends on this line)"},
       {"fleet {\n  name = kurse\n  listen = \"127.0.0.1:7946\"\n  zone = z0\n}\n",
        "/node.conf:5: fleet.seeds names no seed (the section ends on this line)"},
       {"zone z0 {\n  region = r\n}\n", "/node.conf:0: zone is set, and fleet is missing"},
-      {"fleet {\n  name = kurse\n  listen = \"127.0.0.1:7946\"\n  zone = z0\n  seeds = {\"127.0.0.1:7947\"}\n}\n"
+      {"fleet {\n  name = kurse\n  listen = \"127.0.0.1:7946\"\n  zone = z0\n  seeds = "
+       "{\"127.0.0.1:7947\"}\n}\n"
        "zone z0 {\n  region = r\n  members = {\"127.0.0.1:7947\"}\n}\n",
        "/node.conf:3: fleet.listen is no member of the zone named in zone: \"z0\""},
       {"dependency kurse {\n  endpoints = {\"127.0.0.1:1\"}\n  places = {z0}\n}\n",
@@ -110,8 +117,11 @@
   CHECK(fault(keyed) == "none");
   // Writes: what an outcome may take fits into a batch, and the space is enough for cleaning to turn.
   const auto writes_over = [](int participants, const std::string& sizes) {
-    std::string text = "uwsgi {\n  listen = \"127.0.0.1:1\"\n  servers = {\"127.0.0.1:2\"}\n  class_var = C\n  tenant_var = T\n}\n"
-                       "keyed {\n  folder = \"/tmp/x\"\n  uwsgi_var = K\n}\n", names;
+    std::string text =
+                    "uwsgi {\n  listen = \"127.0.0.1:1\"\n  servers = {\"127.0.0.1:2\"}\n  class_var = C\n  "
+                    "tenant_var = T\n}\n"
+                    "keyed {\n  folder = \"/tmp/x\"\n  uwsgi_var = K\n}\n",
+                names;
     for (int i = 0; i < participants; ++i) {
       const std::string name = "p" + std::to_string(i);
       text += "dependency " + name + " {\n  endpoints = {\"127.0.0.1:3\"}\n}\n";
@@ -121,8 +131,10 @@
            "}\n}\nwrites {\n  folder = \"/tmp/y\"\n  step_var = S\n  id_var = I\n" + sizes + "}\n";
   };
   CHECK(fault(writes_over(2, "  segment = 1MiB\n  space = 12MiB\n")) == "none");
-  CHECK(fault(writes_over(2, "  segment = 1MiB\n  space = 11MiB\n")).find("writes.space is not from 12582912") != std::string::npos);
-  CHECK(fault(writes_over(40, "  segment = 1MiB\n")).find("writes.segment is too small for the results") != std::string::npos);
+  CHECK(fault(writes_over(2, "  segment = 1MiB\n  space = 11MiB\n"))
+            .find("writes.space is not from 12582912") != std::string::npos);
+  CHECK(fault(writes_over(40, "  segment = 1MiB\n")).find("writes.segment is too small for the results") !=
+        std::string::npos);
   CHECK(fault(writes_over(40, "")) == "none");
   try {
     config c = platform();
@@ -135,7 +147,8 @@
 
 // The examples under deploy/ are files that a node starts with.
 void examples() {
-  for (const char* name : {"marblewharf.conf", "marblewharf-keyed.conf", "marblewharf-dependencies.conf", "marblewharf-fleet.conf"}) {
+  for (const char* name : {"marblewharf.conf", "marblewharf-keyed.conf", "marblewharf-dependencies.conf",
+                           "marblewharf-fleet.conf"}) {
     config c = platform();
     for (const char* more : {"kurs-liste", "kurs-auftrag"}) {
       c.settings.classes.push_back(c.settings.classes[0]);
@@ -149,16 +162,20 @@
 
 void units() {
   CHECK(parse_time("90s") == 90s && parse_time("1.5h") == 90min && parse_time("250us") == 250us);
-  for (const char* bad : {"", "s", "90", "-1s", "1e3s", "90 s", "1000000d", "inf s", "nans"}) CHECK(!parse_time(bad));
+  for (const char* bad : {"", "s", "90", "-1s", "1e3s", "90 s", "1000000d", "inf s", "nans"})
+    CHECK(!parse_time(bad));
   CHECK(parse_bytes("64MiB") == 64u << 20 && parse_bytes("512") == 512u && !parse_bytes("1MB"));
-  CHECK(parse_count("7") == 7u && !parse_count("7.5") && !parse_count("") && !parse_count("99999999999999999999"));
+  CHECK(parse_count("7") == 7u && !parse_count("7.5") && !parse_count("") &&
+        !parse_count("99999999999999999999"));
 }
 
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {
-      {"means", means_what_it_says}, {"faults", names_file_line_and_key}, {"units", units}, {"examples", examples}};
+  const std::map<std::string, void (*)()> tests = {{"means", means_what_it_says},
+                                                   {"faults", names_file_line_and_key},
+                                                   {"units", units},
+                                                   {"examples", examples}};
   tests.at(argv[1])();
   ::unlink((work_folder() + "/node.conf").c_str());
   ::rmdir(work_folder().c_str());
--- a/tests/net/waker_test.cpp
+++ b/tests/net/waker_test.cpp
@@ -1,4 +1,6 @@
 // The waker brings the reactor out of a long poll from another thread, without a Unix socket (ctest -L ops).
+#include "net/waker.hpp"
+
 #include <atomic>
 #include <chrono>
 #include <cstdio>
@@ -6,7 +8,6 @@
 
 #include "../check.hpp"
 #include "net/reactor.hpp"
-#include "net/waker.hpp"
 
 using namespace marblewharf;
 using namespace std::chrono_literals;
--- a/tests/net/writing_test.cpp
+++ b/tests/net/writing_test.cpp
@@ -1,5 +1,5 @@
-// Writes over several participants on the real program: what they keep, for how long, and what is turned away with a time
-// to return (ctest -L dependencies).
+// Writes over several participants on the real program: what they keep, for how long, and what is turned away
+// with a time to return (ctest -L dependencies).
 #include <filesystem>
 #include <map>
 #include <set>
@@ -21,7 +21,8 @@
 class participant {
  public:
   // `how`: what it does with a step, from any thread.
-  explicit participant(std::function<reaction(const uwsgi_request&)> how = [](const uwsgi_request&) { return reaction{}; })
+  explicit participant(std::function<reaction(const uwsgi_request&)> how =
+                           [](const uwsgi_request&) { return reaction{}; })
       : how_(std::move(how)), server([this](const uwsgi_request& q) { return step(q); }) {}
   void change(std::function<reaction(const uwsgi_request&)> how) {
     const std::lock_guard lock(guard_);
@@ -71,13 +72,15 @@
     std::string konto_at = "\"" + konto.server.address() + "\"";
     for (const std::string& more : o.konto) konto_at += ", \"" + more + "\"";
     node_.operators =
-        "uwsgi {\n listen = \"" + own_host() + ":" + std::to_string(port) + "\"\n servers = {\"" + own_host() +
-        ":1\"}\n class_var = PATH_INFO\n tenant_var = REMOTE_USER\n}\ndependency konto {\n endpoints = {" + konto_at +
-        "}\n}\ndependency buch {\n endpoints = {\"" + buch.server.address() + "\"}\n" + o.of_buch +
-        "\n}\nclass kurs-meldung {\n uwsgi_values = {\"/kurs/meldung\"}\n keyed = yes\n window = " + o.window +
-        "\n participants = {konto, buch}\n}\nkeyed {\n folder = \"" + folder +
-        "/results\"\n uwsgi_var = KEY\n inquiry_tries = 2\n inquiry_pause = 20ms\n}\nwrites {\n folder = \"" + folder +
-        "/writes\"\n step_var = STEP\n id_var = WRITE_ID\n retry = 60ms\n longest_retry = 200ms\n" + o.of_writes + "\n}\n";
+        "uwsgi {\n listen = \"" + own_host() + ":" + std::to_string(port) + "\"\n servers = {\"" +
+        own_host() +
+        ":1\"}\n class_var = PATH_INFO\n tenant_var = REMOTE_USER\n}\ndependency konto {\n endpoints = {" +
+        konto_at + "}\n}\ndependency buch {\n endpoints = {\"" + buch.server.address() + "\"}\n" + o.of_buch +
+        "\n}\nclass kurs-meldung {\n uwsgi_values = {\"/kurs/meldung\"}\n keyed = yes\n window = " +
+        o.window + "\n participants = {konto, buch}\n}\nkeyed {\n folder = \"" + folder +
+        "/results\"\n uwsgi_var = KEY\n inquiry_tries = 2\n inquiry_pause = 20ms\n}\nwrites {\n folder = \"" +
+        folder + "/writes\"\n step_var = STEP\n id_var = WRITE_ID\n retry = 60ms\n longest_retry = 200ms\n" +
+        o.of_writes + "\n}\n";
     start();
   }
   ~site() {
@@ -99,7 +102,9 @@
     return c;
   }
   std::string answer(const std::string& key, const std::string& body = "x") { return ask(key, body).rest(); }
-  static std::string status(const std::string& response) { return response.size() > 12 ? response.substr(9, 3) : "cut"; }
+  static std::string status(const std::string& response) {
+    return response.size() > 12 ? response.substr(9, 3) : "cut";
+  }
 
   peers::idle_runtime runtime;
   participant konto, buch;
@@ -123,13 +128,16 @@
   return site::status(response) == "503" && response.find("Retry-After: ") != std::string::npos;
 }
 
-// A write that is decided and whose participant is away for longer than the window of its key, while so many others come
-// and go that the files with its marks are cleaned away: after a crash it goes on all the same, and is whole.
+// A write that is decided and whose participant is away for longer than the window of its key, while so many
+// others come and go that the files with its marks are cleaned away: after a crash it goes on all the same,
+// and is whole.
 void open_for_long() {
   site s({.aim_ms = 400, .window = "3s", .of_writes = " segment = 1MiB\n space = 16MiB"});
   std::atomic<bool> away = true;
   s.buch.change([&](const uwsgi_request& q) {
-    return reaction{{}, away && q.vars.at("KEY") == "long" && q.vars.at("STEP") == "commit" ? manner::error : manner::whole};
+    return reaction{
+        {},
+        away && q.vars.at("KEY") == "long" && q.vars.at("STEP") == "commit" ? manner::error : manner::whole};
   });
   CHECK(site::status(s.answer("long")) == "504");
   eventually([&] { return s.konto.steps("long") == "pc"; });
@@ -139,7 +147,8 @@
     others.emplace_back([&, t] {
       const auto until = clock::now() + 9s;
       for (int i = 0; clock::now() < until; ++i)
-        well += site::status(s.answer(std::to_string(t) + "-" + std::to_string(i), std::string(2000, 'x'))) == "200";
+        well += site::status(s.answer(std::to_string(t) + "-" + std::to_string(i), std::string(2000, 'x'))) ==
+                "200";
     });
   for (std::thread& t : others) t.join();
   std::printf("%d others\n", well.load());
@@ -152,20 +161,21 @@
   CHECK(s.konto.steps("long").find('a') == std::string::npos);
 }
 
-// Outcomes are kept within a bound: what would be one too many is turned away with a time to return, nobody was asked; when
-// the first have aged there is room again.
+// Outcomes are kept within a bound: what would be one too many is turned away with a time to return, nobody
+// was asked; when the first have aged there is room again.
 void outcomes_bounded() {
   site s({.aim_ms = 300, .window = "3s", .of_writes = " outcomes = 10"});
   for (int i = 0; i < 10; ++i) CHECK(site::status(s.answer("k" + std::to_string(i))) == "200");
   CHECK(refused_with_a_time(s.answer("late")));
   CHECK(s.konto.steps("late").empty() && s.buch.steps("late").empty());
-  CHECK(site::status(s.answer("k3")) == "200" && s.konto.steps("k3") == "pc");  // a repeat, from the first answer
+  CHECK(site::status(s.answer("k3")) == "200" &&
+        s.konto.steps("k3") == "pc");  // a repeat, from the first answer
   eventually([&] { return site::status(s.answer("late")) == "200"; });
   CHECK(s.konto.steps("late") == "pc");
 }
 
-// Writes that wait for a participant have set aside the folder's room that they may still need: the next one is turned away
-// with a time to return, and never began.
+// Writes that wait for a participant have set aside the folder's room that they may still need: the next one
+// is turned away with a time to return, and never began.
 void folder_full() {
   site s({.of_writes = " segment = 1MiB\n space = 12MiB"});
   s.buch.change([](const uwsgi_request&) { return reaction{1s, manner::whole}; });
@@ -182,9 +192,9 @@
   CHECK(s.konto.asked() == open.size() - refused);
 }
 
-// Results fill what the folder may keep: further writes are turned away with a time to return, and once the first have aged
-// there is room again, until more was written than the folder has space for: background work lets go of them and cleans.
-// A kill in the middle takes nothing back.
+// Results fill what the folder may keep: further writes are turned away with a time to return, and once the
+// first have aged there is room again, until more was written than the folder has space for: background work
+// lets go of them and cleans. A kill in the middle takes nothing back.
 void cleaned() {
   site s({.aim_ms = 300, .window = "2s", .of_writes = " segment = 1MiB\n space = 12MiB"});
   for (participant* p : {&s.konto, &s.buch})
@@ -206,7 +216,8 @@
         while (well < target) {
           const std::string answer = s.answer("k" + std::to_string(n++), std::string(1900, 'x'));
           const std::string status = site::status(answer);
-          // On a busy machine a write may come to its deadline; it is undone with certainty then, or under way.
+          // On a busy machine a write may come to its deadline; it is undone with certainty then, or under
+          // way.
           CHECK(status == "200" || refused_with_a_time(answer) || status == "502" || status == "504");
           well += status == "200";
           refused += status == "503";
@@ -222,11 +233,13 @@
     s.n->wait();
     s.start();
   }
-  std::printf("%d writes, %d refused, %d undone, %d late\n", well.load(), refused.load(), undone.load(), late.load());
+  std::printf("%d writes, %d refused, %d undone, %d late\n", well.load(), refused.load(), undone.load(),
+              late.load());
   CHECK(refused > 0);
 }
 
-// No more writes are open at a participant than it may have calls in flight; what is one too many is turned away at once.
+// No more writes are open at a participant than it may have calls in flight; what is one too many is turned
+// away at once.
 void participant_full() {
   site s({.of_buch = " most_in_flight = 2"});
   std::atomic<bool> slow = true;
@@ -262,12 +275,10 @@
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {{"open_for_long", open_for_long},
-                                                   {"outcomes_bounded", outcomes_bounded},
-                                                   {"folder_full", folder_full},
-                                                   {"cleaned", cleaned},
-                                                   {"participant_full", participant_full},
-                                                   {"endpoints_share", endpoints_share}};
+  const std::map<std::string, void (*)()> tests = {
+      {"open_for_long", open_for_long},       {"outcomes_bounded", outcomes_bounded},
+      {"folder_full", folder_full},           {"cleaned", cleaned},
+      {"participant_full", participant_full}, {"endpoints_share", endpoints_share}};
   tests.at(argv[1])();
   std::printf("%s passed\n", argv[1]);
   return 0;
--- a/tests/ops/units_test.cpp
+++ b/tests/ops/units_test.cpp
@@ -55,14 +55,14 @@
   CHECK(ops::read_mark(ops::write_mark(successor)) == successor);
   const std::string whole = ops::write_mark(successor);
   for (std::size_t cut = 0; cut < whole.size(); ++cut) CHECK(!ops::read_mark(whole.substr(0, cut)));
-  for (const char* bad : {"marblewharf ready 1 2", "marblewharf ready x 2\n", "marblewharf ready 1\n",
-                          "marblewharf ready  2\n", "marblewharf ready 1 \n", "marblewharf ready 1 2 3\n",
-                          "marblewharf ready -1 2\n", "other 1 2\n"})
+  for (const char* bad :
+       {"marblewharf ready 1 2", "marblewharf ready x 2\n", "marblewharf ready 1\n", "marblewharf ready  2\n",
+        "marblewharf ready 1 \n", "marblewharf ready 1 2 3\n", "marblewharf ready -1 2\n", "other 1 2\n"})
     CHECK(!ops::read_mark(bad));
   CHECK(ops::successor_took_over(old, successor));
   CHECK(!ops::successor_took_over(old, std::nullopt));
-  CHECK(!ops::successor_took_over(old, old));                          // its own mark
-  CHECK(!ops::successor_took_over(successor, old));                    // left from before
+  CHECK(!ops::successor_took_over(old, old));                                 // its own mark
+  CHECK(!ops::successor_took_over(successor, old));                           // left from before
   CHECK(!ops::successor_took_over(old, ops::handover_mark{300, 1'000'000}));  // same millisecond: no proof
   CHECK(ops::mark_path("/t", "n3", "127.0.0.2", 9000) == "/t/marblewharf-n3-127.0.0.2-9000.ready");
   CHECK(ops::mark_path("/t", "n3", "127.0.0.2", 9000) != ops::mark_path("/t", "n3", "127.0.0.2", 9001));
@@ -71,12 +71,14 @@
 void departure() {
   limits bounds;
   bounds.stop = 3200ms;
-  const ops::departure::progress standing{}, ended{.empty = false, .ended = true}, empty{.empty = true, .ended = true};
+  const ops::departure::progress standing{}, ended{.empty = false, .ended = true},
+      empty{.empty = true, .ended = true};
   ops::departure alone(10s, false, bounds);
   CHECK(!alone.asks_callers_to_go(12s) && !alone.is_over(12s, empty));  // still serving
   CHECK(alone.asks_callers_to_go(12600ms) && alone.is_over(12600ms, empty));
   CHECK(!alone.ends_connections(12900ms) && !alone.is_over(12900ms, ended));
-  CHECK(alone.ends_connections(12950ms) && !alone.is_over(12950ms, ended));  // callers may see the end and close
+  CHECK(alone.ends_connections(12950ms) &&
+        !alone.is_over(12950ms, ended));  // callers may see the end and close
   CHECK(alone.is_over(13050ms, ended) && !alone.is_over(13050ms, standing));
   CHECK(alone.is_over(13100ms, standing));  // the kill is near
   ops::departure replaced(10s, true, bounds);
@@ -89,9 +91,11 @@
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {
-      {"drain_state", drain_state}, {"console_lines", console_lines}, {"figures", figures},
-      {"handover", handover_marks}, {"departure", departure}};
+  const std::map<std::string, void (*)()> tests = {{"drain_state", drain_state},
+                                                   {"console_lines", console_lines},
+                                                   {"figures", figures},
+                                                   {"handover", handover_marks},
+                                                   {"departure", departure}};
   const auto found = tests.find(argv[1] != nullptr ? argv[1] : "");
   CHECK(found != tests.end());
   found->second();
--- a/tests/peers/frail.hpp
+++ b/tests/peers/frail.hpp
@@ -15,7 +15,9 @@
   frail(frail&& o) noexcept : fd_(std::exchange(o.fd_, -1)) {}
   frail(const frail&) = delete;
   ~frail() { close(); }
-  static frail accepted(int listening) { return frail(::accept4(listening, nullptr, nullptr, SOCK_CLOEXEC), 0); }
+  static frail accepted(int listening) {
+    return frail(::accept4(listening, nullptr, nullptr, SOCK_CLOEXEC), 0);
+  }
 
   int fd() const { return fd_; }
   bool good() const { return fd_ >= 0; }
@@ -23,7 +25,8 @@
     if (fd_ >= 0) ::close(std::exchange(fd_, -1));
   }
   void send(std::string_view bytes) {
-    if (good() && ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(bytes.size())) close();
+    if (good() && ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(bytes.size()))
+      close();
   }
   // False: it ended, or nothing came.
   bool more(std::string& in, int ms = harness::patience_ms) {
--- a/tests/peers/idle_runtime.hpp
+++ b/tests/peers/idle_runtime.hpp
@@ -1,4 +1,5 @@
-// A runtime on which nothing runs: it only has to be there, for any number of nodes, also one after the other.
+// A runtime on which nothing runs: it only has to be there, for any number of nodes, also one after the
+// other.
 #pragma once
 
 #include <atomic>
@@ -46,7 +47,8 @@
       const std::string msg = harness::member(line, "msg");
       if (msg == "sync") l.talk.send("{\"msg\":\"ready\",\"how\":\"running\",\"duration\":60000}\n");
       if (msg == "gauges")
-        l.talk.send("{\"msg\":\"load\",\"cookie\":\"" + harness::member(line, "cookie") + "\",\"stats\":[0.2,1,0.1,3]}\n");
+        l.talk.send("{\"msg\":\"load\",\"cookie\":\"" + harness::member(line, "cookie") +
+                    "\",\"stats\":[0.2,1,0.1,3]}\n");
     }
   }
 
--- a/tests/peers/quick_runtime.hpp
+++ b/tests/peers/quick_runtime.hpp
@@ -20,8 +20,9 @@
         if (!r.link.next(line)) return;
         if (r.answer_gauges(line)) continue;
         if (harness::member(line, "msg") != "start") continue;
-        r.send("{\"msg\":\"end\",\"serial\":" + std::to_string(++r.serial) + ",\"call\":\"" + harness::member(line, "call") +
-               "\",\"how\":\"fine\",\"duration\":1.0,\"blob\":\"" + harness::member(line, "blob") + "\"}");
+        r.send("{\"msg\":\"end\",\"serial\":" + std::to_string(++r.serial) + ",\"call\":\"" +
+               harness::member(line, "call") + "\",\"how\":\"fine\",\"duration\":1.0,\"blob\":\"" +
+               harness::member(line, "blob") + "\"}");
       }
     });
   }
--- a/tests/peers/uwsgi_server.hpp
+++ b/tests/peers/uwsgi_server.hpp
@@ -1,5 +1,5 @@
-// A stand-in for whatever speaks uwsgi behind the node: one thread, any number of connections, and for each request what a
-// function of the test's says: when, and how well or badly, it is answered.
+// A stand-in for whatever speaks uwsgi behind the node: one thread, any number of connections, and for each
+// request what a function of the test's says: when, and how well or badly, it is answered.
 #pragma once
 
 #include <atomic>
@@ -21,15 +21,15 @@
 };
 
 enum class manner {
-  whole,       // the response, at once
-  busy,        // 503 with Retry-After: 1
-  error,       // 500
-  refuse,      // 409
-  reset,       // closes without a byte
-  half,        // half of the response, then closes
-  hang,        // the first byte, then nothing
-  garbage,     // no HTTP
-  huge,        // a body without end
+  whole,    // the response, at once
+  busy,     // 503 with Retry-After: 1
+  error,    // 500
+  refuse,   // 409
+  reset,    // closes without a byte
+  half,     // half of the response, then closes
+  hang,     // the first byte, then nothing
+  garbage,  // no HTTP
+  huge,     // a body without end
 };
 
 struct reaction {
@@ -71,7 +71,8 @@
   };
 
   static std::size_t le16(const std::string& s, std::size_t at) {
-    return static_cast<std::uint8_t>(s[at]) | static_cast<std::size_t>(static_cast<std::uint8_t>(s[at + 1])) << 8;
+    return static_cast<std::uint8_t>(s[at]) | static_cast<std::size_t>(static_cast<std::uint8_t>(s[at + 1]))
+                                                  << 8;
   }
   static std::optional<uwsgi_request> whole(const std::string& in) {
     if (in.size() < 4 || in.size() < 4 + le16(in, 1)) return std::nullopt;
@@ -85,7 +86,8 @@
       r.vars[name] = value;
     }
     const auto length = r.vars.find("CONTENT_LENGTH");
-    const std::size_t body = length == r.vars.end() || length->second.empty() ? 0 : std::stoul(length->second);
+    const std::size_t body =
+        length == r.vars.end() || length->second.empty() ? 0 : std::stoul(length->second);
     if (in.size() < end + body) return std::nullopt;
     r.body = in.substr(end, body);
     return r;
@@ -102,7 +104,8 @@
       }
       ::poll(all.data(), all.size(), wait);
       if (all[0].revents != 0) {
-        for (int fd; (fd = ::accept4(door_.fd(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK)) >= 0;) open_[fd];
+        for (int fd; (fd = ::accept4(door_.fd(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK)) >= 0;)
+          open_[fd];
         most_open = std::max<int>(most_open, static_cast<int>(open_.size()));
       }
       for (std::size_t i = 1; i < all.size(); ++i) {
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -51,7 +51,8 @@
   settings s = plain_settings();
   s.tenants = {{"a", 0}, {"b", 0}};
   rig r(s);
-  r.send({shares{-1, {{0, -1, 10}}, 500ms}, request_of(1, 0), request_of(2, 0), request_of(3, 1), request_of(4, 1)});
+  r.send({shares{-1, {{0, -1, 10}}, 500ms}, request_of(1, 0), request_of(2, 0), request_of(3, 1),
+          request_of(4, 1)});
   EXPECT_EQ(r.ids<refuse>(), (ids{2}));  // one at once, and the other tenant is not bound
   EXPECT_GE(r.all<refuse>()[0].stay_away, 100ms);
   r.at(90ms, {done(1), request_of(5, 0)});
@@ -59,7 +60,8 @@
   r.at(110ms, {request_of(6, 0)});
   EXPECT_TRUE(r.ids<refuse>().empty());
   r.at(1110ms, {shares{-1, {{0, -1, 0}}, 500ms}, request_of(7, 0), request_of(8, 0)});
-  EXPECT_TRUE(r.has<refuse>(7) && r.has<refuse>(8));  // no share: what the rate before would have saved up is gone too
+  EXPECT_TRUE(r.has<refuse>(7) &&
+              r.has<refuse>(8));  // no share: what the rate before would have saved up is gone too
   EXPECT_GE(r.all<refuse>()[0].stay_away, 500ms);
 }
 
--- a/tests/scheduler/scheduler_test.cpp
+++ b/tests/scheduler/scheduler_test.cpp
@@ -1,5 +1,5 @@
-// When background work runs (ctest -L scheduler): decisions under rapidcheck, the pool's threads, and the scrubbing of a
-// folder whose bytes a disk changes.
+// When background work runs (ctest -L scheduler): decisions under rapidcheck, the pool's threads, and the
+// scrubbing of a folder whose bytes a disk changes.
 #include "scheduler/scheduler.hpp"
 
 #include <rapidcheck.h>
@@ -25,8 +25,9 @@
 
 namespace {
 
-// Any jobs, loads and costs: over any span the slices use no more of a budget than its rate, burst and the slices that
-// were out when it was emptied; never two of one job at once; nothing runs without room but what is urgent.
+// Any jobs, loads and costs: over any span the slices use no more of a budget than its rate, burst and the
+// slices that were out when it was emptied; never two of one job at once; nothing runs without room but what
+// is urgent.
 void within_budgets() {
   CHECK(rc::check("budgets over any span", [] {
     sched::options o;
@@ -66,7 +67,8 @@
           ++i;
           continue;
         }
-        const auto how = *rc::gen::element(sched::slice_end::more, sched::slice_end::done, sched::slice_end::failed);
+        const auto how =
+            *rc::gen::element(sched::slice_end::more, sched::slice_end::done, sched::slice_end::failed);
         used.push_back({now, i->first, i->second.second});
         const sched::job_id id = i->first;
         const double bytes = i->second.second;
@@ -94,7 +96,8 @@
       }
     };
     bounded(o.budget.read, o.workers, [](const use&) { return true; });
-    for (const auto& [id, r] : own) bounded(r.read, 1, [&, which = id](const use& u) { return u.job == which; });
+    for (const auto& [id, r] : own)
+      bounded(r.read, 1, [&, which = id](const use& u) { return u.job == which; });
   }));
 }
 
@@ -124,13 +127,17 @@
 // A job waits for those that it names; one that is urgent pulls them along; circles are refused.
 void order_and_deadlines() {
   sched::scheduler s({}, 0ns);
-  sched::job_rules first{.name = "first", .priority = 9, .every = 1h, .deadline = {}, .after = {}, .budget = {}};
-  sched::job_rules other{.name = "other", .priority = 1, .every = 1h, .deadline = {}, .after = {}, .budget = {}};
-  sched::job_rules last{.name = "last", .priority = 5, .every = 1h, .deadline = 10s, .after = {"first"}, .budget = {}};
+  sched::job_rules first{
+      .name = "first", .priority = 9, .every = 1h, .deadline = {}, .after = {}, .budget = {}};
+  sched::job_rules other{
+      .name = "other", .priority = 1, .every = 1h, .deadline = {}, .after = {}, .budget = {}};
+  sched::job_rules last{
+      .name = "last", .priority = 5, .every = 1h, .deadline = 10s, .after = {"first"}, .budget = {}};
   s.add(first, 0s);
   s.add(other, 0s);
   s.add(last, 0s);
-  sched::job_rules circle{.name = "circle", .priority = 0, .every = {}, .deadline = {}, .after = {"circle"}, .budget = {}};
+  sched::job_rules circle{
+      .name = "circle", .priority = 0, .every = {}, .deadline = {}, .after = {"circle"}, .budget = {}};
   bool refused = false;
   try {
     s.add(circle, 0s);
@@ -153,21 +160,24 @@
   CHECK(next && next->name == "other");
 }
 
-// One that fails always comes back ever later and leaves the others alone; one that is cancelled runs no more; one that
-// does not yield is said to.
+// One that fails always comes back ever later and leaves the others alone; one that is cancelled runs no
+// more; one that does not yield is said to.
 void failing_cancelled_stuck() {
   sched::options o;
   o.first_pause = 1s;
   o.longest_pause = 8s;
   sched::scheduler s(o, 0ns);
-  const sched::job_id bad = s.add({.name = "bad", .priority = 0, .every = 1ms, .deadline = 1ms, .after = {}, .budget = {}}, 0s);
-  const sched::job_id good = s.add({.name = "good", .priority = 9, .every = 1ms, .deadline = {}, .after = {}, .budget = {}}, 0s);
+  const sched::job_id bad =
+      s.add({.name = "bad", .priority = 0, .every = 1ms, .deadline = 1ms, .after = {}, .budget = {}}, 0s);
+  const sched::job_id good =
+      s.add({.name = "good", .priority = 9, .every = 1ms, .deadline = {}, .after = {}, .budget = {}}, 0s);
   std::map<sched::job_id, int> ran;
   for (sched::time_point now = 0s; now < 60s; now += 10ms) {
     const auto next = s.pick(now);
     if (!next) continue;
     ++ran[next->job];
-    s.on_end(next->job, next->job == bad ? sched::slice_end::failed : sched::slice_end::more, {1ms, 0, 0}, now + 1ms);
+    s.on_end(next->job, next->job == bad ? sched::slice_end::failed : sched::slice_end::more, {1ms, 0, 0},
+             now + 1ms);
   }
   CHECK(ran[bad] >= 8 && ran[bad] <= 12 && ran[good] > 1000);  // after 0, 1, 3, 7, 15, 23, ... seconds
   const auto next = s.pick(60s);
@@ -188,8 +198,8 @@
   CHECK(m.look(9s, std::nullopt, 0) == 1);
 }
 
-// Slices on real threads: never two of one job at once, notes come to the owner's thread, and a job that does not yield
-// keeps neither the others nor the end of the pool.
+// Slices on real threads: never two of one job at once, notes come to the owner's thread, and a job that does
+// not yield keeps neither the others nor the end of the pool.
 void threads() {
   struct state {  // outlives the pool: so may a slice
     std::atomic<int> inside = 0, ran = 0, both = 0, notified = 0;
@@ -203,23 +213,26 @@
     sched::options o;
     o.workers = 2;
     o.overrun = 50ms;
-    sched::pool p(o, [st] { ++st->notified; }, [&](const std::string& job, const std::string& n) { notes.push_back(job + " " + n); },
-                  clock());
-    p.add({.name = "stuck", .priority = 0, .every = {}, .deadline = {}, .after = {}, .budget = {}},
-          [st](const std::atomic<bool>&) {
-            while (!st->let_go) std::this_thread::sleep_for(5ms);
-            return sched::slice_result{};
-          },
-          clock());
-    p.add({.name = "well", .priority = 1, .every = 1ms, .deadline = {}, .after = {}, .budget = {}},
-          [st](const std::atomic<bool>&) {
-            if (++st->inside > 1) ++st->both;
-            ++st->ran;
-            --st->inside;
-            if (st->ran == 3) throw std::runtime_error("no luck");
-            return sched::slice_result{sched::slice_end::more, 1, 0, ""};
-          },
-          clock());
+    sched::pool p(
+        o, [st] { ++st->notified; },
+        [&](const std::string& job, const std::string& n) { notes.push_back(job + " " + n); }, clock());
+    p.add(
+        {.name = "stuck", .priority = 0, .every = {}, .deadline = {}, .after = {}, .budget = {}},
+        [st](const std::atomic<bool>&) {
+          while (!st->let_go) std::this_thread::sleep_for(5ms);
+          return sched::slice_result{};
+        },
+        clock());
+    p.add(
+        {.name = "well", .priority = 1, .every = 1ms, .deadline = {}, .after = {}, .budget = {}},
+        [st](const std::atomic<bool>&) {
+          if (++st->inside > 1) ++st->both;
+          ++st->ran;
+          --st->inside;
+          if (st->ran == 3) throw std::runtime_error("no luck");
+          return sched::slice_result{sched::slice_end::more, 1, 0, ""};
+        },
+        clock());
     while (st->ran < 3 || notes.size() < 2) {
       p.step(clock(), 1);
       std::this_thread::sleep_for(1ms);
@@ -234,19 +247,21 @@
   std::this_thread::sleep_for(100ms);
 }
 
-// Each changed byte of a closed segment that counts is found and named; a folder that is well has no fault; a segment that
-// goes meanwhile is none.
+// Each changed byte of a closed segment that counts is found and named; a folder that is well has no fault; a
+// segment that goes meanwhile is none.
 void scrubs() {
   char name[] = "/tmp/marblewharf-scrub-XXXXXX";
   CHECK(::mkdtemp(name) != nullptr);
   const std::string folder = name;
   const auto fs = std::make_shared<store::posix_file_system>();
   {
-    store::log l(*fs, {folder, 4096, 65536, 7}, [](std::uint32_t, std::string_view) { return std::int64_t{1000}; },
-                 [](std::uint32_t, std::string_view, const store::position&) {});
+    store::log l(
+        *fs, {folder, 4096, 65536, 7}, [](std::uint32_t, std::string_view) { return std::int64_t{1000}; },
+        [](std::uint32_t, std::string_view, const store::position&) {});
     l.open(1);
     for (int i = 0; i < 120; ++i)
-      l.append(std::vector<store::entry>{{{1, std::string(100 + i, static_cast<char>('a' + i % 26))}, 1000}}, 1);
+      l.append(std::vector<store::entry>{{{1, std::string(100 + i, static_cast<char>('a' + i % 26))}, 1000}},
+               1);
   }
   std::set<std::string> segments;
   for (const std::string& f : fs->list(folder))
@@ -287,7 +302,8 @@
     std::ofstream(second, std::ios::binary) << bytes;
     const auto faults = round(s);
     ++tried;
-    found += !faults.empty() && faults[0].find(second) == 0;  // a header also says how much counts of the one before
+    found += !faults.empty() &&
+             faults[0].find(second) == 0;  // a header also says how much counts of the one before
   }
   std::ofstream(second, std::ios::binary) << whole;
   std::printf("%d of %d changed bytes found\n", found, tried);
--- a/tests/store/processes_test.cpp
+++ b/tests/store/processes_test.cpp
@@ -1,5 +1,5 @@
-// Stores of tables in processes of their own on the real file system: killed while they write, met by a second process, and
-// looked into by the program's commands (ctest -L store).
+// Stores of tables in processes of their own on the real file system: killed while they write, met by a
+// second process, and looked into by the program's commands (ctest -L store).
 #include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -36,7 +36,8 @@
   return name;
 }
 
-// Batch n: the same number under two keys of two tables; all else is background work. Each durable one is told on `out`.
+// Batch n: the same number under two keys of two tables; all else is background work. Each durable one is
+// told on `out`.
 [[noreturn]] void write_for_ever(const std::string& folder, int out, unsigned seed) {
   posix_file_system fs;
   tables t(fs, options(folder), now);
@@ -91,7 +92,8 @@
   int in = -1;
 };
 
-// Killed again and again at any moment: what was told is there, batches are whole, cleaning went round meanwhile.
+// Killed again and again at any moment: what was told is there, batches are whole, cleaning went round
+// meanwhile.
 void kills(int times, unsigned seed) {
   const std::string folder = fresh_folder();
   std::mt19937 random(seed);
@@ -108,7 +110,8 @@
     CHECK(std::stoull(*left) >= std::max(told, last));
     last = std::stoull(*left);
     for (std::uint64_t n = last > 97 ? last - 96 : 1; n <= last; ++n)
-      CHECK(t.get("left", "k" + std::to_string(n % 97), now) == std::to_string(n) + std::string(n % 300, 'x'));
+      CHECK(t.get("left", "k" + std::to_string(n % 97), now) ==
+            std::to_string(n) + std::string(n % 300, 'x'));
     CHECK(read.log.segments <= 16);
   }
   std::printf("%d kills, %llu batches\n", times, static_cast<unsigned long long>(last));
@@ -195,10 +198,14 @@
   const unsigned seed = argc > 3 ? static_cast<unsigned>(std::stoul(argv[3])) : 1;
   std::printf("seed %u\n", seed);
   std::fflush(stdout);
-  if (name == "kills") kills(argc > 2 ? std::stoi(argv[2]) : 25, seed);
-  else if (name == "one") one_at_a_time(seed);
-  else if (name == "commands") commands(seed);
-  else CHECK(false);
+  if (name == "kills")
+    kills(argc > 2 ? std::stoi(argv[2]) : 25, seed);
+  else if (name == "one")
+    one_at_a_time(seed);
+  else if (name == "commands")
+    commands(seed);
+  else
+    CHECK(false);
   std::printf("%s passed\n", name.c_str());
   return 0;
 }
--- a/tests/store/tables_test.cpp
+++ b/tests/store/tables_test.cpp
@@ -1,5 +1,5 @@
-// A store of tables on a file system that crashes and fails at any call, against a plain map; every byte cut and changed;
-// and its promises one by one (ctest -L store).
+// A store of tables on a file system that crashes and fails at any call, against a plain map; every byte cut
+// and changed; and its promises one by one (ctest -L store).
 #include <rapidcheck.h>
 
 #include <array>
@@ -64,7 +64,9 @@
                                                                     std::optional<tables::snapshot> of = {}) {
   std::map<std::pair<std::string, std::string>, std::string> out;
   for (const char* table : table_names)
-    t.scan(table, "", "", now, of, [&](const std::string& k, const std::string& v) { return out[{table, k}] = v, true; });
+    t.scan(table, "", "", now, of, [&](const std::string& k, const std::string& v) {
+      return out[{table, k}] = v, true;
+    });
   return out;
 }
 
@@ -72,8 +74,8 @@
 struct run {
   crash::fs fs;
   std::unique_ptr<tables> t;
-  std::vector<state> may = {{}};     // may.back(): now; may.front(): what is on disk for certain
-  std::vector<state> doubtful;       // of commits that failed since
+  std::vector<state> may = {{}};  // may.back(): now; may.front(): what is on disk for certain
+  std::vector<state> doubtful;    // of commits that failed since
   std::int64_t now = second;
   std::mt19937 random;
   std::uint64_t seed = 0;
@@ -125,13 +127,21 @@
     const unsigned what = word % 16, more = word / 16;
     try {
       switch (what) {
-        case 0: case 1: case 2: case 3: case 4: case 5: case 6: {
+        case 0:
+        case 1:
+        case 2:
+        case 3:
+        case 4:
+        case 5:
+        case 6: {
           batch b;
           for (unsigned i = 0; i <= more % 3; ++i) {
             const char* table = table_names[(more / 3 + i) % 2];
             const std::string key(1 + (more + i) % 2, static_cast<char>('a' + (more / 6 + i) % 7));
-            if ((more + i) % 5 == 0) b.erase(table, key);
-            else b.put(table, key, std::to_string(seed++) + std::string(more % 90, 'v'));
+            if ((more + i) % 5 == 0)
+              b.erase(table, key);
+            else
+              b.put(table, key, std::to_string(seed++) + std::string(more % 90, 'v'));
           }
           const durability how = what < 4 ? durability::now : durability::lazily;
           const state next = after(may.back(), b, now);
@@ -144,7 +154,9 @@
           break;
         }
         case 7: t->flush(now); break;
-        case 8: case 9: case 10: {
+        case 8:
+        case 9:
+        case 10: {
           const std::uint64_t before = t->show().cleaned;
           t->clean_step(now);
           cleaned += t->show().cleaned - before;
@@ -158,7 +170,8 @@
           break;
         case 15:
           if (more % 3 == 0) {
-            fs.how = std::array{crash::fault::power_loss, crash::fault::error, crash::fault::cut_short}[more / 3 % 3];
+            fs.how = std::array{crash::fault::power_loss, crash::fault::error,
+                                crash::fault::cut_short}[more / 3 % 3];
             fs.calls = 0;
             fs.fail_at = 1 + more / 9 % 12;
           } else if (more % 3 == 1 && !snapshots.empty()) {
@@ -191,7 +204,8 @@
     run r;
     r.random.seed(*rc::gen::arbitrary<unsigned>());
     r.open();
-    for (const unsigned word : *rc::gen::container<std::vector<unsigned>>(rc::gen::inRange(0u, 160000u))) r.step(word);
+    for (const unsigned word : *rc::gen::container<std::vector<unsigned>>(rc::gen::inRange(0u, 160000u)))
+      r.step(word);
     r.crash();
   }));
 }
@@ -217,12 +231,14 @@
     cleaned += r.cleaned;
     checkpoints += r.checkpoints;
   }
-  std::printf("%llu segments cleaned, %llu checkpoints, %llu crashes\n", static_cast<unsigned long long>(cleaned),
-              static_cast<unsigned long long>(checkpoints), static_cast<unsigned long long>(crashes));
+  std::printf("%llu segments cleaned, %llu checkpoints, %llu crashes\n",
+              static_cast<unsigned long long>(cleaned), static_cast<unsigned long long>(checkpoints),
+              static_cast<unsigned long long>(crashes));
   CHECK(cleaned > 200 && checkpoints > 100);
 }
 
-// ---- Every byte -----------------------------------------------------------------------------------------------
+// ---- Every byte
+// -----------------------------------------------------------------------------------------------
 
 struct recorded {
   std::vector<state> states = {{}};
@@ -237,7 +253,8 @@
   auto t = std::make_unique<tables>(fs, options(1024), r.now);
   for (int i = 0; i < 260; ++i) {
     batch b;
-    b.put("for-ever", "k" + std::to_string(i % 11), std::to_string(i) + std::string(static_cast<std::size_t>(i * 7 % 40), 'x'));
+    b.put("for-ever", "k" + std::to_string(i % 11),
+          std::to_string(i) + std::string(static_cast<std::size_t>(i * 7 % 40), 'x'));
     if (i % 4 == 0) b.put("short", "s" + std::to_string(i % 5), std::to_string(i));
     if (i % 9 == 0) b.erase("for-ever", "k" + std::to_string((i + 3) % 11));
     CHECK(t->commit(b, i % 3 == 0 ? durability::lazily : durability::now, r.now).may);
@@ -287,14 +304,18 @@
   for (const auto& [path, bytes] : r.files) {
     for (std::size_t at = 0; at < bytes.size(); ++at) {
       auto files = r.files;
-      if (change) files[path][at] = static_cast<char>(files[path][at] ^ (1 << at % 8));
-      else files[path].resize(at);
+      if (change)
+        files[path][at] = static_cast<char>(files[path][at] ^ (1 << at % 8));
+      else
+        files[path].resize(at);
       const auto found = made_of(r, files);
       ++tried;
-      if (!found) ++told;
-      else ++(*found == last ? whole : earlier);
-      // What only the newest segment holds may be a torn tail. A checkpoint is made anew from the log. Anything else that
-      // is missing is said, and never passed over.
+      if (!found)
+        ++told;
+      else
+        ++(*found == last ? whole : earlier);
+      // What only the newest segment holds may be a torn tail. A checkpoint is made anew from the log.
+      // Anything else that is missing is said, and never passed over.
       if (path != newest) CHECK(!found || *found == last);
       if (path.ends_with("checkpoint")) CHECK(found == last);
       if (!change && path != newest && path.ends_with(".seg") && at < bytes.size()) CHECK(!found);
@@ -315,8 +336,10 @@
     auto files = r.files;
     files.erase(path);
     const auto found = made_of(r, files);
-    if (path == newest) CHECK(!found || *found < r.states.size());  // a start makes a new one; it may hold nothing yet
-    else CHECK(!found);
+    if (path == newest)
+      CHECK(!found || *found < r.states.size());  // a start makes a new one; it may hold nothing yet
+    else
+      CHECK(!found);
   }
   crash::fs other;
   tables_options o = options(1024);
@@ -336,9 +359,11 @@
   }
 }
 
-// ---- Promise by promise -----------------------------------------------------------------------------------------
+// ---- Promise by promise
+// -----------------------------------------------------------------------------------------
 
-// Keys that change little among many that are written over and over: what stands on disk and what is copied stay bounded.
+// Keys that change little among many that are written over and over: what stands on disk and what is copied
+// stay bounded.
 void amplification() {
   for (const double a : {1.5, 2.0, 4.0}) {
     crash::fs fs;
@@ -362,15 +387,16 @@
     }
     const auto f = t.show();
     const double paid = static_cast<double>(f.written + f.copied) / static_cast<double>(f.written);
-    std::printf("amplification %.1f: %.2f bytes for one written, bound %.2f; %.1f segments over\n", a, paid, a / (a - 1), over);
+    std::printf("amplification %.1f: %.2f bytes for one written, bound %.2f; %.1f segments over\n", a, paid,
+                a / (a - 1), over);
     CHECK(over <= 7);  // those that it begins at, the open one, the next, and one more that copies go to
     CHECK(paid <= a / (a - 1) * 1.1);
     CHECK(f.keys == 240);
   }
 }
 
-// Nobody cleans: writers are turned away with a time before the room that cleaning needs is gone; it then makes room. Over
-// what can be kept they are turned away without one, and erasing helps.
+// Nobody cleans: writers are turned away with a time before the room that cleaning needs is gone; it then
+// makes room. Over what can be kept they are turned away without one, and erasing helps.
 void back_pressure() {
   crash::fs fs;
   tables t(fs, options(), second);
@@ -391,7 +417,8 @@
     if (!v.may) break;
   }
   CHECK(kept > 20 && kept < 10000);
-  CHECK(t.commit(b, durability::now, second).may || t.clean_step(second));  // what is there may be written over
+  CHECK(t.commit(b, durability::now, second).may ||
+        t.clean_step(second));  // what is there may be written over
   batch gone;
   gone.erase("for-ever", "f0");
   gone.erase("for-ever", "f1");
@@ -428,7 +455,8 @@
   }
 }
 
-// A start reads what the checkpoint does not say, and not the whole log; a clock that was set back brings nothing back.
+// A start reads what the checkpoint does not say, and not the whole log; a clock that was set back brings
+// nothing back.
 void checkpoint_and_clock() {
   std::uint64_t without = 0;
   for (const bool with : {false, true}) {
@@ -447,8 +475,10 @@
     }
     tables t(fs, options(), 120 * second);
     CHECK(t.show().keys == 61 && !t.get("short", "s", 120 * second));
-    if (!with) without = t.show().read;
-    else CHECK(without == 120 && t.show().read == 0);
+    if (!with)
+      without = t.show().read;
+    else
+      CHECK(without == 120 && t.show().read == 0);
     // The folder knows of 120 s.
     crash::fs later;
     later.load(fs.image());
@@ -457,8 +487,8 @@
   }
 }
 
-// A checkpoint that is made while a value waits in memory does not count on it: a crash takes it back, and not what it was
-// written over.
+// A checkpoint that is made while a value waits in memory does not count on it: a crash takes it back, and
+// not what it was written over.
 void checkpoint_beside_waiting() {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     crash::fs fs;
@@ -468,7 +498,8 @@
       batch first, second_one;
       first.put("for-ever", "k", "1");
       second_one.put("for-ever", "k", "2");
-      CHECK(t.commit(first, durability::now, second).may && t.commit(second_one, durability::lazily, second).may);
+      CHECK(t.commit(first, durability::now, second).may &&
+            t.commit(second_one, durability::lazily, second).may);
       while (t.checkpoint_step(second)) {
       }
     }
@@ -479,8 +510,8 @@
   }
 }
 
-// A backup of a store that goes on: what is restored is a state of the time it was made; an unfinished one, a folder that
-// holds something, and damage are refused.
+// A backup of a store that goes on: what is restored is a state of the time it was made; an unfinished one, a
+// folder that holds something, and damage are refused.
 void backup_and_restore() {
   crash::fs fs;
   tables t(fs, options(), second);
@@ -564,8 +595,9 @@
   CHECK(t.commit(lost, durability::now, second).may);
 }
 
-// Each call of the disk that cleaning and checkpoints make fails in turn: once, or from then on until the disk is mended (a
-// full disk, a folder that became read-only). Nothing is lost, in this process or the next, and the work is done in the end.
+// Each call of the disk that cleaning and checkpoints make fails in turn: once, or from then on until the
+// disk is mended (a full disk, a folder that became read-only). Nothing is lost, in this process or the next,
+// and the work is done in the end.
 void cleaning_on_a_failing_disk() {
   std::size_t failed = 0;
   for (const bool stays : {false, true})
@@ -640,7 +672,8 @@
   CHECK(t.commit(largest, durability::lazily, second).may && t.get("for-ever", "k", second)->size() == 440);
   three.put("for-ever", "", std::string("\0\xff", 2));  // any bytes, an empty key among them
   three.put("for-ever", "b", "");
-  CHECK(t.commit(three, durability::now, second).may && t.get("for-ever", "", second) == std::string("\0\xff", 2));
+  CHECK(t.commit(three, durability::now, second).may &&
+        t.get("for-ever", "", second) == std::string("\0\xff", 2));
   fourth.put("for-ever", "c", "");
   CHECK(!t.commit(fourth, durability::now, second).may && t.commit(three, durability::now, second).may);
   o.disk.space = 3 * o.disk.segment;
@@ -651,8 +684,8 @@
   }
 }
 
-// The thread: many writers at once share syncs, each hears of its own; slices on end keep nobody out; a full queue and a
-// failing disk are told; what waits in memory is there after an orderly end.
+// The thread: many writers at once share syncs, each hears of its own; slices on end keep nobody out; a full
+// queue and a failing disk are told; what waits in memory is there after an orderly end.
 void service() {
   char name[] = "/tmp/marblewharf-service-XXXXXX";
   CHECK(::mkdtemp(name) != nullptr);
@@ -670,9 +703,9 @@
     heard.notify_all();
   };
   {
-    table_service s(std::make_shared<posix_file_system>(), folder, std::make_unique<tables>(disk, o, second),
-                    {.queue = 500, .group = 64}, [&] { return now.load(); },
-                    notify);
+    table_service s(
+        std::make_shared<posix_file_system>(), folder, std::make_unique<tables>(disk, o, second),
+        {.queue = 500, .group = 64}, [&] { return now.load(); }, notify);
     std::atomic<bool> over = false;
     std::thread slices([&] {
       while (!over) s.step(table_service::work::clean);
@@ -682,8 +715,10 @@
       batch b;
       b.put("for-ever", "k" + std::to_string(asked % 200), std::to_string(asked));
       if (asked < 4000) {
-        if (s.commit(asked, b, asked % 4 == 3 ? durability::lazily : durability::now)) ++asked;
-        else ++full;
+        if (s.commit(asked, b, asked % 4 == 3 ? durability::lazily : durability::now))
+          ++asked;
+        else
+          ++full;
       }
       std::vector<table_service::done> out;
       s.collect(out);
@@ -695,9 +730,9 @@
     over = true;
     slices.join();
     const auto f = s.show();
-    std::printf("%llu frames for %llu batches, queue full %llu times, %llu segments cleaned\n", static_cast<unsigned long long>(f.frames),
-                static_cast<unsigned long long>(asked), static_cast<unsigned long long>(full),
-                static_cast<unsigned long long>(f.cleaned));
+    std::printf("%llu frames for %llu batches, queue full %llu times, %llu segments cleaned\n",
+                static_cast<unsigned long long>(f.frames), static_cast<unsigned long long>(asked),
+                static_cast<unsigned long long>(full), static_cast<unsigned long long>(f.cleaned));
     CHECK(f.frames < asked / 2 && full > 0 && f.cleaned > 0);
     CHECK(s.get(1, "for-ever", "k7") && s.get(2, "for-ever", "none"));
     batch last;
@@ -760,16 +795,17 @@
   };
 };
 
-// Whoever is told that the disk takes no writes asks for none: the service finds out by itself when it does again. And what
-// it says of the disk decides as the store itself does.
+// Whoever is told that the disk takes no writes asks for none: the service finds out by itself when it does
+// again. And what it says of the disk decides as the store itself does.
 void disk_comes_back() {
   char name[] = "/tmp/marblewharf-outage-XXXXXX";
   CHECK(::mkdtemp(name) != nullptr);
   const auto disk = std::make_shared<outage>();
   tables_options o = options(16 << 10);
   o.folder = name;
-  table_service s(disk, o.folder, std::make_unique<tables>(*disk, o, second), {.retry = std::chrono::milliseconds(20)},
-                  [] { return second; }, [] {});
+  table_service s(
+      disk, o.folder, std::make_unique<tables>(*disk, o, second), {.retry = std::chrono::milliseconds(20)},
+      [] { return second; }, [] {});
   std::vector<table_service::done> out;
   CHECK(s.collect(out).writable);
   const auto until_writable = [&](bool is) {
@@ -789,7 +825,7 @@
   disk->out = false;
   const table_service::condition c = until_writable(true);
   CHECK(c.fault.empty() && c.rules.of(c.disk, 1000, 1000).may);
-  CHECK(!c.rules.of(c.disk, 1000, static_cast<std::int64_t>(c.rules.most_live())  + 1).may);
+  CHECK(!c.rules.of(c.disk, 1000, static_cast<std::int64_t>(c.rules.most_live()) + 1).may);
   CHECK(s.commit(2, b, durability::now));
   std::vector<table_service::done> all;
   while (all.empty()) {
@@ -802,7 +838,8 @@
   std::filesystem::remove_all(name);
 }
 
-// Rounds of ageing begin a sixteenth of the shortest life apart, and nothing that has aged stays longer than that and a round.
+// Rounds of ageing begin a sixteenth of the shortest life apart, and nothing that has aged stays longer than
+// that and a round.
 void ageing_rounds() {
   crash::fs fs;
   tables t(fs, options(), second);  // "short": 5 s
@@ -859,17 +896,24 @@
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {
-      {"random", random_histories},       {"long", long_histories},
-      {"cuts", [] { every_byte(false); }}, {"changes", [] { every_byte(true); }},
-      {"foreign", foreign_files},         {"amplification", amplification},
-      {"back_pressure", back_pressure},   {"snapshots", snapshot_holds_cleaning},
-      {"checkpoint", checkpoint_and_clock}, {"checkpoint_beside_waiting", checkpoint_beside_waiting},
-      {"backup", backup_and_restore},
-      {"failing_disk", failing_disk},     {"bounds", bounds},
-      {"cleaning_fails", cleaning_on_a_failing_disk},
-      {"service", service},               {"groups", groups},
-      {"disk_comes_back", disk_comes_back}, {"ageing_rounds", ageing_rounds}};
+  const std::map<std::string, void (*)()> tests = {{"random", random_histories},
+                                                   {"long", long_histories},
+                                                   {"cuts", [] { every_byte(false); }},
+                                                   {"changes", [] { every_byte(true); }},
+                                                   {"foreign", foreign_files},
+                                                   {"amplification", amplification},
+                                                   {"back_pressure", back_pressure},
+                                                   {"snapshots", snapshot_holds_cleaning},
+                                                   {"checkpoint", checkpoint_and_clock},
+                                                   {"checkpoint_beside_waiting", checkpoint_beside_waiting},
+                                                   {"backup", backup_and_restore},
+                                                   {"failing_disk", failing_disk},
+                                                   {"bounds", bounds},
+                                                   {"cleaning_fails", cleaning_on_a_failing_disk},
+                                                   {"service", service},
+                                                   {"groups", groups},
+                                                   {"disk_comes_back", disk_comes_back},
+                                                   {"ageing_rounds", ageing_rounds}};
   tests.at(argv[1])();
   std::printf("%s passed\n", argv[1]);
   return 0;
--- a/tests/store/versions_test.cpp
+++ b/tests/store/versions_test.cpp
@@ -1,5 +1,7 @@
-// The index of a store of tables against a history kept whole, and the rules of cleaning, over random schedules
-// (rapidcheck; ctest -L store).
+// The index of a store of tables against a history kept whole, and the rules of cleaning, over random
+// schedules (rapidcheck; ctest -L store).
+#include "store/versions.hpp"
+
 #include <rapidcheck.h>
 
 #include <map>
@@ -9,7 +11,6 @@
 
 #include "../check.hpp"
 #include "store/cleaning.hpp"
-#include "store/versions.hpp"
 
 using namespace marblewharf::store;
 
@@ -52,7 +53,8 @@
       const auto check = [&](const state& expected, std::optional<sequence> as_of) {
         for (const char* t : table_names) {
           std::map<std::string, std::uint32_t> seen, wanted;
-          index.scan(t, "", "", as_of, [&](const std::string& k, const place& p) { return seen[k] = p.at.offset, true; });
+          index.scan(t, "", "", as_of,
+                     [&](const std::string& k, const place& p) { return seen[k] = p.at.offset, true; });
           for (const auto& [where, offset] : expected)
             if (where.first == t) wanted[where.second] = offset;
           RC_ASSERT(seen == wanted);
@@ -70,12 +72,13 @@
     RC_ASSERT(left == history.back().size());
     for (const auto& [where, offset] : history.back())
       for (std::uint32_t o = 1; o <= s; ++o)
-        RC_ASSERT((index.at(where.first, where.second, {1, o, 8}) == versions::standing::current) == (o == offset));
+        RC_ASSERT((index.at(where.first, where.second, {1, o, 8}) == versions::standing::current) ==
+                  (o == offset));
   }));
 }
 
-// Whatever the sizes: with nothing to clean a batch that the amplification allows is never turned away, the reserve is never
-// given away, and a batch is turned away for good only for what counts already.
+// Whatever the sizes: with nothing to clean a batch that the amplification allows is never turned away, the
+// reserve is never given away, and a batch is turned away for good only for what counts already.
 void cleaning_rules_hold() {
   CHECK(rc::check("no batch is stuck, the reserve is kept", [] {
     const auto segment = std::uint64_t{1} << *rc::gen::inRange(12, 24);
@@ -92,7 +95,8 @@
     if (!v.may && !v.come_back) RC_ASSERT(live + bytes > c.most_live());
     if (!c.wanted(s) && live + bytes <= c.most_live()) RC_ASSERT(v.may);
     RC_ASSERT(c.of({used, live, rules.space}, bytes, -1).may || rules.space < c.reserve() + bytes);
-    RC_ASSERT(!c.wanted({static_cast<std::uint64_t>(rules.amplification * static_cast<double>(live)), live, room}));
+    RC_ASSERT(
+        !c.wanted({static_cast<std::uint64_t>(rules.amplification * static_cast<double>(live)), live, room}));
   }));
   CHECK(cleaning({1000, 100'000, 2}).of({96'000, 10'000, 2100}, 100, 100).may);
   CHECK(!cleaning({1000, 100'000, 2}).of({96'000, 10'000, 2099}, 100, 100).may);
@@ -109,7 +113,8 @@
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {{"versions", against_a_history}, {"cleaning", cleaning_rules_hold}};
+  const std::map<std::string, void (*)()> tests = {{"versions", against_a_history},
+                                                   {"cleaning", cleaning_rules_hold}};
   tests.at(argv[1])();
   std::printf("%s passed\n", argv[1]);
   return 0;
--- a/tools/fleet/experiments.hpp
+++ b/tools/fleet/experiments.hpp
@@ -1,7 +1,9 @@
-// Experiments on fleets of real processes on loopback: what the tool writes as tables and the measurement sums up.
+// Experiments on fleets of real processes on loopback: what the tool writes as tables and the measurement
+// sums up.
 //
-// Each fleet is nine processes in three zones behind the tests' fault relay; several fleets run side by side, each on a
-// thread of its own. All randomness from the seed given. Times are the steady clock's, in milliseconds.
+// Each fleet is nine processes in three zones behind the tests' fault relay; several fleets run side by side,
+// each on a thread of its own. All randomness from the seed given. Times are the steady clock's, in
+// milliseconds.
 #pragma once
 
 #include <atomic>
@@ -17,16 +19,18 @@
 
 using namespace fleet_faults;
 
-inline double ms(harness::clock::duration d) { return std::chrono::duration<double, std::milli>(d).count(); }
+inline double ms(harness::clock::duration d) {
+  return std::chrono::duration<double, std::milli>(d).count();
+}
 
 // One zone lost and back.
 struct zone_loss {
   int fleet = 0, fault = 0, zone = 0;
-  std::string how;      // killed, cut (both ways), one_way
-  double first_ms = 0;  // from the fault until the first member says the zone out
-  double agreed_ms = 0; // ... until every member of the other zones does
-  double back_ms = 0;   // from the heal or restart until all say in and all know all
-  long wrong = 0;       // verdicts on a zone that was well
+  std::string how;       // killed, cut (both ways), one_way
+  double first_ms = 0;   // from the fault until the first member says the zone out
+  double agreed_ms = 0;  // ... until every member of the other zones does
+  double back_ms = 0;    // from the heal or restart until all say in and all know all
+  long wrong = 0;        // verdicts on a zone that was well
 };
 
 // `faults` of them over `fleets` fleets side by side.
@@ -47,7 +51,8 @@
       zone_loss row{number, fault, static_cast<int>(random() % 3), ""};
       const char* const ways[] = {"killed", "cut", "one_way"};
       row.how = ways[random() % 3];
-      std::this_thread::sleep_for(std::chrono::milliseconds(random() % (5 * static_cast<unsigned>(probe_ms))));
+      std::this_thread::sleep_for(
+          std::chrono::milliseconds(random() % (5 * static_cast<unsigned>(probe_ms))));
       std::vector<int> others;
       for (const int i : f->all())
         if (i / 3 != row.zone) others.push_back(i);
@@ -96,13 +101,14 @@
 struct lossy_look {
   int fleet = 0;
   double second = 0;
-  long suspect = 0, dead = 0;      // views of members that are not alive, over all members; all are alive in truth
-  long declared_out = 0;           // verdicts, over all members since the start
+  long suspect = 0,
+       dead = 0;          // views of members that are not alive, over all members; all are alive in truth
+  long declared_out = 0;  // verdicts, over all members since the start
   long worst_local_health = 0;
 };
 
-inline std::vector<lossy_look> lossy(double loss, double twice, std::chrono::milliseconds delay, int seconds, int fleets,
-                                     int probe_ms) {
+inline std::vector<lossy_look> lossy(double loss, double twice, std::chrono::milliseconds delay, int seconds,
+                                     int fleets, int probe_ms) {
   std::vector<lossy_look> rows;
   std::mutex guard, starting;
   const auto run = [&](int number) {
