--- a/bench/background_bench.cpp
+++ b/bench/background_bench.cpp
@@ -15,7 +15,7 @@
 #include "../tests/net/uwsgi_peer.hpp"
 #include "../tests/peers/quick_runtime.hpp"
 #include "../tests/peers/uwsgi_server.hpp"
-#include "keyed/records.hpp"
+#include "idempotency/records.hpp"
 #include "store/log.hpp"
 
 using namespace harness;
@@ -39,15 +39,15 @@
   const std::string bytes(1000, 'x');
   std::vector<store::entry> batch;
   for (std::uint64_t i = 1; i <= results; ++i) {
-    keyed::kept k;
-    k.what = keyed::record_type::result;
+    idempotency::kept k;
+    k.what = idempotency::record_type::result;
     k.key = {i * 0x9e3779b97f4a7c15ull, i};
     k.content = i;
     k.expiry = now + hour;
     k.at = now;
     k.served = true;
     k.bytes = bytes;
-    batch.push_back({keyed::encode(k), k.expiry});
+    batch.push_back({idempotency::encode(k), k.expiry});
     if (batch.size() == 500) {
       l.append(batch, now);
       batch.clear();
--- a/bench/budgets_bench.cpp
+++ b/bench/budgets_bench.cpp
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <random>
 
-#include "../tests/fleet/audit.hpp"
+#include "../tests/cluster/audit.hpp"
 
 using namespace fleet_faults;
 
--- a/bench/keyed_bench.cpp
+++ b/bench/keyed_bench.cpp
@@ -15,7 +15,7 @@
 
 #include "../tests/net/harness.hpp"
 #include "core/dispatcher.hpp"
-#include "keyed/keeper.hpp"
+#include "idempotency/durable_service.hpp"
 
 using namespace marblewharf;
 using namespace std::chrono_literals;
@@ -102,25 +102,25 @@
       std::vector<store::entry> all;
       for (std::uint64_t k = i; k < i + batch; ++k) {
         const std::string name = "write-" + std::to_string(k);
-        keyed::kept e;
-        e.key = keyed::hash_of("isar-invest", "kurs-meldung", name, 7);
+        idempotency::kept e;
+        e.key = idempotency::hash_of("isar-invest", "kurs-meldung", name, 7);
         e.content = k;
         e.expiry = 1ll << 61;
         e.at = 1;
         e.tenant = "isar-invest";
         e.request_class = "kurs-meldung";
         e.name = name;
-        e.what = keyed::record_type::intent;
-        all.push_back({keyed::encode(e), e.expiry});
-        e.what = keyed::record_type::result;
+        e.what = idempotency::record_type::intent;
+        all.push_back({idempotency::encode(e), e.expiry});
+        e.what = idempotency::record_type::result;
         e.served = true;
         e.bytes = result;
-        all.push_back({keyed::encode(e), e.expiry});
+        all.push_back({idempotency::encode(e), e.expiry});
       }
       log.append(all, 1);
     }
   }
-  keyed::keeper_options o;
+  idempotency::durable_service_options o;
   o.folder = folder;
   o.windows = {1h};
   o.classes = {"kurs-meldung"};
@@ -132,7 +132,7 @@
   telemetry::counters counters;
   const std::size_t before = ::mallinfo2().uordblks;
   const auto begin = steady();
-  keyed::keeper k(fs, o, counters, [] {});
+  idempotency::durable_service k(fs, o, counters, [] {});
   const double took = seconds(steady() - begin);
   ::malloc_trim(0);
   const std::size_t after = ::mallinfo2().uordblks;
@@ -173,7 +173,7 @@
 };
 
 struct desk_rig : front, backend {
-  explicit desk_rig(const wrenrill::settings& s) : desk(s, 1, steady(), counters) {
+  explicit desk_rig(const admission_policy::settings& s) : desk(s, 1, steady(), counters) {
     desk.add(*this);
     desk.on_server_up(false, steady() - 60s);
   }
@@ -193,25 +193,26 @@
 
 // The longest and the mean step of 2 s with some arrivals in each, every run ending in the next.
 std::pair<double, double> steps(const std::string& folder, bool keyed_on, duration sync, int& served) {
-  wrenrill::settings s;
+  admission_policy::settings s;
   s.cores = 8;
-  s.classes.push_back({.name = "kurs-meldung",
-                       .aim = 5s,
-                       .deadline = 10s,
-                       .repeats = keyed_on ? wrenrill::effect::keyed : wrenrill::effect::unsafe,
-                       .window = 10s});
+  s.classes.push_back(
+      {.name = "kurs-meldung",
+       .aim = 5s,
+       .deadline = 10s,
+       .repeats = keyed_on ? admission_policy::effect::keyed : admission_policy::effect::unsafe,
+       .window = 10s});
   s.tick = 1ms;
   desk_rig rig(s);
   slow_disk disk(sync);
-  std::unique_ptr<keyed::keeper> keeper;
+  std::unique_ptr<idempotency::durable_service> keeper;
   if (keyed_on) {
-    keyed::keeper_options o;
+    idempotency::durable_service_options o;
     o.folder = folder;
     o.windows = {1h};
     o.classes = {"kurs-meldung"};
     o.unix_now = 1000s;
     o.steady_now = steady();
-    keeper = std::make_unique<keyed::keeper>(disk, o, rig.counters, [] {});
+    keeper = std::make_unique<idempotency::durable_service>(disk, o, rig.counters, [] {});
     keeper->report_to(rig.desk);
     rig.desk.use(*keeper, 10s);
   }
--- a/examples/guarded_server.cpp
+++ b/examples/guarded_server.cpp
@@ -56,7 +56,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  wrenrill::settings settings;
+  admission_policy::settings settings;
   settings.cores = 2;
   settings.crowd_factor = 5;
   settings.max_retry_after = 1s;
--- a/include/marblewharf/middleware.hpp
+++ b/include/marblewharf/middleware.hpp
@@ -15,7 +15,7 @@
 #include <string>
 #include <vector>
 
-#include "wrenrill/policy.hpp"
+#include "admission_policy/policy.hpp"
 
 namespace marblewharf::middleware {
 
@@ -58,9 +58,9 @@
  public:
   // Threads of the server wait here, so it needs more of them than handlers are to run at once. Throws
   // std::invalid_argument, naming the setting, when the settings cannot be used.
-  explicit gate(wrenrill::settings settings, std::uint64_t seed = 0);
+  explicit gate(admission_policy::settings settings, std::uint64_t seed = 0);
   // Reads the folder first: throws std::runtime_error, naming file and reason, where it cannot be used.
-  gate(wrenrill::settings settings, keyed_settings keys, std::uint64_t seed = 0);
+  gate(admission_policy::settings settings, keyed_settings keys, std::uint64_t seed = 0);
   ~gate();
   gate(const gate&) = delete;
   gate& operator=(const gate&) = delete;
--- a/src/console/front.cpp
+++ b/src/admin/console_server.cpp
@@ -1,16 +1,16 @@
-#include "console/front.hpp"
+#include "admin/console_server.hpp"
 
 #include <algorithm>
 #include <optional>
 #include <utility>
 
-namespace marblewharf::console {
+namespace marblewharf::admin {
 
 using telemetry::log;
 
-class server::connection : public net::stream::owner {
+class console_server::connection : public net::stream::owner {
  public:
-  connection(server& s, const Poco::Net::StreamSocket& socket)
+  connection(console_server& s, const Poco::Net::StreamSocket& socket)
       : server_(s), stream_(s.reactor_, s.bounds_, *this, socket) {}
 
   std::size_t on_bytes(std::string_view bytes) override;
@@ -33,14 +33,14 @@
   // each.
   std::pair<bool, time_point> rank() const { return {!answered_, answered_ ? answered_at_ : since_}; }
 
-  server& server_;
+  console_server& server_;
   net::stream stream_;
   time_point since_ = net::steady_now();
   time_point answered_at_{};
   bool answered_ = false;
 };
 
-std::size_t server::connection::on_bytes(std::string_view bytes) {
+std::size_t console_server::connection::on_bytes(std::string_view bytes) {
   if (answered_) return bytes.size();
   const std::size_t end = bytes.find('\n');
   if (end == std::string_view::npos) {
@@ -52,7 +52,7 @@
     refuse("line too long");
     return bytes.size();
   }
-  const std::optional<ops::console_call> call = ops::parse_console_line(bytes.substr(0, end));
+  const std::optional<admin::console_command> call = admin::parse_console_command(bytes.substr(0, end));
   if (!call) {
     refuse("unknown call");
   } else {
@@ -61,13 +61,13 @@
   return bytes.size();
 }
 
-server::server(net::reactor& r, const limits& bounds, const endpoint& at, desk& d,
-               telemetry::counters& counters)
+console_server::console_server(net::reactor& r, const limits& bounds, const endpoint& at, admin_handler& d,
+                               telemetry::counters& counters)
     : reactor_(r), bounds_(bounds), desk_(d), counters_(counters), connections_(r), at_(at) {
   try_listen(net::steady_now());
 }
 
-void server::try_listen(time_point now) {
+void console_server::try_listen(time_point now) {
   try {
     listener_.emplace(
         reactor_, bounds_, at_.host, at_.port,
@@ -84,9 +84,9 @@
   }
 }
 
-server::~server() = default;
+console_server::~console_server() = default;
 
-void server::accept(const Poco::Net::StreamSocket& socket) {
+void console_server::accept(const Poco::Net::StreamSocket& socket) {
   if (connections_.size() >= bounds_.console_connections) make_room();
   connections_.add(std::make_shared<connection>(*this, socket));
 }
@@ -94,7 +94,7 @@
 // Closes one that was answered and whose caller has not closed, the longest answered first; else the one that
 // has waited longest without a whole line. Guards the console against callers that hold connections, and the
 // process's descriptors against the console.
-void server::make_room() {
+void console_server::make_room() {
   connection* first = nullptr;
   connections_.each([&](connection& c) {
     if (first == nullptr || c.rank() < first->rank()) first = &c;
@@ -103,27 +103,27 @@
   drop(*first);
 }
 
-void server::drop(connection& c) {
+void console_server::drop(connection& c) {
   c.stream_.close();
   connections_.drop(c);
 }
 
-std::string server::answer(ops::console_call call) {
+std::string console_server::answer(admin::console_command call) {
   ++counters_.console_calls;
   switch (call) {
-    case ops::console_call::ready: return desk_.ready() ? "200 yes\n" : "200 no\n";
-    case ops::console_call::show_stat: return "200 figures follow\n" + desk_.figures() + "EOF\n";
-    case ops::console_call::drain: return "200 " + desk_.drain() + "\n";
-    case ops::console_call::resume: return "200 " + desk_.resume() + "\n";
-    case ops::console_call::show_members: {
+    case admin::console_command::ready: return desk_.ready() ? "200 yes\n" : "200 no\n";
+    case admin::console_command::show_stat: return "200 figures follow\n" + desk_.figures() + "EOF\n";
+    case admin::console_command::drain: return "200 " + desk_.drain() + "\n";
+    case admin::console_command::resume: return "200 " + desk_.resume() + "\n";
+    case admin::console_command::show_members: {
       const std::optional<std::string> lines = desk_.members();
       return lines ? "200 members follow\n" + *lines + "EOF\n" : "400 no fleet\n";
     }
-    case ops::console_call::show_zones: {
+    case admin::console_command::show_zones: {
       const std::optional<std::string> lines = desk_.zones();
       return lines ? "200 zones follow\n" + *lines + "EOF\n" : "400 no fleet\n";
     }
-    case ops::console_call::show_budgets: {
+    case admin::console_command::show_budgets: {
       const std::optional<std::string> lines = desk_.budgets();
       return lines ? "200 budgets follow\n" + *lines + "EOF\n" : "400 no budgets\n";
     }
@@ -131,7 +131,7 @@
   return "400 unknown call\n";
 }
 
-time_point server::step(time_point now) {
+time_point console_server::step(time_point now) {
   if (now >= next_bind_) try_listen(now);
   if (now < next_sweep_) return std::min(next_sweep_, next_bind_);
   if (listener_) listener_->resume();
@@ -146,4 +146,4 @@
   return std::min(next_sweep_, next_bind_);
 }
 
-}  // namespace marblewharf::console
+}  // namespace marblewharf::admin
--- a/src/console/front.hpp
+++ b/src/admin/console_server.hpp
@@ -10,19 +10,19 @@
 #include <optional>
 #include <string>
 
+#include "admin/console_command.hpp"
 #include "config/config.hpp"
 #include "net/connections.hpp"
 #include "net/listener.hpp"
 #include "net/stream.hpp"
-#include "ops/console_line.hpp"
 #include "telemetry/telemetry.hpp"
 
-namespace marblewharf::console {
+namespace marblewharf::admin {
 
 // What the console asks of the node. Called on the reactor's thread.
-class desk {
+class admin_handler {
  public:
-  virtual ~desk() = default;
+  virtual ~admin_handler() = default;
   virtual bool ready() = 0;           // this process takes clients
   virtual std::string figures() = 0;  // lines of `name=value`, each ending in "\n"
   virtual std::string drain() = 0;    // the text after "200 "
@@ -34,16 +34,17 @@
   virtual std::optional<std::string> budgets() = 0;
 };
 
-class server {
+class console_server {
  public:
   // Binds `at` alone (no SO_REUSEPORT): two processes never share one console, so an answer always comes from
   // the process that was asked. Where a process before this one still holds the address (a replacement), the
   // console opens once it lets go, tried again every `console_bind_retry` from step(). Throws
   // std::runtime_error naming the address that cannot be listened on for any other reason.
-  server(net::reactor& r, const limits& bounds, const endpoint& at, desk& d, telemetry::counters& counters);
-  ~server();
-  server(const server&) = delete;
-  server& operator=(const server&) = delete;
+  console_server(net::reactor& r, const limits& bounds, const endpoint& at, admin_handler& d,
+                 telemetry::counters& counters);
+  ~console_server();
+  console_server(const console_server&) = delete;
+  console_server& operator=(const console_server&) = delete;
 
   // Ends connections that brought no whole line in time, binds where the address was held; returns when it
   // wants to be called again.
@@ -55,11 +56,11 @@
   void accept(const Poco::Net::StreamSocket& socket);
   void drop(connection& c);
   void make_room();
-  std::string answer(ops::console_call call);
+  std::string answer(admin::console_command call);
 
   net::reactor& reactor_;
   const limits& bounds_;
-  desk& desk_;
+  admin_handler& desk_;
   telemetry::counters& counters_;
   net::connections<connection> connections_;
   void try_listen(time_point now);
@@ -70,4 +71,4 @@
   time_point next_sweep_{};
 };
 
-}  // namespace marblewharf::console
+}  // namespace marblewharf::admin
--- a/src/ops/figures.cpp
+++ b/src/admin/statistics.cpp
@@ -1,9 +1,9 @@
-#include "ops/figures.hpp"
+#include "admin/statistics.hpp"
 
-namespace marblewharf::ops {
+namespace marblewharf::admin {
 
-std::string render_figures(const telemetry::counters& c, const std::vector<std::string>& classes,
-                           std::size_t pending) {
+std::string render_statistics(const telemetry::counters& c, const std::vector<std::string>& classes,
+                              std::size_t pending) {
   std::string out;
   const auto line = [&](const std::string& name, std::uint64_t value) {
     out += name;
@@ -22,4 +22,4 @@
   return out;
 }
 
-}  // namespace marblewharf::ops
+}  // namespace marblewharf::admin
--- a/src/ops/figures.hpp
+++ b/src/admin/statistics.hpp
@@ -7,10 +7,10 @@
 
 #include "telemetry/telemetry.hpp"
 
-namespace marblewharf::ops {
+namespace marblewharf::admin {
 
 // `classes` by the settings' order, as the counters' vectors; `pending` is what was taken and has not ended.
-std::string render_figures(const telemetry::counters& c, const std::vector<std::string>& classes,
-                           std::size_t pending);
+std::string render_statistics(const telemetry::counters& c, const std::vector<std::string>& classes,
+                              std::size_t pending);
 
-}  // namespace marblewharf::ops
+}  // namespace marblewharf::admin
--- a/src/logic.cpp
+++ b/src/admission_policy/policy.cpp
@@ -3,6 +3,8 @@
 // The ordinary path of a request (docs/design.md): on_arrival() tags it from its tenant's arrival curve (tag,
 // resync), dispatch() starts the smallest finish tag while the running limit allows, shed_hopeless() turns
 // away what cannot make its aim. Everything else is a guard around that path and says what it guards against.
+#include "admission_policy/policy.hpp"
+
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -10,9 +12,7 @@
 #include <set>
 #include <stdexcept>
 
-#include "wrenrill/policy.hpp"
-
-namespace wrenrill {
+namespace admission_policy {
 namespace {
 
 using namespace std::chrono_literals;
@@ -1050,4 +1050,4 @@
   return impl_->handle(now, events);
 }
 
-}  // namespace wrenrill
+}  // namespace admission_policy
--- a/src/fleet/link.cpp
+++ b/src/cluster/agent.cpp
@@ -1,4 +1,4 @@
-#include "fleet/link.hpp"
+#include "cluster/agent.hpp"
 
 #include <Poco/Exception.h>
 #include <Poco/NObserver.h>
@@ -12,7 +12,7 @@
 #include "membership/wire.hpp"
 #include "telemetry/telemetry.hpp"
 
-namespace marblewharf::fleet {
+namespace marblewharf::cluster {
 
 namespace {
 
@@ -89,7 +89,7 @@
 
 }  // namespace
 
-link::link(net::reactor& r, const fleet_config& f, std::uint64_t seed)
+agent::agent(net::reactor& r, const fleet_config& f, std::uint64_t seed)
     : reactor_(r),
       settings_(f),
       random_(seed),
@@ -107,14 +107,14 @@
                  text_of(f.listen).c_str());
 }
 
-link::~link() {
+agent::~agent() {
   reactor_.removeEventHandler(
-      socket_, Poco::NObserver<link, Poco::Net::ReadableNotification>(*this, &link::on_readable));
+      socket_, Poco::NObserver<agent, Poco::Net::ReadableNotification>(*this, &agent::on_readable));
 }
 
 // False: another process holds the address. Never shared: of two sockets with SO_REUSEADDR on one UDP address
 // the later gets all datagrams, and the earlier would hold everybody dead.
-bool link::bind(Poco::Net::DatagramSocket& s, std::uint16_t port) const {
+bool agent::bind(Poco::Net::DatagramSocket& s, std::uint16_t port) const {
   try {
     s.bind(Poco::Net::SocketAddress(settings_.listen.host, port), false, false);
     s.setBlocking(false);
@@ -125,18 +125,18 @@
   }
 }
 
-void link::listen_on(const Poco::Net::DatagramSocket& s) {
+void agent::listen_on(const Poco::Net::DatagramSocket& s) {
   socket_ = s;
-  reactor_.addEventHandler(socket_,
-                           Poco::NObserver<link, Poco::Net::ReadableNotification>(*this, &link::on_readable));
+  reactor_.addEventHandler(
+      socket_, Poco::NObserver<agent, Poco::Net::ReadableNotification>(*this, &agent::on_readable));
 }
 
-bool link::join(time_point now) {
+bool agent::join(time_point now) {
   Poco::Net::DatagramSocket members_own(Poco::Net::SocketAddress::IPv4);
   if (!bind(members_own, settings_.listen.port)) return false;
   if (now > started_) {  // it has waited on a port of its own
     reactor_.removeEventHandler(
-        socket_, Poco::NObserver<link, Poco::Net::ReadableNotification>(*this, &link::on_readable));
+        socket_, Poco::NObserver<agent, Poco::Net::ReadableNotification>(*this, &agent::on_readable));
     telemetry::log("fleet", "%s is this process's now", text_of(settings_.listen).c_str());
     // An incarnation above all that the process before it had, and a grace that begins now.
     swim_ = fresh_swim(settings_);
@@ -152,13 +152,13 @@
   return true;
 }
 
-std::string link::own_address() const {
+std::string agent::own_address() const {
   const std::string& host =
       settings_.listen.host == "0.0.0.0" ? settings_.advertise.host : settings_.listen.host;
   return host + ":" + std::to_string(socket_.address().port());
 }
 
-void link::on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
+void agent::on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
   char datagram[membership::datagram_most + 1];
   const time_point now = net::steady_now();
   // A bounded number a round: a flood of datagrams must not keep the clients' sockets waiting.
@@ -192,7 +192,7 @@
   reactor_.wake();
 }
 
-time_point link::step(time_point now) {
+time_point agent::step(time_point now) {
   if (!joined_) {
     if (now < next_look_) return next_look_;
     next_look_ = now + settings_.probe_interval;
@@ -211,7 +211,7 @@
   return std::min(due, next_look_);
 }
 
-failover::sight link::sight_of(const fleet_zone& z, time_point now) const {
+failover::sight agent::sight_of(const fleet_zone& z, time_point now) const {
   std::vector<failover::member_sight> members;
   for (const endpoint& m : z.members) {
     const std::string address = text_of(m);
@@ -229,7 +229,7 @@
                                       .contact_window = contact_window * settings_.probe_interval});
 }
 
-bool link::routable(const std::string& place) const {
+bool agent::routable(const std::string& place) const {
   if (!joined_) return true;
   const auto zone = zone_of_.find(place);
   if (zone == zone_of_.end()) return failover::zone_routable(view_.of(place), place == settings_.zone);
@@ -239,7 +239,7 @@
          failover::zone_routable(view_.of(zone->second), zone->second == settings_.zone);
 }
 
-void link::flush() {
+void agent::flush() {
   for (membership::envelope& e : swim_.take_outbox()) {
     e.m.ballots = ballots_;
     for (const failover::vote& v : view_.take_news(settings_.votes_per_message))
@@ -248,7 +248,7 @@
   }
 }
 
-void link::send(const std::string& to, const std::string& bytes) {
+void agent::send(const std::string& to, const std::string& bytes) {
   const std::size_t colon = to.rfind(':');
   try {
     const Poco::Net::SocketAddress at(to.substr(0, colon),
@@ -262,12 +262,12 @@
   ++figures_.unsent;
 }
 
-bool link::alive(const std::string& address) const {
+bool agent::alive(const std::string& address) const {
   const auto found = swim_.members().find(address);
   return found != swim_.members().end() && found->second.state == membership::health::alive;
 }
 
-void link::log_changes() {
+void agent::log_changes() {
   const std::vector<membership::claim> heard = swim_.take_changes();
   changes_ += heard.size();
   for (const membership::claim& c : heard)
@@ -285,7 +285,7 @@
   }
 }
 
-std::string link::show_members() const {
+std::string agent::show_members() const {
   std::ostringstream out;
   const membership::claim& self = swim_.self();
   out << self.address << ' ' << self.zone << ' ' << self.region << (joined_ ? " self " : " waiting ")
@@ -296,7 +296,7 @@
   return out.str();
 }
 
-std::string link::show_zones() const {
+std::string agent::show_zones() const {
   std::ostringstream out;
   std::map<std::string, std::vector<std::string>> by_region;
   for (const fleet_zone& z : settings_.zones) {
@@ -321,7 +321,7 @@
   return out.str();
 }
 
-std::string link::show_figures() const {
+std::string agent::show_figures() const {
   std::ostringstream out;
   std::size_t alive = 0, suspect = 0, dead = 0;
   for (const auto& [address, c] : swim_.members()) {
@@ -342,4 +342,4 @@
   return out.str();
 }
 
-}  // namespace marblewharf::fleet
+}  // namespace marblewharf::cluster
--- a/src/fleet/link.hpp
+++ b/src/cluster/agent.hpp
@@ -23,7 +23,7 @@
 #include "membership/swim.hpp"
 #include "net/reactor.hpp"
 
-namespace marblewharf::fleet {
+namespace marblewharf::cluster {
 
 struct figures {
   std::uint64_t sent = 0, received = 0;
@@ -34,14 +34,14 @@
 // The member's address is bound alone, so of all processes given it on a machine one is the member: a second
 // one (a replacement) waits on a port of its own until the first lets go, takes no part in membership and
 // votes, and calls may go anywhere as if there were no fleet.
-class link {
+class agent {
  public:
   // Throws std::runtime_error naming the address that cannot be bound, but for one that another process
   // holds.
-  link(net::reactor& r, const fleet_config& f, std::uint64_t seed);
-  ~link();
-  link(const link&) = delete;
-  link& operator=(const link&) = delete;
+  agent(net::reactor& r, const fleet_config& f, std::uint64_t seed);
+  ~agent();
+  agent(const agent&) = delete;
+  agent& operator=(const agent&) = delete;
 
   // Probes, timeouts, votes; returns when it wants to be called again.
   time_point step(time_point now);
@@ -95,4 +95,4 @@
   time_point next_look_;
 };
 
-}  // namespace marblewharf::fleet
+}  // namespace marblewharf::cluster
--- a/src/fleet/shares.cpp
+++ b/src/cluster/quota_client.cpp
@@ -1,4 +1,4 @@
-#include "fleet/shares.hpp"
+#include "cluster/quota_client.hpp"
 
 #include <time.h>
 
@@ -6,10 +6,10 @@
 #include <cmath>
 #include <sstream>
 
-#include "budgets/wire.hpp"
+#include "quota/wire.hpp"
 #include "telemetry/telemetry.hpp"
 
-namespace marblewharf::fleet {
+namespace marblewharf::cluster {
 
 namespace {
 
@@ -26,15 +26,15 @@
   return all;
 }
 
-std::vector<budgets::budget> budgets_of(const budgets_config& c) {
-  std::vector<budgets::budget> all;
+std::vector<quota::budget> budgets_of(const budgets_config& c) {
+  std::vector<quota::budget> all;
   for (const budget_config& b : c.all)
     all.push_back({b.name, b.whole, b.safe, b.weight, b.unit != budget_unit::requests, b.settle});
   return all;
 }
 
-budgets::office_options options_of(const budgets_config& c) {
-  budgets::office_options o;
+quota::quota_coordinator_options options_of(const budgets_config& c) {
+  quota::quota_coordinator_options o;
   o.rules = {c.lease, c.drift};
   o.renew = c.renew;
   o.reserve = c.reserve;
@@ -52,8 +52,8 @@
 
 }  // namespace
 
-shares::shares(link& to, const config& settings, dispatcher& desk, telemetry::counters& counters,
-               calls_user calls)
+quota_client::quota_client(agent& to, const config& settings, dispatcher& desk, telemetry::counters& counters,
+                           calls_user calls)
     : link_(to),
       settings_(*settings.budgets),
       fleet_(settings.fleet->name),
@@ -81,32 +81,31 @@
 }
 
 // The clock of leases: it goes on while the machine sleeps. `clock_rate` makes it run apart for tests.
-budgets::time_point shares::clock() const {
+quota::time_point quota_client::clock() const {
   timespec t{};
   ::clock_gettime(CLOCK_BOOTTIME, &t);
   const auto ns = std::chrono::seconds(t.tv_sec) + std::chrono::nanoseconds(t.tv_nsec);
   if (settings_.clock_rate == 1) return ns;
-  return budgets::time_point(
-      static_cast<std::int64_t>(static_cast<double>(ns.count()) * settings_.clock_rate));
+  return quota::time_point(static_cast<std::int64_t>(static_cast<double>(ns.count()) * settings_.clock_rate));
 }
 
-bool shares::on_datagram(std::string_view datagram) {
-  const budgets::decoded d = budgets::decode(fleet_, datagram);
+bool quota_client::on_datagram(std::string_view datagram) {
+  const quota::decoded d = quota::decode(fleet_, datagram);
   switch (d.fault) {
-    case budgets::wire_fault::not_ours: return false;
-    case budgets::wire_fault::foreign: ++foreign_; return true;
-    case budgets::wire_fault::version: ++version_; return true;
-    case budgets::wire_fault::undecodable: ++undecodable_; return true;
-    case budgets::wire_fault::none: break;
+    case quota::wire_fault::not_ours: return false;
+    case quota::wire_fault::foreign: ++foreign_; return true;
+    case quota::wire_fault::version: ++version_; return true;
+    case quota::wire_fault::undecodable: ++undecodable_; return true;
+    case quota::wire_fault::none: break;
   }
-  const budgets::time_point at = clock();
+  const quota::time_point at = clock();
   office_.receive(at, *d.m);
   apply(at);
   flush();
   return true;
 }
 
-void shares::measure(time_point now) {
+void quota_client::measure(time_point now) {
   if (now - measured_ < measure_every) return;
   measured_ = now;
   const dispatcher::load load = desk_.in_hand();
@@ -126,7 +125,7 @@
   }
 }
 
-void shares::look_for_address(budgets::time_point at) {
+void quota_client::look_for_address(quota::time_point at) {
   if (office_.joined()) return;
   if (link_.joined())
     office_.join(at);
@@ -134,11 +133,11 @@
     office_.answer_to(link_.own_address());
 }
 
-time_point shares::step(time_point now) {
+time_point quota_client::step(time_point now) {
   measure(now);
-  const budgets::time_point at = clock();
+  const quota::time_point at = clock();
   look_for_address(at);
-  const budgets::time_point due =
+  const quota::time_point due =
       office_.step(at, uses_, [this](const std::string& m) { return link_.alive(m); });
   apply(at);
   flush();
@@ -147,7 +146,7 @@
 
 // Shares that changed go to whoever acts on them. A whole number of runs or calls: two halves make no one
 // run.
-void shares::apply(budgets::time_point at) {
+void quota_client::apply(quota::time_point at) {
   bool module_changed = false;
   marblewharf::shares given;
   given.more_in = settings_.renew;
@@ -165,22 +164,22 @@
     telemetry::log("share", "%s: %.6g of %.6g %s", b.name.c_str(), acted, b.whole, name_of(b.unit));
   }
   if (module_changed) desk_.on_shares(given);
-  const std::vector<budgets::change> changes = office_.take_changes();
+  const std::vector<quota::change> changes = office_.take_changes();
   if (!settings_.audit) return;
   // For the auditor of tests, without the bound on lines: what is in force from now until when, by the
   // machine's own clock.
   const double rate = settings_.clock_rate;
-  for (const budgets::change& c : changes)
+  for (const quota::change& c : changes)
     telemetry::audit("share %zu %.9g from %.0f until %.0f", c.budget, c.share,
                      static_cast<double>(at.count()) / rate, static_cast<double>(c.until.count()) / rate);
 }
 
-void shares::flush() {
-  for (const budgets::envelope& e : office_.take_outbox()) link_.send(e.to, budgets::encode(fleet_, e.m));
+void quota_client::flush() {
+  for (const quota::envelope& e : office_.take_outbox()) link_.send(e.to, quota::encode(fleet_, e.m));
 }
 
-std::string shares::show_budgets() const {
-  const budgets::time_point at = clock();
+std::string quota_client::show_budgets() const {
+  const quota::time_point at = clock();
   const auto left = std::max<std::int64_t>(0, (office_.until() - at) / std::chrono::milliseconds(1));
   std::ostringstream out;
   for (std::size_t i = 0; i < settings_.all.size(); ++i) {
@@ -192,8 +191,8 @@
   return out.str();
 }
 
-std::string shares::show_figures() const {
-  const budgets::time_point at = clock();
+std::string quota_client::show_figures() const {
+  const quota::time_point at = clock();
   std::ostringstream out;
   for (std::size_t i = 0; i < settings_.all.size(); ++i) {
     const std::string name = "budget." + settings_.all[i].name;
@@ -206,4 +205,4 @@
   return out.str();
 }
 
-}  // namespace marblewharf::fleet
+}  // namespace marblewharf::cluster
--- a/src/fleet/shares.hpp
+++ b/src/cluster/quota_client.hpp
@@ -13,13 +13,13 @@
 #include <string>
 #include <vector>
 
-#include "budgets/demand.hpp"
-#include "budgets/office.hpp"
+#include "cluster/agent.hpp"
 #include "config/config.hpp"
 #include "core/dispatcher.hpp"
-#include "fleet/link.hpp"
+#include "quota/demand.hpp"
+#include "quota/quota_coordinator.hpp"
 
-namespace marblewharf::fleet {
+namespace marblewharf::cluster {
 
 // Whoever acts on a share of calls at a dependency.
 struct calls_user {
@@ -31,11 +31,12 @@
   std::function<calls(std::size_t dependency)> use;
 };
 
-class shares {
+class quota_client {
  public:
-  shares(link& to, const config& settings, dispatcher& desk, telemetry::counters& counters, calls_user calls);
-  shares(const shares&) = delete;
-  shares& operator=(const shares&) = delete;
+  quota_client(agent& to, const config& settings, dispatcher& desk, telemetry::counters& counters,
+               calls_user calls);
+  quota_client(const quota_client&) = delete;
+  quota_client& operator=(const quota_client&) = delete;
 
   // Asks, answers, renews; hands shares on. Returns when it wants to be called again.
   time_point step(time_point now);
@@ -48,26 +49,26 @@
 
  private:
   bool on_datagram(std::string_view datagram);
-  budgets::time_point clock() const;
+  quota::time_point clock() const;
   void measure(time_point now);
-  void look_for_address(budgets::time_point at);
-  void apply(budgets::time_point at);
+  void look_for_address(quota::time_point at);
+  void apply(quota::time_point at);
   void flush();
 
-  link& link_;
+  agent& link_;
   const budgets_config& settings_;
   const std::string fleet_;
   dispatcher& desk_;
   telemetry::counters& counters_;
   calls_user calls_;
-  budgets::office office_;
-  std::vector<budgets::use> uses_;
-  std::vector<budgets::rate_demand> rates_;      // by budget, of requests
-  std::vector<budgets::flight_demand> flights_;  // by budget, of runs and calls
+  quota::quota_coordinator office_;
+  std::vector<quota::use> uses_;
+  std::vector<quota::rate_demand> rates_;      // by budget, of requests
+  std::vector<quota::flight_demand> flights_;  // by budget, of runs and calls
   time_point measured_{};
   std::vector<double> told_;          // shares handed on
   std::vector<std::uint64_t> moved_;  // by budget: how often a share changed
   std::uint64_t foreign_ = 0, version_ = 0, undecodable_ = 0;
 };
 
-}  // namespace marblewharf::fleet
+}  // namespace marblewharf::cluster
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -11,7 +11,7 @@
 #include <sstream>
 
 #include "json/json.hpp"
-#include "settings.hpp"
+#include "policy_settings/settings_reader.hpp"
 
 namespace marblewharf {
 
@@ -68,7 +68,7 @@
 }
 
 // The nested settings as the paths of the simulator's first message.
-void flatten(const json::value& v, const std::string& path, wrenrill::setting_paths& out) {
+void flatten(const json::value& v, const std::string& path, admission_policy::setting_paths& out) {
   switch (v.what) {
     case json::kind::object:
       for (const auto& [key, item] : v.members) flatten(item, path.empty() ? key : path + "." + key, out);
@@ -104,7 +104,7 @@
 }
 
 // What the module cannot do without or would misread, by the operators' names and not the module's.
-void check_settings(const wrenrill::settings& s) {
+void check_settings(const admission_policy::settings& s) {
   if (s.cores == 0) throw bad_config("settings.Extra.NCores is missing or 0");
   if (s.classes.empty()) throw bad_config("settings.Classes has no class");
   std::set<std::string> class_names, tenant_names;
@@ -118,14 +118,14 @@
     check_name(s.tenants[i].name, "settings.Tenants." + std::to_string(i) + ".Name", tenant_names);
 }
 
-wrenrill::settings settings_of(const json::value& all) {
+admission_policy::settings settings_of(const json::value& all) {
   const json::value* given = member(all, "settings");
   if (given == nullptr || given->what != json::kind::object) throw bad_config("settings is no object");
-  wrenrill::setting_paths paths;
+  admission_policy::setting_paths paths;
   flatten(*given, "", paths);
-  wrenrill::settings s;
+  admission_policy::settings s;
   try {
-    s = wrenrill::settings_from(paths);
+    s = admission_policy::settings_from(paths);
   } catch (const std::invalid_argument& e) {
     throw bad_config(std::string("settings.") + e.what());
   }
@@ -174,12 +174,12 @@
   bounds.descriptors = static_cast<std::size_t>(limit("sockets", least_descriptors, 1e6));
 }
 
-std::optional<repeats_config> repeats_of(const wrenrill::settings& settings, const limits& bounds) {
+std::optional<repeats_config> repeats_of(const admission_policy::settings& settings, const limits& bounds) {
   repeats_config r;
   r.memory = bounds.kept_results;
   bool any = false;
-  for (const wrenrill::class_settings& c : settings.classes) {
-    const bool keyed = c.repeats == wrenrill::effect::keyed && c.window.count() > 0;
+  for (const admission_policy::class_settings& c : settings.classes) {
+    const bool keyed = c.repeats == admission_policy::effect::keyed && c.window.count() > 0;
     r.windows.push_back(keyed ? c.window + bounds.rule_slack : std::chrono::nanoseconds{});
     r.longest_wait = std::max(r.longest_wait, c.deadline);
     any = any || keyed;
@@ -245,7 +245,7 @@
   for (std::size_t i = 0; i < keys.windows.size(); ++i) {
     if (keys.windows[i].count() == 0) continue;
     // The module keeps a key while its request can be open; from then on the folder knows it.
-    c.settings.classes[i].repeats = wrenrill::effect::keyed;
+    c.settings.classes[i].repeats = admission_policy::effect::keyed;
     c.settings.classes[i].window = c.settings.classes[i].deadline;
   }
   c.keyed = std::move(keys);
@@ -254,8 +254,9 @@
 
 void turn_on_dependencies(config& c, dependencies_config all) {
   if (!c.uwsgi) throw bad_config("parts are gathered for uwsgi requests, and uwsgi is off");
-  for (const dependencies::plan& p : all.plans) {
-    for (wrenrill::class_settings& k : c.settings.classes) k.calls = k.calls || k.name == p.request_class;
+  for (const upstream::request_plan& p : all.plans) {
+    for (admission_policy::class_settings& k : c.settings.classes)
+      k.calls = k.calls || k.name == p.request_class;
   }
   c.uwsgi->hash_content = true;
   c.dependencies = std::move(all);
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
+#include "admission_policy/policy.hpp"
 #include "config/limits.hpp"
-#include "dependencies/plan.hpp"
-#include "wrenrill/policy.hpp"
+#include "upstream/plan.hpp"
 
 namespace marblewharf {
 
@@ -91,9 +91,9 @@
   std::vector<std::string> places;  // by endpoint: its zone, or the fleet's member there; empty: not known
 };
 struct dependencies_config {
-  std::vector<dependency_config> endpoints;           // by dependency
-  std::vector<dependencies::dependency_rules> rules;  // the same
-  std::vector<dependencies::plan> plans;
+  std::vector<dependency_config> endpoints;       // by dependency
+  std::vector<upstream::dependency_rules> rules;  // the same
+  std::vector<upstream::request_plan> plans;
   std::string budget_var;                    // tells a dependency its milliseconds; empty: nothing does
   std::size_t cache = std::size_t{8} << 20;  // bytes of old parts
 };
@@ -189,7 +189,7 @@
   std::optional<endpoint> console;  // the operators' console; none: there is none
   std::uint64_t seed = 0;
   limits bounds;
-  wrenrill::settings settings;
+  admission_policy::settings settings;
   std::optional<uwsgi_config> uwsgi;                // none: that front is off
   std::optional<keyed_config> keyed;                // none: no results are kept on disk
   std::optional<repeats_config> repeats;            // none: no class is keyed, or `keyed` has them
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -325,7 +325,7 @@
     }
   }
 
-  void read_classes(wrenrill::settings& known, uwsgi_config& second, keyed_config& keys) const {
+  void read_classes(admission_policy::settings& known, uwsgi_config& second, keyed_config& keys) const {
     constexpr auto most_cost = std::chrono::seconds(1000);
     constexpr auto longest = std::chrono::hours(24 * 400);
     each("class", [&](const section& s, const std::string& title) {
@@ -397,7 +397,7 @@
       d.path = s.text("path");
       for (const std::string& at : s.list("endpoints")) d.at.push_back(s.address("endpoints", at));
       if (d.at.empty()) s.fail("endpoints", "names no endpoint");
-      dependencies::dependency_rules r;
+      upstream::dependency_rules r;
       r.name = title;
       r.endpoints = d.at.size();
       r.budget = s.time("budget", 1ms, 600s);
@@ -425,17 +425,17 @@
         }
         s.fail("class", "names nothing in the settings", s.text("class"));
       }();
-      const wrenrill::class_settings& k = c.settings.classes[request_class];
-      if (k.repeats != wrenrill::effect::safe)
+      const admission_policy::class_settings& k = c.settings.classes[request_class];
+      if (k.repeats != admission_policy::effect::safe)
         s.fail("class", "has an effect: only reads are gathered", k.name);
       auto plan = std::find_if(all.plans.begin(), all.plans.end(),
-                               [&](const dependencies::plan& p) { return p.request_class == k.name; });
+                               [&](const upstream::request_plan& p) { return p.request_class == k.name; });
       if (plan == all.plans.end()) {
         all.plans.push_back({k.name, k.aim.count() > 0 ? k.aim : k.deadline, reserve_of(k.name), {}});
         titles.emplace_back();
         plan = std::prev(all.plans.end());
       }
-      dependencies::part_plan p;
+      upstream::part_plan p;
       p.name = title;
       p.from = dependency_of(s, "from", s.needed("from"), all);
       p.required = s.flag("required");
@@ -444,8 +444,8 @@
       titles[static_cast<std::size_t>(plan - all.plans.begin())].push_back(title);
     });
     try {
-      dependencies::check_plans(all.plans, all.rules);
-    } catch (const dependencies::bad_plan& e) {
+      upstream::check_plans(all.plans, all.rules);
+    } catch (const upstream::bad_plan& e) {
       // The line of the part, by its title.
       const std::string title = e.part_at < 0 ? "" : titles[e.plan][static_cast<std::size_t>(e.part_at)];
       each("part", [&](const section& s, const std::string& name) {
@@ -459,7 +459,7 @@
   // Where a dependency's endpoints are, in the fleet's own terms: each a zone, or a member, whose zone counts
   // then.
   void read_places(const section& s, const config& c, dependency_config& d,
-                   dependencies::dependency_rules& r) const {
+                   upstream::dependency_rules& r) const {
     d.places = s.list("places");
     r.near.rules.overprovisioning = s.number("overprovisioning", 1, 10);
     r.near.rules.panic_threshold = s.number("panic", 0, 1);
@@ -688,9 +688,9 @@
     }
     s.fail(key, "names no dependency", name);
   }
-  static dependencies::stand_in stand_in_of(const section& s, const std::string& text,
-                                            const dependencies_config& all) {
-    using kind = dependencies::stand_in::kind;
+  static upstream::fallback stand_in_of(const section& s, const std::string& text,
+                                        const dependencies_config& all) {
+    using kind = upstream::fallback::kind;
     const std::size_t space = text.find(' ');
     const std::string what = text.substr(0, space);
     const std::string rest = space == std::string::npos ? "" : text.substr(space + 1);
--- a/src/core/admission.cpp
+++ b/src/core/admission.cpp
@@ -8,27 +8,28 @@
 namespace marblewharf {
 namespace {
 
-std::vector<bool> writes_of(const wrenrill::settings& s) {
+std::vector<bool> writes_of(const admission_policy::settings& s) {
   std::vector<bool> writes;
-  for (const wrenrill::class_settings& c : s.classes) writes.push_back(c.repeats != wrenrill::effect::safe);
+  for (const admission_policy::class_settings& c : s.classes)
+    writes.push_back(c.repeats != admission_policy::effect::safe);
   return writes;
 }
 
-wrenrill::outcome outcome_of(run_end how) {
+admission_policy::outcome outcome_of(run_end how) {
   switch (how) {
-    case run_end::fine: return wrenrill::outcome::ok;
+    case run_end::fine: return admission_policy::outcome::ok;
     case run_end::fault:
-    case run_end::lost: return wrenrill::outcome::error;
-    case run_end::broken_off: return wrenrill::outcome::cancelled;
+    case run_end::lost: return admission_policy::outcome::error;
+    case run_end::broken_off: return admission_policy::outcome::cancelled;
     case run_end::never_started:
-    case run_end::unknown: return wrenrill::outcome::moot;
+    case run_end::unknown: return admission_policy::outcome::moot;
   }
-  return wrenrill::outcome::error;
+  return admission_policy::outcome::error;
 }
 
 }  // namespace
 
-admission::admission(wrenrill::settings settings, std::uint64_t seed, time_point opened)
+admission::admission(admission_policy::settings settings, std::uint64_t seed, time_point opened)
     : policy_(settings, seed, opened), writes_(writes_of(settings)), due_(time_point::max()) {
   take(policy_.handle(opened, {}), opened);
 }
@@ -36,7 +37,7 @@
 void admission::report(const arrived& fact) {
   const request& r = *fact.what;
   begun_.emplace(fact.id, false);
-  wrenrill::arrival a;
+  admission_policy::arrival a;
   a.id = fact.id;
   a.repeats = fact.repeats;
   a.key = r.subject;
@@ -53,25 +54,25 @@
 
 void admission::report(const ended& fact) {
   begun_.erase(fact.id);
-  pending_.emplace_back(wrenrill::completion{fact.id, outcome_of(fact.how), fact.elapsed});
+  pending_.emplace_back(admission_policy::completion{fact.id, outcome_of(fact.how), fact.elapsed});
 }
 
 void admission::report(const gone& fact) {
   // Nothing more comes of one that never began. Guards the table against one entry for each caller that left.
   if (const auto known = begun_.find(fact.id); known != begun_.end() && !known->second) begun_.erase(known);
-  pending_.emplace_back(wrenrill::departure{fact.id});
+  pending_.emplace_back(admission_policy::departure{fact.id});
 }
 
 void admission::report(const needs_call& fact) {
-  pending_.emplace_back(wrenrill::call_needed{fact.id});
+  pending_.emplace_back(admission_policy::call_needed{fact.id});
 }
 
 void admission::report(const call_over& fact) {
-  pending_.emplace_back(wrenrill::call_ended{fact.id, wrenrill::outcome::ok, fact.elapsed});
+  pending_.emplace_back(admission_policy::call_ended{fact.id, admission_policy::outcome::ok, fact.elapsed});
 }
 
 void admission::report(const drain& fact) {
-  pending_.emplace_back(wrenrill::notice{fact.left});
+  pending_.emplace_back(admission_policy::notice{fact.left});
 }
 
 void admission::report(const shares& fact) {
@@ -84,17 +85,17 @@
   // comes in.
   if (now >= due_) {
     due_ = time_point::max();
-    pending_.emplace_back(wrenrill::timer_fired{{gauges.begin(), gauges.end()}});
+    pending_.emplace_back(admission_policy::timer_fired{{gauges.begin(), gauges.end()}});
   }
   if (pending_.empty()) return;
-  std::vector<wrenrill::event> events;
+  std::vector<admission_policy::event> events;
   events.swap(pending_);
   take(policy_.handle(now, events), now);
 }
 
-void admission::take(const std::vector<wrenrill::action>& actions, time_point now) {
-  for (const wrenrill::action& a : actions) {
-    if (const auto* s = std::get_if<wrenrill::start>(&a)) {
+void admission::take(const std::vector<admission_policy::action>& actions, time_point now) {
+  for (const admission_policy::action& a : actions) {
+    if (const auto* s = std::get_if<admission_policy::start>(&a)) {
       const auto known = begun_.find(s->id);
       if (known == begun_.end()) continue;
       if (std::exchange(known->second, true)) {
@@ -102,32 +103,32 @@
       } else {
         decisions_.emplace_back(run{s->id});
       }
-    } else if (const auto* p = std::get_if<wrenrill::stop_run>(&a)) {
+    } else if (const auto* p = std::get_if<admission_policy::stop_run>(&a)) {
       decisions_.emplace_back(pause{p->id});
-    } else if (const auto* r = std::get_if<wrenrill::refuse>(&a)) {
+    } else if (const auto* r = std::get_if<admission_policy::refuse>(&a)) {
       decisions_.emplace_back(refuse{r->id, r->stay_away, r->not_elsewhere});
       begun_.erase(r->id);
-    } else if (const auto* f = std::get_if<wrenrill::fail>(&a)) {
+    } else if (const auto* f = std::get_if<admission_policy::fail>(&a)) {
       decisions_.emplace_back(fail{f->id, f->stay_away});
       // One that shared an outcome never begins. Guards the table against one entry for each.
       if (const auto known = begun_.find(f->id); known != begun_.end() && !known->second) begun_.erase(known);
-    } else if (const auto* k = std::get_if<wrenrill::keep_key>(&a)) {
+    } else if (const auto* k = std::get_if<admission_policy::keep_key>(&a)) {
       decisions_.emplace_back(keep{k->id});
-    } else if (const auto* o = std::get_if<wrenrill::forget_key>(&a)) {
+    } else if (const auto* o = std::get_if<admission_policy::forget_key>(&a)) {
       decisions_.emplace_back(forget{o->id});
-    } else if (const auto* pc = std::get_if<wrenrill::place_call>(&a)) {
+    } else if (const auto* pc = std::get_if<admission_policy::place_call>(&a)) {
       decisions_.emplace_back(place{pc->id, pc->limit});
-    } else if (const auto* sc = std::get_if<wrenrill::skip_call>(&a)) {
+    } else if (const auto* sc = std::get_if<admission_policy::skip_call>(&a)) {
       decisions_.emplace_back(skip{sc->id});
-    } else if (const auto* sh = std::get_if<wrenrill::share_outcome>(&a)) {
+    } else if (const auto* sh = std::get_if<admission_policy::share_outcome>(&a)) {
       decisions_.emplace_back(share{sh->id});
-    } else if (const auto* h = std::get_if<wrenrill::set_health>(&a)) {
+    } else if (const auto* h = std::get_if<admission_policy::set_health>(&a)) {
       decisions_.emplace_back(health{h->good});
-    } else if (const auto* c = std::get_if<wrenrill::close_idle>(&a)) {
+    } else if (const auto* c = std::get_if<admission_policy::close_idle>(&a)) {
       decisions_.emplace_back(close_idle{c->after});
-    } else if (const auto* t = std::get_if<wrenrill::set_timer>(&a)) {
+    } else if (const auto* t = std::get_if<admission_policy::set_timer>(&a)) {
       due_ = std::min(due_, now + t->after);
-    } else if (const auto* l = std::get_if<wrenrill::log_line>(&a)) {
+    } else if (const auto* l = std::get_if<admission_policy::log_line>(&a)) {
       telemetry::log("module", "%s", l->text.c_str());
     }
   }
--- a/src/core/admission.hpp
+++ b/src/core/admission.hpp
@@ -37,7 +37,7 @@
 struct drain {
   duration left{};  // until the process is stopped
 };
-using shares = wrenrill::shares;  // of wholes that this node has a part in
+using shares = admission_policy::shares;  // of wholes that this node has a part in
 
 // Decisions.
 struct run {
@@ -86,7 +86,7 @@
 class admission {
  public:
   // `opened`: when the server behind it started; in the past for one that has been up for a while.
-  admission(wrenrill::settings settings, std::uint64_t seed, time_point opened);
+  admission(admission_policy::settings settings, std::uint64_t seed, time_point opened);
 
   void report(const arrived& fact);
   void report(const ended& fact);
@@ -107,11 +107,11 @@
   bool eager() const { return !pending_.empty(); }
 
  private:
-  void take(const std::vector<wrenrill::action>& actions, time_point now);
+  void take(const std::vector<admission_policy::action>& actions, time_point now);
 
-  wrenrill::policy policy_;
+  admission_policy::policy policy_;
   std::vector<bool> writes_;  // by class: an effect
-  std::vector<wrenrill::event> pending_;
+  std::vector<admission_policy::event> pending_;
   std::deque<decision> decisions_;
   std::unordered_map<request_id, bool> begun_;  // by open request: it was started once
   time_point due_{};
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -6,14 +6,14 @@
 namespace marblewharf {
 namespace {
 
-wrenrill::settings started_cold(wrenrill::settings s, bool cold) {
+admission_policy::settings started_cold(admission_policy::settings s, bool cold) {
   s.cold = s.cold || cold;
   return s;
 }
 
 }  // namespace
 
-dispatcher::dispatcher(const wrenrill::settings& settings, std::uint64_t seed, time_point now,
+dispatcher::dispatcher(const admission_policy::settings& settings, std::uint64_t seed, time_point now,
                        telemetry::counters& counters)
     : settings_(settings),
       seed_(seed),
--- a/src/core/dispatcher.hpp
+++ b/src/core/dispatcher.hpp
@@ -18,7 +18,7 @@
 #include <vector>
 
 #include "core/admission.hpp"
-#include "core/keys.hpp"
+#include "core/idempotency_store.hpp"
 #include "core/request.hpp"
 #include "telemetry/telemetry.hpp"
 
@@ -49,16 +49,16 @@
 
 enum class inquiry_end { result, never_ran, unknown };
 
-class dispatcher : public key_events {
+class dispatcher : public idempotency_observer {
  public:
-  dispatcher(const wrenrill::settings& settings, std::uint64_t seed, time_point now,
+  dispatcher(const admission_policy::settings& settings, std::uint64_t seed, time_point now,
              telemetry::counters& counters);
 
   void add(front& f) { fronts_.push_back(&f); }
 
   // Requests with a key are kept by it; a keyed run that was given up may go on for `finish_within`, as an
   // effect that is broken off is one that nobody knows the outcome of.
-  void use(key_book& keys, duration finish_within);
+  void use(idempotency_store& keys, duration finish_within);
 
   // What the server behind says of its own start. Until then it counts as cold, which is the safe guess.
   void on_server_up(bool cold, time_point since);
@@ -158,13 +158,13 @@
 
   std::function<void(const request&)> watch_;
   std::optional<shares> shares_;  // the latest, where any were given
-  wrenrill::settings settings_;
+  admission_policy::settings settings_;
   std::uint64_t seed_;
   telemetry::counters& counters_;
   admission admission_;
   table table_;
   std::vector<front*> fronts_;
-  key_book* keys_ = nullptr;
+  idempotency_store* keys_ = nullptr;
   duration finish_within_{};
   std::vector<std::pair<request_id, answer>> prompt_;  // answered at the next step, unseen by the module
   std::set<std::pair<time_point, request_id>>
--- a/src/core/dispatcher_keys.cpp
+++ b/src/core/dispatcher_idempotency.cpp
@@ -14,14 +14,14 @@
 
 }  // namespace
 
-void dispatcher::use(key_book& keys, duration finish_within) {
+void dispatcher::use(idempotency_store& keys, duration finish_within) {
   keys_ = &keys;
   finish_within_ = finish_within;
 }
 
 void dispatcher::arrive_with_key(request_id id, entry& e) {
-  using standing = key_book::standing;
-  const key_book::opinion o = keys_->arrive(id, e.what);
+  using standing = idempotency_store::standing;
+  const idempotency_store::opinion o = keys_->arrive(id, e.what);
   switch (o.how) {
     case standing::first:
     case standing::asks:
@@ -163,7 +163,8 @@
   lead& l = *at->second.leads;
   if (l.where != lead::stage::handed || now_ < l.answer_by + finish_within_) return;
   const request_id id = at->first;
-  if (settings_.halt == wrenrill::halt_mode::pause) keys_->doubt(id);  // it stands still, and may for ever
+  if (settings_.halt == admission_policy::halt_mode::pause)
+    keys_->doubt(id);  // it stands still, and may for ever
   at->second.to->pause(id);
 }
 
--- a/src/core/keys.hpp
+++ b/src/core/idempotency_store.hpp
@@ -8,7 +8,7 @@
 
 namespace marblewharf {
 
-class key_book {
+class idempotency_store {
  public:
   enum class standing {
     first,     // unseen before: this request leads
@@ -25,7 +25,7 @@
     duration come_back{};  // where there is no room
   };
 
-  virtual ~key_book() = default;
+  virtual ~idempotency_store() = default;
   virtual opinion arrive(request_id id, const request& what) = 0;
 
   // Of a leader. Has the intent written: on_intended() says whether it is on disk.
@@ -43,9 +43,9 @@
   virtual void fetch(request_id id) = 0;
 };
 
-class key_events {
+class idempotency_observer {
  public:
-  virtual ~key_events() = default;
+  virtual ~idempotency_observer() = default;
   virtual void on_intended(request_id leader, bool durable) = 0;
   virtual void on_recorded(request_id leader) = 0;
   // `found` false: it cannot be read. `served` false: the run had failed.
--- a/src/core/request.hpp
+++ b/src/core/request.hpp
@@ -5,13 +5,13 @@
 #include <string>
 #include <string_view>
 
-#include "wrenrill/policy.hpp"
+#include "admission_policy/policy.hpp"
 
 namespace marblewharf {
 
-using wrenrill::duration;
-using wrenrill::request_id;
-using wrenrill::time_point;
+using admission_policy::duration;
+using admission_policy::request_id;
+using admission_policy::time_point;
 
 struct request {
   std::string label;    // the backend's name for it
--- a/src/core/vocabulary.hpp
+++ b/src/core/vocabulary.hpp
@@ -6,14 +6,14 @@
 #include <string_view>
 #include <vector>
 
-#include "wrenrill/policy.hpp"
+#include "admission_policy/policy.hpp"
 
 namespace marblewharf {
 
 class vocabulary {
  public:
   vocabulary() = default;  // learns each name as it comes
-  explicit vocabulary(const wrenrill::settings& s) : learning_(false) {
+  explicit vocabulary(const admission_policy::settings& s) : learning_(false) {
     for (const auto& c : s.classes) classes.push_back(c.name);
     for (const auto& t : s.tenants) tenants.push_back(t.name);
   }
--- a/src/dependencies/gatherer.cpp
+++ b/src/fan_out/client.cpp
@@ -1,4 +1,4 @@
-#include "dependencies/gatherer.hpp"
+#include "fan_out/client.hpp"
 
 #include <Poco/Exception.h>
 
@@ -6,10 +6,10 @@
 #include <charconv>
 #include <utility>
 
-#include "dependencies/compose.hpp"
+#include "fan_out/response_assembly.hpp"
 #include "uwsgi/packet.hpp"
 
-namespace marblewharf::dependencies {
+namespace marblewharf::fan_out {
 
 using telemetry::log;
 
@@ -31,18 +31,18 @@
 
 }  // namespace
 
-gatherer::gatherer(net::reactor& r, const config& settings, dispatcher& d, backend& behind)
+client::client(net::reactor& r, const config& settings, dispatcher& d, backend& behind)
     : reactor_(r),
       config_(settings),
       dispatcher_(d),
       behind_(behind),
-      conductor_(settings.dependencies->plans, settings.dependencies->rules, settings.dependencies->cache,
-                 settings.seed),
+      state_machine_(settings.dependencies->plans, settings.dependencies->rules, settings.dependencies->cache,
+                     settings.seed),
       plan_of_(plans_by_class(settings)) {}
 
-gatherer::~gatherer() = default;
+client::~client() = default;
 
-void gatherer::run(request_id id, const request& what) {
+void client::run(request_id id, const request& what) {
   const int plan = plan_of_[what.request_class];
   if (plan < 0) {
     behind_.run(id, what);
@@ -54,65 +54,65 @@
   reactor_.wake();
 }
 
-void gatherer::place_call(request_id id, duration limit) {
+void client::place_call(request_id id, duration limit) {
   const auto at = runs_.find(id);
   if (at == runs_.end()) return;
   const time_point now = net::steady_now();
   const auto& c = config_.settings.classes[at->second.what.request_class];
-  const plan& p = conductor_.plan_at(at->second.plan);
+  const upstream::request_plan& p = state_machine_.plan_at(at->second.plan);
   const time_point aim = at->second.what.arrived + (c.aim.count() > 0 ? c.aim : c.deadline) - p.reserve;
   begin(id, std::min(now + limit, std::max(now, aim)));
 }
 
 // The answer goes without calls: its time is over at once, and what needs none stands in.
-void gatherer::skip_call(request_id id) {
+void client::skip_call(request_id id) {
   begin(id, net::steady_now());
 }
 
-void gatherer::begin(request_id id, time_point by) {
+void client::begin(request_id id, time_point by) {
   const auto at = runs_.find(id);
   if (at == runs_.end() || at->second.gathering) return;
   const time_point now = net::steady_now();
   at->second.gathering = true;
   at->second.called = now;
-  conductor_.begin(id, at->second.plan, at->second.what.content, by, now);
+  state_machine_.begin(id, at->second.plan, at->second.what.content, by, now);
   apply();
 }
 
-void gatherer::pause(request_id id) {
+void client::pause(request_id id) {
   const auto at = runs_.find(id);
   if (at == runs_.end()) {
     behind_.pause(id);
     return;
   }
   const duration ran = net::steady_now() - at->second.begun;
-  conductor_.cancel(id, net::steady_now());
+  state_machine_.cancel(id, net::steady_now());
   runs_.erase(at);
   apply();
   reactor_.wake();
   dispatcher_.on_end(id, run_end::broken_off, {}, ran);
 }
 
-void gatherer::resume(request_id id) {
+void client::resume(request_id id) {
   if (!runs_.contains(id)) behind_.resume(id);
 }
 
-time_point gatherer::step(time_point now) {
-  if (conductor_.due() <= now) conductor_.step(now);
+time_point client::step(time_point now) {
+  if (state_machine_.due() <= now) state_machine_.step(now);
   apply();
-  return conductor_.due();
+  return state_machine_.due();
 }
 
 // What an action leads to may bring more actions: they are carried out in their order.
-void gatherer::apply() {
+void client::apply() {
   if (std::exchange(applying_, true)) return;
-  while (const auto next = conductor_.pick()) {
+  while (const auto next = state_machine_.pick()) {
     std::visit([this](const auto& a) { apply(a); }, *next);
   }
   applying_ = false;
 }
 
-void gatherer::apply(const start_call& a) {
+void client::apply(const start_call& a) {
   const auto at = runs_.find(a.gathering);
   if (at == runs_.end()) return;
   const dependency_config& d = config_.dependencies->endpoints[a.dependency];
@@ -141,11 +141,11 @@
   } catch (const Poco::Exception& e) {
     log("dependency", "%s: no connection: %s", d.name.c_str(), e.displayText().c_str());
     calls_.erase(id);
-    conductor_.on_result(id, call_end::failed, {}, {}, net::steady_now());
+    state_machine_.on_result(id, call_end::failed, {}, {}, net::steady_now());
   }
 }
 
-void gatherer::apply(const cancel_call& a) {
+void client::apply(const cancel_call& a) {
   const auto at = calls_.find(a.id);
   if (at == calls_.end()) return;
   at->second->close();
@@ -153,8 +153,8 @@
   calls_.erase(at);
 }
 
-void gatherer::on_exchanged(call_id id, uwsgi::exchange_end how, const uwsgi::response_head* head,
-                            std::string_view response) {
+void client::on_exchanged(call_id id, uwsgi::exchange_end how, const uwsgi::response_head* head,
+                          std::string_view response) {
   const auto at = calls_.find(id);
   if (at == calls_.end()) return;
   at->second->close();
@@ -172,11 +172,11 @@
     come_back = head->retry_after ? duration(*head->retry_after) : usual_come_back;
   }
   reactor_.wake();
-  conductor_.on_result(id, end, std::move(bytes), come_back, net::steady_now());
+  state_machine_.on_result(id, end, std::move(bytes), come_back, net::steady_now());
   apply();
 }
 
-void gatherer::apply(const finished& a) {
+void client::apply(const finished& a) {
   const auto at = runs_.find(a.id);
   if (at == runs_.end()) return;
   const run_state run = std::move(at->second);
@@ -187,27 +187,28 @@
   if (a.lacks >= 0) {
     dispatcher_.on_end(a.id, run_end::fault, {}, now - run.begun);
   } else {
-    dispatcher_.on_end(a.id, run_end::fine, compose(conductor_.plan_at(run.plan), a.parts), now - run.begun);
+    dispatcher_.on_end(a.id, run_end::fine, assemble_response(state_machine_.plan_at(run.plan), a.parts),
+                       now - run.begun);
   }
 }
 
-void gatherer::apply(const notable& a) {
+void client::apply(const notable& a) {
   log("dependency", "%s: %s", config_.dependencies->endpoints[a.dependency].name.c_str(), a.what.c_str());
 }
 
-void gatherer::routes_changed(const std::function<bool(const std::string&)>& routable) {
+void client::routes_changed(const std::function<bool(const std::string&)>& routable) {
   for (std::size_t d = 0; d < config_.dependencies->endpoints.size(); ++d) {
     const std::vector<std::string>& places = config_.dependencies->endpoints[d].places;
-    for (std::size_t e = 0; e < places.size(); ++e) conductor_.set_reachable(d, e, routable(places[e]));
+    for (std::size_t e = 0; e < places.size(); ++e) state_machine_.set_reachable(d, e, routable(places[e]));
   }
 }
 
-std::string gatherer::figures() const {
+std::string client::figures() const {
   std::string out;
   for (std::size_t i = 0; i < config_.dependencies->endpoints.size(); ++i) {
     const dependency_config& d = config_.dependencies->endpoints[i];
     if (d.places.empty()) continue;
-    const auto& at = conductor_.counts(i).at_level;
+    const auto& at = state_machine_.counts(i).at_level;
     const char* const names[] = {"zone", "region", "rest"};
     for (std::size_t l = 0; l < at.size(); ++l)
       out += "dependency." + d.name + ".calls_" + names[l] + "=" + std::to_string(at[l]) + "\n";
@@ -215,9 +216,9 @@
   return out;
 }
 
-void gatherer::print() const {
+void client::print() const {
   for (std::size_t i = 0; i < config_.dependencies->endpoints.size(); ++i) {
-    const dependency_counts& n = conductor_.counts(i);
+    const dependency_counts& n = state_machine_.counts(i);
     const auto count = [](std::uint64_t v) { return static_cast<unsigned long long>(v); };
     log("dependencies",
         "%s calls=%llu retries=%llu hedges=%llu good=%llu failed=%llu late=%llu not_now=%llu no_room=%llu "
@@ -226,11 +227,12 @@
         "zone=%llu region=%llu rest=%llu",
         config_.dependencies->endpoints[i].name.c_str(), count(n.calls), count(n.retries), count(n.hedges),
         count(n.good), count(n.failed), count(n.late), count(n.not_now), count(n.no_room), count(n.held_out),
-        conductor_.allowed(i), conductor_.in_flight(i), count(n.fresh), count(n.stale), count(n.stand_in),
-        count(n.missing), count(static_cast<std::uint64_t>(n.stale_age / std::chrono::milliseconds(1))),
+        state_machine_.allowed(i), state_machine_.in_flight(i), count(n.fresh), count(n.stale),
+        count(n.stand_in), count(n.missing),
+        count(static_cast<std::uint64_t>(n.stale_age / std::chrono::milliseconds(1))),
         count(static_cast<std::uint64_t>(n.spent / std::chrono::milliseconds(1))), count(n.at_level[0]),
         count(n.at_level[1]), count(n.at_level[2]));
   }
 }
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::fan_out
--- a/src/dependencies/gatherer.hpp
+++ b/src/fan_out/client.hpp
@@ -13,16 +13,16 @@
 
 #include "config/config.hpp"
 #include "core/dispatcher.hpp"
-#include "dependencies/conductor.hpp"
+#include "fan_out/state_machine.hpp"
 #include "net/reactor.hpp"
 #include "uwsgi/exchange.hpp"
 
-namespace marblewharf::dependencies {
+namespace marblewharf::fan_out {
 
-class gatherer : public backend {
+class client : public backend {
  public:
-  gatherer(net::reactor& r, const config& settings, dispatcher& d, backend& behind);
-  ~gatherer() override;
+  client(net::reactor& r, const config& settings, dispatcher& d, backend& behind);
+  ~client() override;
 
   // backend
   void run(request_id id, const request& what) override;
@@ -36,21 +36,21 @@
   time_point step(time_point now);
 
   std::size_t running() const { return runs_.size(); }
-  const conductor& decisions() const { return conductor_; }
+  const state_machine& decisions() const { return state_machine_; }
   // A line of counters for each dependency.
   void print() const;
   // The view of the fleet has changed: `routable` tells of a place (a zone or a member) whether calls may go
   // there.
   void routes_changed(const std::function<bool(const std::string&)>& routable);
   // This node's share of calls at a dependency, and what it has and wants of them.
-  void set_share(std::size_t dependency, double most) { conductor_.set_share(dependency, most); }
+  void set_share(std::size_t dependency, double most) { state_machine_.set_share(dependency, most); }
   struct calls {
     std::size_t in_flight = 0, waiting = 0;
     std::uint64_t turned_away = 0;  // since the start, for want of room
   };
   calls calls_at(std::size_t dependency) const {
-    return {conductor_.in_flight(dependency), conductor_.waiting(dependency),
-            conductor_.counts(dependency).no_room};
+    return {state_machine_.in_flight(dependency), state_machine_.waiting(dependency),
+            state_machine_.counts(dependency).no_room};
   }
   // For show-stat, of dependencies whose endpoints have places: calls by nearness.
   std::string figures() const;
@@ -78,11 +78,11 @@
   const config& config_;
   dispatcher& dispatcher_;
   backend& behind_;
-  conductor conductor_;
+  state_machine state_machine_;
   std::vector<int> plan_of_;  // by class; -1 = none
   std::unordered_map<request_id, run_state> runs_;
   std::unordered_map<call_id, std::shared_ptr<uwsgi::exchange>> calls_;
   bool applying_ = false;
 };
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::fan_out
--- a/src/dependencies/compose.cpp
+++ b/src/fan_out/response_assembly.cpp
@@ -1,9 +1,9 @@
-#include "dependencies/compose.hpp"
+#include "fan_out/response_assembly.hpp"
 
 #include <algorithm>
 #include <chrono>
 
-namespace marblewharf::dependencies {
+namespace marblewharf::fan_out {
 namespace {
 
 // No line of any part begins with it.
@@ -30,7 +30,7 @@
   return "missing";
 }
 
-std::string compose(const plan& p, const std::vector<part_result>& parts) {
+std::string assemble_response(const upstream::request_plan& p, const std::vector<part_result>& parts) {
   const std::string boundary = boundary_for(parts);
   bool partial = false;
   std::string body;
@@ -49,4 +49,4 @@
          "\r\n\r\n" + body;
 }
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::fan_out
--- a/src/dependencies/compose.hpp
+++ b/src/fan_out/response_assembly.hpp
@@ -5,14 +5,14 @@
 #include <string>
 #include <vector>
 
-#include "dependencies/conductor.hpp"
+#include "fan_out/state_machine.hpp"
 
-namespace marblewharf::dependencies {
+namespace marblewharf::fan_out {
 
 // Of a gathering that lacks no required part. `Partial: yes` stands in its head where not all parts are
 // fresh.
-std::string compose(const plan& p, const std::vector<part_result>& parts);
+std::string assemble_response(const upstream::request_plan& p, const std::vector<part_result>& parts);
 
 const char* name_of(part_is how);
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::fan_out
--- a/src/dependencies/part_cache.hpp
+++ b/src/fan_out/response_cache.hpp
@@ -10,11 +10,11 @@
 
 #include "core/request.hpp"
 
-namespace marblewharf::dependencies {
+namespace marblewharf::fan_out {
 
-class part_cache {
+class response_cache {
  public:
-  explicit part_cache(std::size_t most_bytes) : most_(most_bytes) {}
+  explicit response_cache(std::size_t most_bytes) : most_(most_bytes) {}
 
   void put(std::size_t dependency, std::uint64_t subject, const std::string& bytes, time_point now);
   struct found {
@@ -42,4 +42,4 @@
   std::unordered_map<std::uint64_t, std::list<entry>::iterator> index_;
 };
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::fan_out
--- a/src/dependencies/conductor.cpp
+++ b/src/fan_out/state_machine.cpp
@@ -1,43 +1,44 @@
-#include "dependencies/conductor.hpp"
+#include "fan_out/state_machine.hpp"
 
 #include <algorithm>
 #include <utility>
 
-namespace marblewharf::dependencies {
+namespace marblewharf::fan_out {
 
-conductor::conductor(std::vector<plan> plans, std::vector<dependency_rules> rules, std::size_t cache_bytes,
-                     std::uint64_t seed)
+state_machine::state_machine(std::vector<upstream::request_plan> plans,
+                             std::vector<upstream::dependency_rules> rules, std::size_t cache_bytes,
+                             std::uint64_t seed)
     : plans_(std::move(plans)), cache_(cache_bytes), random_(seed) {
   check_plans(plans_, rules);
-  for (dependency_rules& r : rules) {
+  for (upstream::dependency_rules& r : rules) {
     // Starts in the middle: a dependency that is slow already is not met by all that it could take when well.
     const double start = (r.least_in_flight + r.most_in_flight) / 4;
     dependencies_.push_back({r,
-                             endpoints(r.endpoints, r.health, r.near),
-                             adaptive_limit(r.least_in_flight, r.most_in_flight, start),
+                             upstream::endpoint_set(r.endpoints, r.health, r.near),
+                             upstream::adaptive_limit(r.least_in_flight, r.most_in_flight, start),
                              {},
-                             share_cap(r.retry_share, r.retry_floor),
-                             share_cap(r.hedge_share, 0),
+                             upstream::retry_budget(r.retry_share, r.retry_floor),
+                             upstream::retry_budget(r.hedge_share, 0),
                              0,
                              {},
                              {}});
   }
 }
 
-std::optional<action> conductor::pick() {
+std::optional<action> state_machine::pick() {
   if (actions_.empty()) return std::nullopt;
   action next = std::move(actions_.front());
   actions_.pop_front();
   return next;
 }
 
-conductor::gathering* conductor::find(gathering_id id) {
+state_machine::gathering* state_machine::find(gathering_id id) {
   const auto at = gatherings_.find(id);
   return at == gatherings_.end() ? nullptr : &at->second;
 }
 
-void conductor::begin(gathering_id id, std::size_t which, std::uint64_t subject, time_point by,
-                      time_point now) {
+void state_machine::begin(gathering_id id, std::size_t which, std::uint64_t subject, time_point by,
+                          time_point now) {
   const std::size_t parts = plans_[which].parts.size();
   gathering& g = gatherings_[id];
   g.plan = which;
@@ -48,7 +49,7 @@
   for (std::size_t i = 0; i < parts && find(id) != nullptr; ++i) begin_step(id, i, now);
 }
 
-void conductor::cancel(gathering_id id, time_point now) {
+void state_machine::cancel(gathering_id id, time_point now) {
   gathering* g = find(id);
   if (g == nullptr) return;
   for (part_run& p : g->parts) cancel_calls(p, now);
@@ -58,21 +59,21 @@
 
 // ---- One part ---------------------------------------------------------------------------------------------
 
-void conductor::begin_step(gathering_id id, std::size_t part, time_point now) {
+void state_machine::begin_step(gathering_id id, std::size_t part, time_point now) {
   gathering& g = *find(id);
   part_run& p = g.parts[part];
-  const part_plan& wanted = plans_[g.plan].parts[part];
+  const upstream::part_plan& wanted = plans_[g.plan].parts[part];
   if (p.step > wanted.stand_ins.size()) {
     settle(id, part, {}, now);
     return;
   }
   if (p.step > 0) {
-    const stand_in& s = wanted.stand_ins[p.step - 1];
-    if (s.what == stand_in::kind::fixed) {
+    const upstream::fallback& s = wanted.stand_ins[p.step - 1];
+    if (s.what == upstream::fallback::kind::fixed) {
       settle(id, part, {part_is::stand_in, {}, s.bytes}, now);
       return;
     }
-    if (s.what == stand_in::kind::stale) {
+    if (s.what == upstream::fallback::kind::stale) {
       if (const auto old = cache_.get(wanted.from, g.subject, s.oldest, now)) {
         settle(id, part, {part_is::stale, old->age, *old->bytes}, now);
       } else {
@@ -94,7 +95,7 @@
   place(id, part, now);
 }
 
-void conductor::next_step(gathering_id id, std::size_t part, time_point now) {
+void state_machine::next_step(gathering_id id, std::size_t part, time_point now) {
   part_run& p = find(id)->parts[part];
   p.waits = false;
   ++p.step;
@@ -102,7 +103,7 @@
 }
 
 // Calls now, waits for what is in the way, or goes on to what stands in where a call could not end in time.
-void conductor::place(gathering_id id, std::size_t part, time_point now) {
+void state_machine::place(gathering_id id, std::size_t part, time_point now) {
   part_run& p = find(id)->parts[part];
   source& d = dependencies_[p.from];
   const time_point latest = p.give_up - expected(d);
@@ -155,7 +156,7 @@
   }
 }
 
-void conductor::start(gathering_id id, std::size_t part, std::size_t endpoint, time_point now) {
+void state_machine::start(gathering_id id, std::size_t part, std::size_t endpoint, time_point now) {
   part_run& p = find(id)->parts[part];
   source& d = dependencies_[p.from];
   const call_id number = ++last_call_;
@@ -176,7 +177,7 @@
 }
 
 // A second copy of a call that takes longer than nearly all do: whichever comes first counts.
-void conductor::send_copy(call_id id, time_point now) {
+void state_machine::send_copy(call_id id, time_point now) {
   const call c = calls_.at(id);
   part_run& p = find(c.gathering)->parts[c.part];
   source& d = dependencies_[c.dependency];
@@ -188,7 +189,7 @@
   start(c.gathering, c.part, *other, now);
 }
 
-void conductor::after_failure(gathering_id id, std::size_t part, std::size_t endpoint, time_point now) {
+void state_machine::after_failure(gathering_id id, std::size_t part, std::size_t endpoint, time_point now) {
   part_run& p = find(id)->parts[part];
   if (!p.calls.empty()) return;  // the other copy is still out
   source& d = dependencies_[p.from];
@@ -201,10 +202,10 @@
   }
 }
 
-void conductor::settle(gathering_id id, std::size_t part, part_result result, time_point now) {
+void state_machine::settle(gathering_id id, std::size_t part, part_result result, time_point now) {
   gathering& g = *find(id);
   part_run& p = g.parts[part];
-  const part_plan& wanted = plans_[g.plan].parts[part];
+  const upstream::part_plan& wanted = plans_[g.plan].parts[part];
   cancel_calls(p, now);
   p.done = true;
   p.result = std::move(result);
@@ -226,7 +227,7 @@
   }
 }
 
-void conductor::finish(gathering_id id, int lacks, time_point now) {
+void state_machine::finish(gathering_id id, int lacks, time_point now) {
   gathering& g = *find(id);
   finished f;
   f.id = id;
@@ -243,7 +244,7 @@
 
 // ---- Calls ------------------------------------------------------------------------------------------------
 
-void conductor::end_call(std::map<call_id, call>::iterator at, time_point now, bool told, bool well) {
+void state_machine::end_call(std::map<call_id, call>::iterator at, time_point now, bool told, bool well) {
   const call c = at->second;
   source& d = dependencies_[c.dependency];
   d.where.on_end(c.endpoint, now, now - c.begun, told, well);
@@ -254,7 +255,7 @@
   calls_.erase(at);
 }
 
-void conductor::cancel_calls(part_run& p, time_point now) {
+void state_machine::cancel_calls(part_run& p, time_point now) {
   for (const call_id id : std::vector<call_id>(p.calls)) {
     const auto at = calls_.find(id);
     if (at == calls_.end()) continue;
@@ -264,7 +265,8 @@
   p.calls.clear();
 }
 
-void conductor::on_result(call_id id, call_end how, std::string bytes, duration come_back, time_point now) {
+void state_machine::on_result(call_id id, call_end how, std::string bytes, duration come_back,
+                              time_point now) {
   const auto at = calls_.find(id);
   if (at == calls_.end()) return;  // cancelled meanwhile
   const call c = at->second;
@@ -293,13 +295,13 @@
 }
 
 // An end may have cancelled calls of any dependency.
-void conductor::admit_all(time_point now) {
+void state_machine::admit_all(time_point now) {
   for (std::size_t d = 0; d < dependencies_.size(); ++d) admit_waiting(d, now);
 }
 
 // Room in flight goes to who came last: it has its time before it. First come first served would spend the
 // room on those whose time is nearly over, and all would come late.
-void conductor::admit_waiting(std::size_t which, time_point now) {
+void state_machine::admit_waiting(std::size_t which, time_point now) {
   source& d = dependencies_[which];
   while (!d.waiting.empty() && d.in_flight < d.allowed()) {
     const auto [id, part] = d.waiting.back();
@@ -311,15 +313,15 @@
   }
 }
 
-void conductor::note_changes(std::size_t which) {
+void state_machine::note_changes(std::size_t which) {
   source& d = dependencies_[which];
   for (const auto& [endpoint, why] : d.where.take_changes()) {
-    if (d.where.state_of(endpoint) == endpoint_state::out) ++d.counts.held_out;
+    if (d.where.state_of(endpoint) == upstream::endpoint_state::out) ++d.counts.held_out;
     actions_.emplace_back(notable{which, "endpoint " + std::to_string(endpoint) + " " + why});
   }
 }
 
-void conductor::step(time_point now) {
+void state_machine::step(time_point now) {
   while (!timers_.empty() && timers_.begin()->first <= now) {
     const due_timer t = timers_.begin()->second;
     const time_point at = timers_.begin()->first;
@@ -360,4 +362,4 @@
   admit_all(now);
 }
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::fan_out
--- a/src/dependencies/conductor.hpp
+++ b/src/fan_out/state_machine.hpp
@@ -20,14 +20,14 @@
 #include <variant>
 #include <vector>
 
-#include "dependencies/adaptive_limit.hpp"
-#include "dependencies/endpoints.hpp"
-#include "dependencies/latency.hpp"
-#include "dependencies/part_cache.hpp"
-#include "dependencies/plan.hpp"
-#include "dependencies/share_cap.hpp"
+#include "fan_out/response_cache.hpp"
+#include "upstream/adaptive_limit.hpp"
+#include "upstream/endpoint_set.hpp"
+#include "upstream/latency_estimator.hpp"
+#include "upstream/plan.hpp"
+#include "upstream/retry_budget.hpp"
 
-namespace marblewharf::dependencies {
+namespace marblewharf::fan_out {
 
 using gathering_id = std::uint32_t;
 using call_id = std::uint64_t;
@@ -78,11 +78,11 @@
   std::array<std::uint64_t, failover::levels> at_level{};         // calls by nearness, where places are known
 };
 
-class conductor {
+class state_machine {
  public:
   // Plans and rules that check_plans() takes.
-  conductor(std::vector<plan> plans, std::vector<dependency_rules> rules, std::size_t cache_bytes,
-            std::uint64_t seed);
+  state_machine(std::vector<upstream::request_plan> plans, std::vector<upstream::dependency_rules> rules,
+                std::size_t cache_bytes, std::uint64_t seed);
 
   // `subject`: what the request is about, for stale parts. `by`: when `finished` is wanted at the latest.
   void begin(gathering_id id, std::size_t which, std::uint64_t subject, time_point by, time_point now);
@@ -104,21 +104,21 @@
 
   std::optional<action> pick();
 
-  const plan& plan_at(std::size_t i) const { return plans_[i]; }
+  const upstream::request_plan& plan_at(std::size_t i) const { return plans_[i]; }
   // By dependency.
   const dependency_counts& counts(std::size_t of) const { return dependencies_[of].counts; }
   unsigned allowed(std::size_t of) const { return dependencies_[of].allowed(); }
   unsigned in_flight(std::size_t of) const { return dependencies_[of].in_flight; }
-  const endpoints& endpoints_of(std::size_t of) const { return dependencies_[of].where; }
+  const upstream::endpoint_set& endpoints_of(std::size_t of) const { return dependencies_[of].where; }
   std::size_t open() const { return gatherings_.size(); }
 
  private:
   struct source {
-    dependency_rules rules;
-    endpoints where;
-    adaptive_limit limit;
-    latency times;
-    share_cap retries, hedges;
+    upstream::dependency_rules rules;
+    upstream::endpoint_set where;
+    upstream::adaptive_limit limit;
+    upstream::latency_estimator times;
+    upstream::retry_budget retries, hedges;
     unsigned in_flight = 0;
     std::deque<std::pair<gathering_id, std::size_t>> waiting;  // parts, for room in flight
     dependency_counts counts;
@@ -177,9 +177,9 @@
   duration expected(const source& d) const { return d.times.recent(); }
   void note_changes(std::size_t dependency);
 
-  std::vector<plan> plans_;
+  std::vector<upstream::request_plan> plans_;
   std::vector<source> dependencies_;
-  part_cache cache_;
+  response_cache cache_;
   std::mt19937_64 random_;
   std::unordered_map<gathering_id, gathering> gatherings_;
   std::map<call_id, call> calls_;
@@ -188,4 +188,4 @@
   call_id last_call_ = 0;
 };
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::fan_out
--- a/src/keyed/clock.hpp
+++ b/src/idempotency/aging_clock.hpp
@@ -9,14 +9,14 @@
 #include <chrono>
 #include <cstdint>
 
-namespace marblewharf::keyed {
+namespace marblewharf::idempotency {
 
-class ageing_clock {
+class aging_clock {
  public:
   using nanoseconds = std::chrono::nanoseconds;
 
-  ageing_clock() = default;
-  ageing_clock(nanoseconds unix_now, nanoseconds latest_known, nanoseconds steady_now)
+  aging_clock() = default;
+  aging_clock(nanoseconds unix_now, nanoseconds latest_known, nanoseconds steady_now)
       : ahead_(std::max(unix_now, latest_known) - steady_now) {}
 
   std::int64_t at(nanoseconds steady_now) const { return (steady_now + ahead_).count(); }
@@ -25,4 +25,4 @@
   nanoseconds ahead_{};
 };
 
-}  // namespace marblewharf::keyed
+}  // namespace marblewharf::idempotency
--- a/src/keyed/awaited.hpp
+++ b/src/idempotency/deferred_service.hpp
@@ -3,18 +3,18 @@
 // reactor's thread; the keeper it is given outlives it.
 #pragma once
 
-#include "core/keys.hpp"
+#include "core/idempotency_store.hpp"
 #include "telemetry/telemetry.hpp"
 
-namespace marblewharf::keyed {
+namespace marblewharf::idempotency {
 
-class awaited_book : public key_book {
+class deferred_service : public idempotency_store {
  public:
-  awaited_book(duration come_back, telemetry::counters& counters)
+  deferred_service(duration come_back, telemetry::counters& counters)
       : come_back_(come_back), counters_(counters) {}
 
   // From now on all goes to `keys`.
-  void take(key_book& keys) { keys_ = &keys; }
+  void take(idempotency_store& keys) { keys_ = &keys; }
   bool open() const { return keys_ != nullptr; }
 
   opinion arrive(request_id id, const request& what) override {
@@ -36,7 +36,7 @@
  private:
   duration come_back_;
   telemetry::counters& counters_;
-  key_book* keys_ = nullptr;
+  idempotency_store* keys_ = nullptr;
 };
 
-}  // namespace marblewharf::keyed
+}  // namespace marblewharf::idempotency
--- a/src/keyed/keeper.cpp
+++ b/src/idempotency/durable_service.cpp
@@ -1,9 +1,9 @@
-#include "keyed/keeper.hpp"
+#include "idempotency/durable_service.hpp"
 
 #include <algorithm>
 #include <utility>
 
-namespace marblewharf::keyed {
+namespace marblewharf::idempotency {
 
 using telemetry::log;
 
@@ -17,8 +17,8 @@
   return most;
 }
 
-key_book::opinion to_core(const keyed::opinion& o) {
-  using kind = key_book::standing;
+idempotency_store::opinion to_core(const idempotency::opinion& o) {
+  using kind = idempotency_store::standing;
   switch (o.how) {
     case standing::first: return {kind::first, o.leader, {}};
     case standing::joins: return {kind::joins, o.leader, {}};
@@ -33,10 +33,10 @@
 
 }  // namespace
 
-keeper::keeper(store::file_system& fs, keeper_options options, telemetry::counters& counters,
-               std::function<void()> notify)
+durable_service::durable_service(store::file_system& fs, durable_service_options options,
+                                 telemetry::counters& counters, std::function<void()> notify)
     : options_(std::move(options)), counters_(counters), now_(options_.steady_now) {
-  ledger_options l;
+  key_table_options l;
   l.entries = options_.entries;
   l.open = options_.open;
   l.intent_room = intent_room(options_.longest_key, longest(options_.tenants), longest(options_.classes));
@@ -44,7 +44,7 @@
   l.retry_disk = options_.retry_disk;
   l.inquiry_tries = options_.inquiry_tries;
   l.inquiry_pause = options_.inquiry_pause;
-  ledger_ = std::make_unique<ledger>(l);
+  ledger_ = std::make_unique<key_table>(l);
 
   store::log_options where;
   where.folder = options_.folder;
@@ -73,8 +73,8 @@
       });
   found_ = kept_log->counts();
   salt_ = kept_log->salt();
-  clock_ = ageing_clock(options_.unix_now, std::chrono::nanoseconds(std::max(latest, found_.latest)),
-                        options_.steady_now);
+  clock_ = aging_clock(options_.unix_now, std::chrono::nanoseconds(std::max(latest, found_.latest)),
+                       options_.steady_now);
   ledger_->recovered();
   ledger_->age(now());
   kept_log->open(now());
@@ -94,9 +94,9 @@
   step(now_);
 }
 
-keeper::~keeper() = default;
+durable_service::~durable_service() = default;
 
-void keeper::step(time_point steady) {
+void durable_service::step(time_point steady) {
   now_ = std::max(now_, steady);
   std::vector<store::committer::done> done;
   const store::committer::condition c = committer_->collect(done);
@@ -127,13 +127,13 @@
   counters_.results_in_doubt = ledger_->doubtful();
 }
 
-key_book::opinion keeper::arrive(request_id id, const request& what) {
+idempotency_store::opinion durable_service::arrive(request_id id, const request& what) {
   const auto window = options_.windows.at(what.request_class);
   const std::string& tenant =
       what.tenant < options_.tenants.size() ? options_.tenants[what.tenant] : std::string();
   const key_id key = hash_of(tenant, options_.classes.at(what.request_class), what.key, salt_);
-  const keyed::opinion o = ledger_->arrive(key, what.content, id, window, now());
-  using keyed::standing;
+  const idempotency::opinion o = ledger_->arrive(key, what.content, id, window, now());
+  using idempotency::standing;
   switch (o.how) {
     case standing::first:
     case standing::asks: leaders_[id] = {key, what.content, ledger_->expiry_of(key)}; break;
@@ -149,14 +149,14 @@
   return to_core(o);
 }
 
-void keeper::submit(writing w) {
+void durable_service::submit(writing w) {
   const std::uint64_t ticket = ++last_ticket_;
   const bool taken = committer_->write(ticket, w.entry);
   writes_.emplace(ticket, std::move(w));
   if (!taken) on_written(ticket, {});  // not by what the ledger lets in; as if the disk had failed
 }
 
-kept keeper::record_of(record_type what, const leading& l) const {
+kept durable_service::record_of(record_type what, const leading& l) const {
   kept k;
   k.what = what;
   k.key = l.key;
@@ -166,7 +166,7 @@
   return k;
 }
 
-void keeper::intend(request_id id, const request& what) {
+void durable_service::intend(request_id id, const request& what) {
   const leading& l = leaders_.at(id);
   ledger_->intend(l.key);
   kept k = record_of(record_type::intent, l);
@@ -176,7 +176,7 @@
   submit({k.what, id, l.key, {encode(k), l.expiry}});
 }
 
-bool keeper::record(request_id id, bool served, std::string_view result) {
+bool durable_service::record(request_id id, bool served, std::string_view result) {
   const leading& l = leaders_.at(id);
   if (!ledger_->record(l.key)) return false;
   kept k = record_of(record_type::result, l);
@@ -186,11 +186,11 @@
   return true;
 }
 
-void keeper::doubt(request_id id) {
+void durable_service::doubt(request_id id) {
   ledger_->doubt(leaders_.at(id).key);
 }
 
-void keeper::release(request_id id) {
+void durable_service::release(request_id id) {
   const leading& l = leaders_.at(id);
   if (!ledger_->knows(l.key)) return;
   const bool intent_on_disk =
@@ -202,11 +202,11 @@
   submit({k.what, id, l.key, {encode(k), l.expiry}});
 }
 
-duration keeper::asked_in_vain(request_id id) {
+duration durable_service::asked_in_vain(request_id id) {
   return ledger_->asked_in_vain(leaders_.at(id).key, now());
 }
 
-void keeper::fetch(request_id id) {
+void durable_service::fetch(request_id id) {
   const auto at = answered_.find(id);
   if (at == answered_.end()) return;
   const std::uint64_t ticket = ++last_ticket_;
@@ -219,7 +219,7 @@
   }
 }
 
-void keeper::on_written(std::uint64_t ticket, const store::committer::done& d) {
+void durable_service::on_written(std::uint64_t ticket, const store::committer::done& d) {
   const auto at = writes_.find(ticket);
   if (at == writes_.end()) return;
   writing w = std::move(at->second);
@@ -246,7 +246,7 @@
   }
 }
 
-void keeper::on_read(request_id id, const store::committer::done& d) {
+void durable_service::on_read(request_id id, const store::committer::done& d) {
   const auto at = answered_.find(id);
   if (at == answered_.end()) return;
   const key_id key = at->second.first;
@@ -260,4 +260,4 @@
   events_->on_fetched(id, true, k->served, k->bytes);
 }
 
-}  // namespace marblewharf::keyed
+}  // namespace marblewharf::idempotency
--- a/src/keyed/keeper.hpp
+++ b/src/idempotency/durable_service.hpp
@@ -9,16 +9,16 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/keys.hpp"
-#include "keyed/clock.hpp"
-#include "keyed/ledger.hpp"
-#include "keyed/records.hpp"
+#include "core/idempotency_store.hpp"
+#include "idempotency/aging_clock.hpp"
+#include "idempotency/key_table.hpp"
+#include "idempotency/records.hpp"
 #include "store/committer.hpp"
 #include "telemetry/telemetry.hpp"
 
-namespace marblewharf::keyed {
+namespace marblewharf::idempotency {
 
-struct keeper_options {
+struct durable_service_options {
   std::string folder;
   std::vector<std::chrono::nanoseconds> windows;  // by class; 0 = not keyed
   std::vector<std::string> classes,
@@ -38,21 +38,21 @@
   std::chrono::nanoseconds unix_now{}, steady_now{};
 };
 
-class keeper : public key_book {
+class durable_service : public idempotency_store {
  public:
   // Reads what the folder holds. `notify`: step() has something to do; called from another thread. Throws
   // store::io_error or store::damaged where the folder cannot be used.
-  keeper(store::file_system& fs, keeper_options options, telemetry::counters& counters,
-         std::function<void()> notify);
-  ~keeper() override;
+  durable_service(store::file_system& fs, durable_service_options options, telemetry::counters& counters,
+                  std::function<void()> notify);
+  ~durable_service() override;
 
-  void report_to(key_events& events) { events_ = &events; }
+  void report_to(idempotency_observer& events) { events_ = &events; }
 
   // Takes in what the disk did since the last call and tells the dispatcher.
   void step(time_point now);
 
   // key_book
-  key_book::opinion arrive(request_id id, const request& what) override;
+  idempotency_store::opinion arrive(request_id id, const request& what) override;
   void intend(request_id leader, const request& what) override;
   bool record(request_id leader, bool served, std::string_view result) override;
   void doubt(request_id leader) override;
@@ -61,7 +61,7 @@
   void fetch(request_id id) override;
   void close(request_id leader) override { leaders_.erase(leader); }
 
-  const ledger& known() const { return *ledger_; }
+  const key_table& known() const { return *ledger_; }
   const store::recovered_counts& found() const { return found_; }
 
  private:
@@ -83,14 +83,14 @@
   void on_written(std::uint64_t ticket, const store::committer::done& d);
   void on_read(request_id id, const store::committer::done& d);
 
-  const keeper_options options_;
+  const durable_service_options options_;
   telemetry::counters& counters_;
-  key_events* events_ = nullptr;
-  ageing_clock clock_;
+  idempotency_observer* events_ = nullptr;
+  aging_clock clock_;
   time_point now_;
   store::recovered_counts found_;
   std::uint64_t salt_ = 0;
-  std::unique_ptr<ledger> ledger_;
+  std::unique_ptr<key_table> ledger_;
   std::unordered_map<request_id, leading> leaders_;
   std::unordered_map<request_id, std::pair<key_id, store::position>>
       answered_;                             // repeats that want their result
@@ -103,4 +103,4 @@
   std::unique_ptr<store::committer> committer_;  // last: its thread goes first
 };
 
-}  // namespace marblewharf::keyed
+}  // namespace marblewharf::idempotency
--- a/src/keyed/content.cpp
+++ b/src/idempotency/fingerprint.cpp
@@ -1,10 +1,10 @@
-#include "keyed/content.hpp"
+#include "idempotency/fingerprint.hpp"
 
 #include <xxhash.h>
 
-namespace marblewharf::keyed {
+namespace marblewharf::idempotency {
 
-std::uint64_t content_hash(std::span<const std::string_view> parts) {
+std::uint64_t fingerprint_of(std::span<const std::string_view> parts) {
   std::uint64_t hash = 0;
   for (const std::string_view part : parts)
     hash = XXH3_64bits_withSeed(part.data(), part.size(), hash + part.size());
@@ -16,4 +16,4 @@
   return key.size() > longest ? "a key that is too long" : nullptr;
 }
 
-}  // namespace marblewharf::keyed
+}  // namespace marblewharf::idempotency
--- a/src/keyed/ledger.cpp
+++ b/src/idempotency/key_table.cpp
@@ -1,10 +1,10 @@
-#include "keyed/ledger.hpp"
+#include "idempotency/key_table.hpp"
 
 #include <algorithm>
 #include <limits>
 #include <utility>
 
-namespace marblewharf::keyed {
+namespace marblewharf::idempotency {
 namespace {
 
 using namespace std::chrono_literals;
@@ -17,7 +17,7 @@
 
 // ---- Recovery ---------------------------------------------------------------------------------------------
 
-void ledger::recover_intent(const key_id& key, std::uint64_t content, moment expiry, moment now) {
+void key_table::recover_intent(const key_id& key, std::uint64_t content, moment expiry, moment now) {
   if (expiry <= now) return;
   entry& e = table_[key];
   // A key that was answered or set free, aged out and came again within one folder: the later record holds.
@@ -27,8 +27,8 @@
   e.where = state::in_doubt;
 }
 
-void ledger::recover_result(const key_id& key, std::uint64_t content, moment expiry,
-                            const store::position& at, moment now) {
+void key_table::recover_result(const key_id& key, std::uint64_t content, moment expiry,
+                               const store::position& at, moment now) {
   if (expiry <= now) return;
   entry& e = table_[key];
   e = entry{};
@@ -38,11 +38,11 @@
   e.where = state::answered;
 }
 
-void ledger::recover_release(const key_id& key) {
+void key_table::recover_release(const key_id& key) {
   table_.erase(key);
 }
 
-void ledger::recovered() {
+void key_table::recovered() {
   std::vector<due> all;
   all.reserve(table_.size());
   doubtful_ = 0;
@@ -56,8 +56,8 @@
 
 // ---- Requests ---------------------------------------------------------------------------------------------
 
-opinion ledger::arrive(const key_id& key, std::uint64_t content, owner id, std::chrono::nanoseconds window,
-                       moment now) {
+opinion key_table::arrive(const key_id& key, std::uint64_t content, owner id, std::chrono::nanoseconds window,
+                          moment now) {
   if (const auto at = table_.find(key); at != table_.end()) {
     entry& e = at->second;
     if (e.expiry <= now && !is_open(e.where)) {
@@ -95,7 +95,7 @@
 }
 
 // When it is worth coming back: the disk is tried again, a segment goes, or some of those open have ended.
-opinion ledger::no_room(moment now) const {
+opinion key_table::no_room(moment now) const {
   std::chrono::nanoseconds wait = least_advice;
   if (!disk_.writable) {
     wait = std::max(wait, options_.retry_disk);
@@ -107,7 +107,7 @@
 
 // ---- Steps ------------------------------------------------------------------------------------------------
 
-std::uint64_t ledger::set_aside(state s) const {
+std::uint64_t key_table::set_aside(state s) const {
   switch (s) {
     case state::held:
     case state::intending: return options_.intent_room + options_.result_room;
@@ -120,7 +120,7 @@
   return 0;
 }
 
-void ledger::enter(entry& e, state to) {
+void key_table::enter(entry& e, state to) {
   reserved_ -= set_aside(e.where);
   reserved_ += set_aside(to);
   open_ -= is_open(e.where);
@@ -131,28 +131,28 @@
   if (!is_open(to)) e.leader = 0;
 }
 
-bool ledger::move(const key_id& key, state from, state to) {
+bool key_table::move(const key_id& key, state from, state to) {
   const auto at = table_.find(key);
   if (at == table_.end() || at->second.where != from) return false;
   enter(at->second, to);
   return true;
 }
 
-bool ledger::intend(const key_id& key) {
+bool key_table::intend(const key_id& key) {
   return move(key, state::held, state::intending);
 }
 
-bool ledger::intended(const key_id& key) {
+bool key_table::intended(const key_id& key) {
   return move(key, state::intending, state::running);
 }
 
 // Also of one in doubt whose run ends after all: what is known is kept.
-bool ledger::record(const key_id& key) {
+bool key_table::record(const key_id& key) {
   return move(key, state::running, state::recording) || move(key, state::asking, state::recording) ||
          move(key, state::in_doubt, state::recording);
 }
 
-bool ledger::recorded(const key_id& key, const store::position& at, moment now) {
+bool key_table::recorded(const key_id& key, const store::position& at, moment now) {
   const auto found = table_.find(key);
   if (found == table_.end() || found->second.where != state::recording) return false;
   found->second.at = at;
@@ -161,11 +161,11 @@
   return true;
 }
 
-bool ledger::doubt(const key_id& key) {
+bool key_table::doubt(const key_id& key) {
   return move(key, state::running, state::in_doubt);
 }
 
-bool ledger::release(const key_id& key) {
+bool key_table::release(const key_id& key) {
   const auto at = table_.find(key);
   if (at == table_.end() || at->second.where == state::answered || at->second.where == state::recording)
     return false;
@@ -173,7 +173,7 @@
   return true;
 }
 
-std::chrono::nanoseconds ledger::asked_in_vain(const key_id& key, moment now) {
+std::chrono::nanoseconds key_table::asked_in_vain(const key_id& key, moment now) {
   const auto at = table_.find(key);
   if (at == table_.end() || at->second.where != state::asking) return 0ns;
   entry& e = at->second;
@@ -190,7 +190,7 @@
 
 // ---- Ageing -----------------------------------------------------------------------------------------------
 
-void ledger::age(moment now) {
+void key_table::age(moment now) {
   for (auto& [window, queue] : ageing_) {
     while (!queue.empty() && queue.front().expiry <= now) {
       const due next = queue.front();
@@ -202,7 +202,7 @@
   }
 }
 
-void ledger::erase(table::iterator at) {
+void key_table::erase(table::iterator at) {
   const state last = at->second.where;
   reserved_ -= set_aside(last);
   open_ -= is_open(last);
@@ -210,4 +210,4 @@
   table_.erase(at);
 }
 
-}  // namespace marblewharf::keyed
+}  // namespace marblewharf::idempotency
--- a/src/keyed/ledger.hpp
+++ b/src/idempotency/key_table.hpp
@@ -14,7 +14,7 @@
 
 #include "store/position.hpp"
 
-namespace marblewharf::keyed {
+namespace marblewharf::idempotency {
 
 // A key with its scope, as a hash under the folder's salt. Whether two keys are one is decided by it alone.
 struct key_id {
@@ -53,7 +53,7 @@
   std::chrono::nanoseconds come_back{};  // no_room
 };
 
-struct ledger_options {
+struct key_table_options {
   std::size_t entries = 1'000'000;  // keys known at once
   std::size_t open = 2048;          // of them held to recording: what waits for the disk is bounded by it
   std::uint64_t intent_room = 0;    // bytes of the largest intent on disk
@@ -70,9 +70,9 @@
   moment next_ageing = 0;  // when a segment will give its room back; 0 = unknown
 };
 
-class ledger {
+class key_table {
  public:
-  explicit ledger(ledger_options options) : options_(options) {}
+  explicit key_table(key_table_options options) : options_(options) {}
 
   // From disk, in the order in which it was written. What has aged by `now` is passed over.
   void recover_intent(const key_id& key, std::uint64_t content, moment expiry, moment now);
@@ -134,7 +134,7 @@
   std::uint64_t set_aside(state s) const;
   opinion no_room(moment now) const;
 
-  ledger_options options_;
+  key_table_options options_;
   disk_state disk_;
   table table_;
   // Oldest first, by the length of the window: entries of one length age in the order in which they came.
@@ -144,4 +144,4 @@
   std::uint64_t reserved_ = 0;  // bytes that open entries will still need
 };
 
-}  // namespace marblewharf::keyed
+}  // namespace marblewharf::idempotency
--- a/src/keyed/memory_results.cpp
+++ b/src/idempotency/memory_service.cpp
@@ -1,19 +1,19 @@
-#include "keyed/memory_results.hpp"
+#include "idempotency/memory_service.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "keyed/records.hpp"
+#include "idempotency/records.hpp"
 
-namespace marblewharf::keyed {
+namespace marblewharf::idempotency {
 namespace {
 
 constexpr duration age_every = std::chrono::milliseconds(100);
 constexpr std::uint64_t same_content = 0;  // it is in the key
 constexpr std::size_t entry_bytes = 512;   // of the tables, beside a result's own bytes
 
-ledger_options ledger_options_of(const memory_results_options& o) {
-  ledger_options l;
+key_table_options ledger_options_of(const memory_service_options& o) {
+  key_table_options l;
   l.entries = o.memory / entry_bytes;
   l.open = o.open;
   l.result_room = o.largest_result + entry_bytes;
@@ -22,50 +22,50 @@
 
 }  // namespace
 
-memory_results::memory_results(memory_results_options options, telemetry::counters& counters)
+memory_service::memory_service(memory_service_options options, telemetry::counters& counters)
     : options_(std::move(options)), counters_(counters), ledger_(ledger_options_of(options_)) {
   report_room();
 }
 
-void memory_results::report_room() {
+void memory_service::report_room() {
   const std::size_t room = options_.memory - std::min(options_.memory, bytes_);
   const moment next = ageing_.empty() ? 0 : ageing_.front().expiry + options_.longest_wait.count();
   ledger_.set_disk({.writable = true, .room = room, .next_ageing = next});
 }
 
-key_book::opinion memory_results::arrive(request_id id, const request& what) {
+idempotency_store::opinion memory_service::arrive(request_id id, const request& what) {
   const duration window = options_.windows.at(what.request_class);
   const std::string tenant = std::to_string(what.tenant);
   const std::string request_class = std::to_string(what.request_class);
   const key_id key = hash_of(tenant, request_class, what.key + std::to_string(what.content), options_.salt);
   // By the time at which it arrived, not when it is read: the window opens and ends by arrivals.
-  const keyed::opinion o = ledger_.arrive(key, same_content, id, window, what.arrived.count());
+  const idempotency::opinion o = ledger_.arrive(key, same_content, id, window, what.arrived.count());
   switch (o.how) {
-    case keyed::standing::first: leaders_[id] = key; return {.how = standing::first, .leader = id};
-    case keyed::standing::joins:
+    case idempotency::standing::first: leaders_[id] = key; return {.how = standing::first, .leader = id};
+    case idempotency::standing::joins:
       ++counters_.repeats_joined;
       return {.how = standing::joins, .leader = o.leader};
-    case keyed::standing::answered:
+    case idempotency::standing::answered:
       ++counters_.repeats_answered;
       answered_[id] = {key, what.arrived};
       return {.how = standing::answered};
-    case keyed::standing::in_doubt:
-    case keyed::standing::asks:  // there is nobody to ask
+    case idempotency::standing::in_doubt:
+    case idempotency::standing::asks:  // there is nobody to ask
       ++counters_.repeats_in_doubt;
       return {.how = standing::in_doubt};
-    case keyed::standing::conflict:  // there is none: other content is another key
-    case keyed::standing::no_room: break;
+    case idempotency::standing::conflict:  // there is none: other content is another key
+    case idempotency::standing::no_room: break;
   }
   ++counters_.no_room;
   return {.how = standing::no_room, .come_back = o.come_back};
 }
 
-void memory_results::intend(request_id leader, const request&) {
+void memory_service::intend(request_id leader, const request&) {
   ledger_.intend(leaders_.at(leader));
   intended_.push_back(leader);
 }
 
-bool memory_results::record(request_id leader, bool served, std::string_view result) {
+bool memory_service::record(request_id leader, bool served, std::string_view result) {
   const key_id key = leaders_.at(leader);
   if (!ledger_.record(key)) return false;
   const moment expiry = ledger_.expiry_of(key);
@@ -78,15 +78,15 @@
   return true;
 }
 
-void memory_results::doubt(request_id leader) {
+void memory_service::doubt(request_id leader) {
   ledger_.doubt(leaders_.at(leader));
 }
 
-void memory_results::release(request_id leader) {
+void memory_service::release(request_id leader) {
   ledger_.release(leaders_.at(leader));
 }
 
-void memory_results::step(time_point now) {
+void memory_service::step(time_point now) {
   now_ = std::max(now_, now);
   for (const request_id id : std::exchange(intended_, {})) {
     const auto at = leaders_.find(id);
@@ -108,7 +108,7 @@
   counters_.results_bytes = bytes_;
 }
 
-void memory_results::tell_fetched(request_id id) {
+void memory_service::tell_fetched(request_id id) {
   const auto asked = answered_.find(id);
   if (asked == answered_.end()) return;
   const auto found = results_.find(asked->second.key);
@@ -120,7 +120,7 @@
   }
 }
 
-void memory_results::forget_aged() {
+void memory_service::forget_aged() {
   if (now_ < next_ageing_) return;
   next_ageing_ = now_ + age_every;
   ledger_.age(horizon());
@@ -135,4 +135,4 @@
   }
 }
 
-}  // namespace marblewharf::keyed
+}  // namespace marblewharf::idempotency
--- a/src/keyed/memory_results.hpp
+++ b/src/idempotency/memory_service.hpp
@@ -14,13 +14,13 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/keys.hpp"
-#include "keyed/ledger.hpp"
+#include "core/idempotency_store.hpp"
+#include "idempotency/key_table.hpp"
 #include "telemetry/telemetry.hpp"
 
-namespace marblewharf::keyed {
+namespace marblewharf::idempotency {
 
-struct memory_results_options {
+struct memory_service_options {
   std::vector<duration> windows;  // by class: how long after its arrival a repeat may come; 0 = not keyed
   duration longest_wait{};        // a request may be read so long after it arrived, and still be answered
   std::size_t memory = 0;         // bytes of all entries and results together
@@ -29,12 +29,12 @@
   std::uint64_t salt = 0;   // random: nobody outside can choose keys that collide
 };
 
-class memory_results : public key_book {
+class memory_service : public idempotency_store {
  public:
-  memory_results(memory_results_options options, telemetry::counters& counters);
+  memory_service(memory_service_options options, telemetry::counters& counters);
 
   // Set before the first request; outlives this object.
-  void report_to(key_events& events) { events_ = &events; }
+  void report_to(idempotency_observer& events) { events_ = &events; }
 
   // Tells the dispatcher what it waits for, forgets what has aged.
   void step(time_point now);
@@ -51,7 +51,7 @@
   void fetch(request_id id) override { fetched_.push_back(id); }
   void close(request_id leader) override { leaders_.erase(leader); }
 
-  const ledger& known() const { return ledger_; }
+  const key_table& known() const { return ledger_; }
   std::size_t bytes() const { return bytes_; }
 
  private:
@@ -78,10 +78,10 @@
   void forget_aged();
   void tell_fetched(request_id id);
 
-  memory_results_options options_;
+  memory_service_options options_;
   telemetry::counters& counters_;
-  key_events* events_ = nullptr;
-  ledger ledger_;
+  idempotency_observer* events_ = nullptr;
+  key_table ledger_;
   time_point now_{};
   time_point next_ageing_{};
   std::unordered_map<request_id, key_id> leaders_;
@@ -92,4 +92,4 @@
   std::vector<request_id> intended_, recorded_, fetched_;  // to be told at the next step
 };
 
-}  // namespace marblewharf::keyed
+}  // namespace marblewharf::idempotency
--- a/src/keyed/records.cpp
+++ b/src/idempotency/records.cpp
@@ -1,10 +1,10 @@
-#include "keyed/records.hpp"
+#include "idempotency/records.hpp"
 
 #include <xxhash.h>
 
 #include <cstring>
 
-namespace marblewharf::keyed {
+namespace marblewharf::idempotency {
 namespace {
 
 constexpr std::size_t fixed_size = 48;
@@ -89,4 +89,4 @@
   return store::room_for(fixed_size + largest_result);
 }
 
-}  // namespace marblewharf::keyed
+}  // namespace marblewharf::idempotency
--- a/src/keyed/records.hpp
+++ b/src/idempotency/records.hpp
@@ -7,10 +7,10 @@
 #include <string>
 #include <string_view>
 
-#include "keyed/ledger.hpp"
+#include "idempotency/key_table.hpp"
 #include "store/segment.hpp"
 
-namespace marblewharf::keyed {
+namespace marblewharf::idempotency {
 
 enum class record_type : std::uint32_t { intent = 1, result = 2, release = 3 };
 
@@ -37,4 +37,4 @@
 std::uint64_t intent_room(std::size_t longest_key, std::size_t longest_tenant, std::size_t longest_class);
 std::uint64_t result_room(std::size_t largest_result);
 
-}  // namespace marblewharf::keyed
+}  // namespace marblewharf::idempotency
--- a/src/keyed/results_command.cpp
+++ b/src/idempotency/results_command.cpp
@@ -1,15 +1,15 @@
-#include "keyed/results_command.hpp"
+#include "idempotency/results_command.hpp"
 
 #include <cinttypes>
 #include <cstdio>
 #include <ctime>
 #include <map>
 
-#include "keyed/records.hpp"
+#include "idempotency/records.hpp"
 #include "store/bytes.hpp"
 #include "store/log.hpp"
 
-namespace marblewharf::keyed {
+namespace marblewharf::idempotency {
 namespace {
 
 struct known {
@@ -117,4 +117,4 @@
   std::printf("%s is set aside: its keys are forgotten and may run again\n", path.c_str());
 }
 
-}  // namespace marblewharf::keyed
+}  // namespace marblewharf::idempotency
--- a/src/keyed/results_command.hpp
+++ b/src/idempotency/results_command.hpp
@@ -3,7 +3,7 @@
 
 #include <string>
 
-namespace marblewharf::keyed {
+namespace marblewharf::idempotency {
 
 struct results_query {
   std::string folder;
@@ -20,4 +20,4 @@
 // Takes a damaged segment out of use: what is in it is forgotten, and its keys may run again.
 void set_segment_aside(const results_query& q);
 
-}  // namespace marblewharf::keyed
+}  // namespace marblewharf::idempotency
--- a/src/ops/drain.cpp
+++ b/src/lifecycle/drain_state.cpp
@@ -1,6 +1,6 @@
-#include "ops/drain.hpp"
+#include "lifecycle/drain_state.hpp"
 
-namespace marblewharf::ops {
+namespace marblewharf::lifecycle {
 
 bool drain_state::drain(time_point now) {
   if (stage_ == stage::draining) return false;
@@ -16,4 +16,4 @@
   return true;
 }
 
-}  // namespace marblewharf::ops
+}  // namespace marblewharf::lifecycle
--- a/src/ops/drain.hpp
+++ b/src/lifecycle/drain_state.hpp
@@ -5,7 +5,7 @@
 
 #include <chrono>
 
-namespace marblewharf::ops {
+namespace marblewharf::lifecycle {
 
 class drain_state {
  public:
@@ -30,4 +30,4 @@
   time_point since_{};
 };
 
-}  // namespace marblewharf::ops
+}  // namespace marblewharf::lifecycle
--- a/src/ops/departure.hpp
+++ b/src/lifecycle/graceful_shutdown.hpp
@@ -8,9 +8,9 @@
 
 #include "config/limits.hpp"
 
-namespace marblewharf::ops {
+namespace marblewharf::lifecycle {
 
-class departure {
+class graceful_shutdown {
  public:
   using time_point = std::chrono::nanoseconds;  // steady clock
 
@@ -21,7 +21,7 @@
   };
 
   // `noticed` at that time; with a successor the clients are asked to go at once, else as late as may be.
-  departure(time_point noticed, bool successor_takes_clients, const limits& bounds);
+  graceful_shutdown(time_point noticed, bool successor_takes_clients, const limits& bounds);
 
   // From now on nobody is let in, and callers are asked to close their connections.
   bool asks_callers_to_go(time_point now) const;
@@ -38,4 +38,4 @@
   std::optional<time_point> ending_since_;
 };
 
-}  // namespace marblewharf::ops
+}  // namespace marblewharf::lifecycle
--- a/src/ops/handover.cpp
+++ b/src/lifecycle/hot_restart.cpp
@@ -1,24 +1,24 @@
-#include "ops/handover.hpp"
+#include "lifecycle/hot_restart.hpp"
 
 #include <charconv>
 
-namespace marblewharf::ops {
+namespace marblewharf::lifecycle {
 
 namespace {
 constexpr std::string_view head = "marblewharf ready ";
 }
 
-std::string write_mark(const handover_mark& m) {
+std::string write_mark(const hot_restart_mark& m) {
   return std::string(head) + std::to_string(m.process) + " " + std::to_string(m.started_ms) + "\n";
 }
 
-std::optional<handover_mark> read_mark(std::string_view text) {
+std::optional<hot_restart_mark> read_mark(std::string_view text) {
   if (!text.starts_with(head) || !text.ends_with('\n')) return std::nullopt;
   text.remove_prefix(head.size());
   text.remove_suffix(1);
   const std::size_t space = text.find(' ');
   if (space == std::string_view::npos) return std::nullopt;
-  handover_mark m;
+  hot_restart_mark m;
   const char* end = text.data() + space;
   const auto first = std::from_chars(text.data(), end, m.process);
   if (first.ec != std::errc{} || first.ptr != end || space == 0) return std::nullopt;
@@ -28,7 +28,7 @@
   return m;
 }
 
-bool successor_took_over(const handover_mark& self, const std::optional<handover_mark>& seen) {
+bool successor_took_over(const hot_restart_mark& self, const std::optional<hot_restart_mark>& seen) {
   if (!seen || seen->process == self.process) return false;
   // A process started in the same millisecond, or before: a mark from earlier, not a successor.
   return seen->started_ms > self.started_ms;
@@ -40,4 +40,4 @@
          "-" + std::to_string(listen_port) + ".ready";
 }
 
-}  // namespace marblewharf::ops
+}  // namespace marblewharf::lifecycle
--- a/src/ops/handover.hpp
+++ b/src/lifecycle/hot_restart.hpp
@@ -10,21 +10,21 @@
 #include <string>
 #include <string_view>
 
-namespace marblewharf::ops {
+namespace marblewharf::lifecycle {
 
-struct handover_mark {
+struct hot_restart_mark {
   std::uint64_t process = 0;
   std::int64_t started_ms = 0;  // Unix
-  bool operator==(const handover_mark&) const = default;
+  bool operator==(const hot_restart_mark&) const = default;
 };
 
 // One line: "marblewharf ready PROCESS STARTED_MS\n".
-std::string write_mark(const handover_mark& m);
+std::string write_mark(const hot_restart_mark& m);
 // None where the text is no whole mark (cut short, changed, or empty).
-std::optional<handover_mark> read_mark(std::string_view text);
+std::optional<hot_restart_mark> read_mark(std::string_view text);
 
 // Whether another process has taken over the clients' address: its mark is newer than this process.
-bool successor_took_over(const handover_mark& self, const std::optional<handover_mark>& seen);
+bool successor_took_over(const hot_restart_mark& self, const std::optional<hot_restart_mark>& seen);
 
 // The file of the mark in a folder, by the node's name and the clients' address that a successor shares with
 // it: one node, one mark, whichever process wrote it last. A node of the same name on another address (a
@@ -32,4 +32,4 @@
 std::string mark_path(const std::string& folder, const std::string& node_name, const std::string& listen_host,
                       std::uint16_t listen_port);
 
-}  // namespace marblewharf::ops
+}  // namespace marblewharf::lifecycle
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -10,10 +10,10 @@
 
 #include "config/config.hpp"
 #include "config/operator_file.hpp"
-#include "keyed/results_command.hpp"
-#include "node/serve.hpp"
-#include "node/signals.hpp"
+#include "idempotency/results_command.hpp"
 #include "pcap/recorder.hpp"
+#include "server/serve.hpp"
+#include "server/signals.hpp"
 #include "store/store_command.hpp"
 #include "telemetry/telemetry.hpp"
 
@@ -24,17 +24,17 @@
 constexpr int usage_error = 2;
 
 void start(const std::string& operators, const std::string& record) {
-  node::catch_signals();
+  server::catch_signals();
   config settings = load_config();
   if (!operators.empty()) apply_operator_file(settings, operators);
   std::optional<pcap::recorder> recorder;
   if (!record.empty()) recorder.emplace(record.c_str(), settings.bounds.record);
   telemetry::limit_lines(settings.bounds.log_lines);
-  node::serve(settings, recorder ? &*recorder : nullptr);
+  server::serve(settings, recorder ? &*recorder : nullptr);
 }
 
 // What a stopped node keeps. Sets `status` where the answer is 'no'.
-void add_results(CLI::App& app, keyed::results_query& q, int& status) {
+void add_results(CLI::App& app, idempotency::results_query& q, int& status) {
   CLI::App* results = app.add_subcommand("results", "the kept results of a stopped node");
   results->require_subcommand(1);
   const auto add = [&](const char* name, const char* what, std::function<void()> run) {
@@ -43,14 +43,15 @@
     one->final_callback(std::move(run));
     return one;
   };
-  add("list", "one line for each key", [&] { keyed::list_results(q); });
-  add("verify", "read all of it and check each sum", [&] { keyed::verify_results(q); });
-  CLI::App* show = add("show", "one result, byte for byte", [&] { status = keyed::show_result(q) ? 0 : 1; });
+  add("list", "one line for each key", [&] { idempotency::list_results(q); });
+  add("verify", "read all of it and check each sum", [&] { idempotency::verify_results(q); });
+  CLI::App* show =
+      add("show", "one result, byte for byte", [&] { status = idempotency::show_result(q) ? 0 : 1; });
   show->add_option("TENANT", q.tenant)->required();
   show->add_option("CLASS", q.request_class)->required();
   show->add_option("KEY", q.key)->required();
   CLI::App* aside = add("set-aside", "take a damaged segment out of use; its keys are forgotten",
-                        [&] { keyed::set_segment_aside(q); });
+                        [&] { idempotency::set_segment_aside(q); });
   aside->add_option("SEGMENT", q.segment, "the file's name")->required();
 }
 
@@ -89,7 +90,7 @@
       ->type_name("FILE");
   app.add_option("--record", record, "write what goes over the fronts' connections to a capture file")
       ->type_name("FILE");
-  keyed::results_query query;
+  idempotency::results_query query;
   int status = 0;
   add_results(app, query, status);
   store::store_query tables;
--- a/src/middleware/gate.cpp
+++ b/src/middleware/gate.cpp
@@ -11,18 +11,19 @@
 }
 
 // A handler cannot be stopped from outside: the module must not count on it.
-wrenrill::settings adapted(wrenrill::settings s, const std::optional<keyed_settings>& keys) {
-  s.halt = wrenrill::halt_mode::none;
+admission_policy::settings adapted(admission_policy::settings s, const std::optional<keyed_settings>& keys) {
+  s.halt = admission_policy::halt_mode::none;
   for (std::size_t i = 0; keys && i < std::min(keys->windows.size(), s.classes.size()); ++i) {
     if (keys->windows[i].count() == 0) continue;
-    s.classes[i].repeats = wrenrill::effect::keyed;
+    s.classes[i].repeats = admission_policy::effect::keyed;
     s.classes[i].window = s.classes[i].deadline;
   }
   return s;
 }
 
-keyed::keeper_options to_options(const keyed_settings& k, const wrenrill::settings& s) {
-  keyed::keeper_options o;
+idempotency::durable_service_options to_options(const keyed_settings& k,
+                                                const admission_policy::settings& s) {
+  idempotency::durable_service_options o;
   o.folder = k.folder;
   o.windows = k.windows;
   o.windows.resize(s.classes.size());
@@ -42,7 +43,8 @@
 
 }  // namespace
 
-gate_impl::gate_impl(wrenrill::settings settings, std::optional<keyed_settings> keys, std::uint64_t seed)
+gate_impl::gate_impl(admission_policy::settings settings, std::optional<keyed_settings> keys,
+                     std::uint64_t seed)
     : cores_(settings.cores),
       gauges_(settings.gauges),
       keys_(std::move(keys)),
@@ -50,10 +52,11 @@
       measured_at_(steady_now()) {
   dispatcher_.add(*this);
   if (keys_) {
-    keeper_ = std::make_unique<keyed::keeper>(disk_, to_options(*keys_, settings), counters_, [this] {
-      const std::lock_guard lock(guard_);  // else the ticker may look and miss it before it waits
-      changed_.notify_all();
-    });
+    keeper_ = std::make_unique<idempotency::durable_service>(
+        disk_, to_options(*keys_, settings), counters_, [this] {
+          const std::lock_guard lock(guard_);  // else the ticker may look and miss it before it waits
+          changed_.notify_all();
+        });
     keeper_->report_to(dispatcher_);
     dispatcher_.use(*keeper_, {});
   }
--- a/src/middleware/gate.hpp
+++ b/src/middleware/gate.hpp
@@ -12,14 +12,14 @@
 #include <unordered_map>
 
 #include "core/dispatcher.hpp"
-#include "keyed/keeper.hpp"
+#include "idempotency/durable_service.hpp"
 #include "marblewharf/middleware.hpp"
 
 namespace marblewharf::middleware::detail {
 
 class gate_impl : private front, private backend {
  public:
-  gate_impl(wrenrill::settings settings, std::optional<keyed_settings> keys, std::uint64_t seed);
+  gate_impl(admission_policy::settings settings, std::optional<keyed_settings> keys, std::uint64_t seed);
   ~gate_impl() override;
 
   enum class state { waiting, running, refused, failed, answered };
@@ -74,7 +74,7 @@
   std::clock_t measured_ = std::clock();
   time_point measured_at_;
   bool stopping_ = false;
-  std::unique_ptr<keyed::keeper> keeper_;
+  std::unique_ptr<idempotency::durable_service> keeper_;
   std::thread ticker_;
 };
 
--- a/src/middleware/gathering.cpp
+++ b/src/middleware/gathering.cpp
@@ -8,13 +8,11 @@
 #include <unordered_map>
 #include <utility>
 
-#include "dependencies/conductor.hpp"
+#include "fan_out/state_machine.hpp"
 
 namespace marblewharf::middleware {
 namespace {
 
-namespace dep = dependencies;
-
 time_point steady_now() {
   return std::chrono::steady_clock::now().time_since_epoch();
 }
@@ -25,12 +23,12 @@
   return static_cast<std::size_t>(at - all.begin());
 }
 
-std::vector<dep::dependency_rules> rules_of(const std::vector<source>& all) {
-  std::vector<dep::dependency_rules> rules;
+std::vector<marblewharf::upstream::dependency_rules> rules_of(const std::vector<source>& all) {
+  std::vector<marblewharf::upstream::dependency_rules> rules;
   for (const source& s : all) {
     if (s.endpoints.empty()) throw std::invalid_argument("no endpoint: " + s.name);
     if (s.threads == 0) throw std::invalid_argument("no thread: " + s.name);
-    dep::dependency_rules r;
+    marblewharf::upstream::dependency_rules r;
     r.name = s.name;
     r.endpoints = s.endpoints.size();
     r.budget = s.budget;
@@ -48,26 +46,27 @@
   return rules;
 }
 
-std::vector<dep::plan> plan_of(const std::vector<source>& sources, const std::vector<part_of>& parts,
-                               duration aim) {
-  dep::plan p;
+std::vector<marblewharf::upstream::request_plan> plan_of(const std::vector<source>& sources,
+                                                         const std::vector<part_of>& parts, duration aim) {
+  marblewharf::upstream::request_plan p;
   p.aim = aim;
   p.reserve = {};
   for (const part_of& part : parts) {
-    dep::part_plan one{part.name, find_source(sources, part.source), part.required, {}};
+    marblewharf::upstream::part_plan one{part.name, find_source(sources, part.source), part.required, {}};
     for (const stand_in_for& s : part.stand_ins) {
       if (!s.source.empty())
-        one.stand_ins.push_back({dep::stand_in::kind::dependency, find_source(sources, s.source), {}, {}});
+        one.stand_ins.push_back(
+            {marblewharf::upstream::fallback::kind::dependency, find_source(sources, s.source), {}, {}});
       else if (s.oldest.count() > 0)
-        one.stand_ins.push_back({dep::stand_in::kind::stale, 0, s.oldest, {}});
+        one.stand_ins.push_back({marblewharf::upstream::fallback::kind::stale, 0, s.oldest, {}});
       else
-        one.stand_ins.push_back({dep::stand_in::kind::fixed, 0, {}, s.fixed});
+        one.stand_ins.push_back({marblewharf::upstream::fallback::kind::fixed, 0, {}, s.fixed});
     }
     p.parts.push_back(std::move(one));
   }
   try {
-    dep::check_plans({p}, rules_of(sources));
-  } catch (const dep::bad_plan& e) {
+    marblewharf::upstream::check_plans({p}, rules_of(sources));
+  } catch (const marblewharf::upstream::bad_plan& e) {
     const std::string at = e.part_at < 0 ? "" : parts[static_cast<std::size_t>(e.part_at)].name + " ";
     throw std::invalid_argument("part " + at + e.what());
   }
@@ -83,7 +82,7 @@
   impl(std::vector<source> sources, const std::vector<part_of>& parts, duration aim, std::size_t cache,
        std::uint64_t seed)
       : sources_(std::move(sources)),
-        conductor_(plan_of(sources_, parts, aim), rules_of(sources_), cache, seed),
+        state_machine_(plan_of(sources_, parts, aim), rules_of(sources_), cache, seed),
         pools_(sources_.size()) {
     for (std::size_t i = 0; i < sources_.size(); ++i) {
       for (unsigned n = 0; n < sources_[i].threads; ++n) threads_.emplace_back([this, i] { work(i); });
@@ -105,11 +104,11 @@
     do {
       ++last_id_;
     } while (last_id_ == 0 || waiting_.contains(last_id_));
-    const dep::gathering_id id = last_id_;
+    const fan_out::gathering_id id = last_id_;
     waiter w;
     waiting_.emplace(id, &w);
     const time_point now = steady_now();
-    conductor_.begin(id, 0, subject, now + within, now);
+    state_machine_.begin(id, 0, subject, now + within, now);
     apply();
     changed_.notify_all();
     changed_.wait(lock, [&w] { return w.done; });
@@ -122,7 +121,7 @@
     const std::size_t at = find_source(sources_, name);
     if (endpoint >= sources_[at].where.size())
       throw std::invalid_argument("no place of an endpoint: " + name);
-    conductor_.set_reachable(at, endpoint, reachable);
+    state_machine_.set_reachable(at, endpoint, reachable);
   }
 
  private:
@@ -131,7 +130,7 @@
     gathered result;
   };
   struct task {
-    dep::start_call call;
+    fan_out::start_call call;
     time_point until{};
     std::shared_ptr<std::atomic<bool>> cancelled;
   };
@@ -141,30 +140,30 @@
   };
 
   void apply() {
-    while (auto next = conductor_.pick()) {
-      if (auto* s = std::get_if<dep::start_call>(&*next)) {
+    while (auto next = state_machine_.pick()) {
+      if (auto* s = std::get_if<fan_out::start_call>(&*next)) {
         pool& p = pools_[s->dependency];
         // Threads may still be in calls that nobody waits for: then this one cannot begin.
         if (p.busy + p.tasks.size() >= sources_[s->dependency].threads) {
-          conductor_.on_result(s->id, dep::call_end::failed, {}, {}, steady_now());
+          state_machine_.on_result(s->id, fan_out::call_end::failed, {}, {}, steady_now());
           continue;
         }
         task t{*s, steady_now() + s->budget, std::make_shared<std::atomic<bool>>(false)};
         flags_[s->id] = t.cancelled;
         p.tasks.push_back(std::move(t));
-      } else if (const auto* c = std::get_if<dep::cancel_call>(&*next)) {
+      } else if (const auto* c = std::get_if<fan_out::cancel_call>(&*next)) {
         if (const auto at = flags_.find(c->id); at != flags_.end()) *at->second = true;
-      } else if (auto* f = std::get_if<dep::finished>(&*next)) {
+      } else if (auto* f = std::get_if<fan_out::finished>(&*next)) {
         const auto at = waiting_.find(f->id);
         if (at == waiting_.end()) continue;
         gathered& g = at->second->result;
         g.complete = f->complete;
         g.failed = f->lacks >= 0;
-        for (dep::part_result& p : f->parts) {
-          const part_state state = p.how == dep::part_is::fresh      ? part_state::fresh
-                                   : p.how == dep::part_is::stale    ? part_state::stale
-                                   : p.how == dep::part_is::stand_in ? part_state::stand_in
-                                                                     : part_state::missing;
+        for (fan_out::part_result& p : f->parts) {
+          const part_state state = p.how == fan_out::part_is::fresh      ? part_state::fresh
+                                   : p.how == fan_out::part_is::stale    ? part_state::stale
+                                   : p.how == fan_out::part_is::stand_in ? part_state::stand_in
+                                                                         : part_state::missing;
           g.parts.push_back({state, p.age, std::move(p.bytes)});
         }
         at->second->done = true;
@@ -181,7 +180,7 @@
       const task t = std::move(mine.tasks.front());
       mine.tasks.pop_front();
       ++mine.busy;
-      dep::call_end how = dep::call_end::failed;
+      fan_out::call_end how = fan_out::call_end::failed;
       std::string bytes;
       duration come_back{};
       if (!*t.cancelled) {
@@ -189,9 +188,9 @@
         lock.unlock();
         try {
           bytes = call({std::chrono::steady_clock::time_point(t.until), t.cancelled.get()});
-          how = dep::call_end::good;
+          how = fan_out::call_end::good;
         } catch (const not_now& e) {
-          how = dep::call_end::not_now;
+          how = fan_out::call_end::not_now;
           come_back = e.after;
         } catch (...) {  // whatever it is, the call brought nothing
         }
@@ -199,7 +198,7 @@
       }
       --mine.busy;
       flags_.erase(t.call.id);
-      conductor_.on_result(t.call.id, how, std::move(bytes), come_back, steady_now());
+      state_machine_.on_result(t.call.id, how, std::move(bytes), come_back, steady_now());
       apply();
       changed_.notify_all();
     }
@@ -209,13 +208,14 @@
     std::unique_lock lock(guard_);
     while (!stopping_) {
       const time_point now = steady_now();
-      if (conductor_.due() <= now) {
-        conductor_.step(now);
+      if (state_machine_.due() <= now) {
+        state_machine_.step(now);
         apply();
         changed_.notify_all();
       }
-      const duration wait = std::clamp<duration>(
-          conductor_.due() - steady_now(), std::chrono::microseconds(100), std::chrono::milliseconds(100));
+      const duration wait =
+          std::clamp<duration>(state_machine_.due() - steady_now(), std::chrono::microseconds(100),
+                               std::chrono::milliseconds(100));
       changed_.wait_for(lock, wait);
     }
   }
@@ -223,11 +223,11 @@
   const std::vector<source> sources_;
   std::mutex guard_;
   std::condition_variable changed_;
-  dep::conductor conductor_;
+  fan_out::state_machine state_machine_;
   std::vector<pool> pools_;
-  std::unordered_map<dep::gathering_id, waiter*> waiting_;
-  std::unordered_map<dep::call_id, std::shared_ptr<std::atomic<bool>>> flags_;  // of calls under way
-  dep::gathering_id last_id_ = 0;
+  std::unordered_map<fan_out::gathering_id, waiter*> waiting_;
+  std::unordered_map<fan_out::call_id, std::shared_ptr<std::atomic<bool>>> flags_;  // of calls under way
+  fan_out::gathering_id last_id_ = 0;
   bool stopping_ = false;
   std::vector<std::thread> threads_;
 };
--- a/src/middleware/middleware.cpp
+++ b/src/middleware/middleware.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <array>
 
-#include "keyed/content.hpp"
+#include "idempotency/fingerprint.hpp"
 #include "middleware/exchange.hpp"
 #include "middleware/gate.hpp"
 
@@ -14,9 +14,9 @@
 
 using Poco::Net::HTTPResponse;
 
-gate::gate(wrenrill::settings settings, std::uint64_t seed)
+gate::gate(admission_policy::settings settings, std::uint64_t seed)
     : impl_(std::make_unique<detail::gate_impl>(std::move(settings), std::nullopt, seed)) {}
-gate::gate(wrenrill::settings settings, keyed_settings keys, std::uint64_t seed)
+gate::gate(admission_policy::settings settings, keyed_settings keys, std::uint64_t seed)
     : impl_(std::make_unique<detail::gate_impl>(std::move(settings), std::move(keys), seed)) {}
 gate::~gate() = default;
 void gate::drain(std::chrono::nanoseconds left) {
@@ -92,7 +92,7 @@
                     Poco::Net::HTTPServerResponse& response) {
     const std::string key =
         !traits_.key.empty() || keys.header.empty() ? traits_.key : request.get(keys.header, std::string());
-    if (keyed::fault_of_key(key, keys.longest_key) != nullptr) {
+    if (idempotency::fault_of_key(key, keys.longest_key) != nullptr) {
       respond(response, HTTPResponse::HTTP_BAD_REQUEST);
       return;
     }
@@ -103,7 +103,7 @@
       return;
     }
     const std::array<std::string_view, 4> asked = {"http", request.getMethod(), request.getURI(), *body};
-    detail::gate_impl::visit v = gate_.enter(traits_, key, keyed::content_hash(asked));
+    detail::gate_impl::visit v = gate_.enter(traits_, key, idempotency::fingerprint_of(asked));
     if (v.where == state::running) {
       captured_response captured;
       buffered_request buffered(request, std::move(*body), captured);
--- a/src/net/waker.cpp
+++ b/src/net/event_loop_wakeup.cpp
@@ -1,4 +1,4 @@
-#include "net/waker.hpp"
+#include "net/event_loop_wakeup.hpp"
 
 #include <Poco/Exception.h>
 #include <Poco/NObserver.h>
@@ -10,7 +10,7 @@
 namespace marblewharf::net {
 
 // One UDP socket on the loopback address, connected to itself: no Unix socket, which some platforms refuse.
-waker::waker(reactor& r) : reactor_(r) {
+event_loop_wakeup::event_loop_wakeup(reactor& r) : reactor_(r) {
   try {
     socket_.bind(Poco::Net::SocketAddress("127.0.0.1", 0));
     socket_.connect(socket_.address());
@@ -19,23 +19,23 @@
   } catch (const Poco::Exception& e) {
     throw std::runtime_error("no socket to wake the reactor with: " + e.displayText());
   }
-  reactor_.addEventHandler(
-      socket_, Poco::NObserver<waker, Poco::Net::ReadableNotification>(*this, &waker::on_readable));
+  reactor_.addEventHandler(socket_, Poco::NObserver<event_loop_wakeup, Poco::Net::ReadableNotification>(
+                                        *this, &event_loop_wakeup::on_readable));
 }
 
-waker::~waker() {
-  reactor_.removeEventHandler(
-      socket_, Poco::NObserver<waker, Poco::Net::ReadableNotification>(*this, &waker::on_readable));
+event_loop_wakeup::~event_loop_wakeup() {
+  reactor_.removeEventHandler(socket_, Poco::NObserver<event_loop_wakeup, Poco::Net::ReadableNotification>(
+                                           *this, &event_loop_wakeup::on_readable));
 }
 
-void waker::wake() noexcept {
+void event_loop_wakeup::wake() noexcept {
   const char one = 1;
   // The system call alone, not POCO's object, which the reactor's thread uses meanwhile. Where the buffer is
   // full the reactor has plenty to wake from.
   [[maybe_unused]] const ssize_t n = ::send(fd_, &one, 1, MSG_DONTWAIT | MSG_NOSIGNAL);
 }
 
-void waker::on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
+void event_loop_wakeup::on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
   char some[64];
   try {
     // Datagrams of one byte each: take all that came, so that the reactor is not woken by them again.
--- a/src/net/waker.hpp
+++ b/src/net/event_loop_wakeup.hpp
@@ -10,13 +10,13 @@
 
 namespace marblewharf::net {
 
-class waker {
+class event_loop_wakeup {
  public:
   // Throws std::runtime_error where no socket can be had (no descriptors left, no loopback address).
-  explicit waker(reactor& r);
-  ~waker();
-  waker(const waker&) = delete;
-  waker& operator=(const waker&) = delete;
+  explicit event_loop_wakeup(reactor& r);
+  ~event_loop_wakeup();
+  event_loop_wakeup(const event_loop_wakeup&) = delete;
+  event_loop_wakeup& operator=(const event_loop_wakeup&) = delete;
 
   // From any thread.
   void wake() noexcept;
--- a/src/net/closing.cpp
+++ b/src/net/graceful_close.cpp
@@ -1,4 +1,4 @@
-#include "net/closing.hpp"
+#include "net/graceful_close.hpp"
 
 #include <Poco/Exception.h>
 
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void close_in_order(Poco::Net::StreamSocket& socket) {
+void close_gracefully(Poco::Net::StreamSocket& socket) {
   try {
     socket.setBlocking(false);
     socket.shutdownSend();
@@ -33,14 +33,14 @@
   }
 }
 
-void turn_away(Poco::Net::StreamSocket socket, std::string_view last_word) {
+void reject_connection(Poco::Net::StreamSocket socket, std::string_view last_word) {
   try {
     socket.setBlocking(false);
     socket.setNoDelay(true);
     socket.sendBytes(last_word.data(), static_cast<int>(last_word.size()));
   } catch (const Poco::Exception&) {  // the other side has gone
   }
-  close_in_order(socket);
+  close_gracefully(socket);
 }
 
 }  // namespace marblewharf::net
--- a/src/net/reactor.hpp
+++ b/src/net/reactor.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "config/config.hpp"
-#include "net/tap.hpp"
+#include "net/traffic_observer.hpp"
 
 namespace marblewharf::net {
 
@@ -35,8 +35,8 @@
   void retire(std::shared_ptr<void> handler) { retired_.push_back(std::move(handler)); }
 
   // Hears all that goes over accepted connections; null: nobody does.
-  void listen_in(tap* t) { tap_ = t; }
-  tap* listener() const { return tap_; }
+  void listen_in(traffic_observer* t) { tap_ = t; }
+  traffic_observer* listener() const { return tap_; }
 
   // One for all connections: what is read is taken from it before the next one reads.
   std::string& scratch() { return scratch_; }
@@ -56,7 +56,7 @@
 
   const limits& bounds_;
   std::function<time_point()> step_;
-  tap* tap_ = nullptr;
+  traffic_observer* tap_ = nullptr;
   std::string scratch_;
   std::size_t buffered_ = 0;
   std::vector<std::shared_ptr<void>> retired_;
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -5,7 +5,7 @@
 
 #include <algorithm>
 
-#include "net/closing.hpp"
+#include "net/graceful_close.hpp"
 
 namespace marblewharf::net {
 
@@ -71,7 +71,7 @@
       socket_, Poco::NObserver<stream, Poco::Net::ReadableNotification>(*this, &stream::on_readable));
   reactor_.removeEventHandler(
       socket_, Poco::NObserver<stream, Poco::Net::ErrorNotification>(*this, &stream::on_error));
-  close_in_order(socket_);
+  close_gracefully(socket_);
 }
 
 // What still waits to be written goes as far as the system takes it; nobody hears of a failure any more.
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -74,7 +74,7 @@
   bool watching_writable_ = false;
   bool finishing_ = false;
   bool discarding_ = false;
-  tap* tap_ = nullptr;  // where it was accepted and somebody listens in
+  traffic_observer* tap_ = nullptr;  // where it was accepted and somebody listens in
 };
 
 }  // namespace marblewharf::net
--- a/src/net/tap.hpp
+++ b/src/net/traffic_observer.hpp
@@ -6,9 +6,9 @@
 
 namespace marblewharf::net {
 
-class tap {
+class traffic_observer {
  public:
-  virtual ~tap() = default;
+  virtual ~traffic_observer() = default;
   virtual void on_open(const void* which, const std::string& caller, const std::string& server) = 0;
   virtual void on_read(const void* which, std::string_view bytes) = 0;
   virtual void on_written(const void* which, std::string_view bytes) = 0;
--- a/src/pcap/recorder.hpp
+++ b/src/pcap/recorder.hpp
@@ -4,12 +4,12 @@
 #include <string>
 #include <unordered_map>
 
-#include "net/tap.hpp"
+#include "net/traffic_observer.hpp"
 #include "pcap/writer.hpp"
 
 namespace marblewharf::pcap {
 
-class recorder : public net::tap {
+class recorder : public net::traffic_observer {
  public:
   recorder(const std::string& path, std::size_t most_bytes) : writer_(path, most_bytes) {}
 
--- a/src/settings.cpp
+++ b/src/policy_settings/settings_reader.cpp
@@ -1,4 +1,4 @@
-#include "settings.hpp"
+#include "settings_reader.hpp"
 
 #include <charconv>
 #include <cmath>
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-namespace wrenrill {
+namespace admission_policy {
 namespace {
 
 // The settings as path=value pairs; every look-up has a default for keys that are absent.
@@ -155,4 +155,4 @@
   return s;
 }
 
-}  // namespace wrenrill
+}  // namespace admission_policy
--- a/src/settings.hpp
+++ b/src/policy_settings/settings_reader.hpp
@@ -6,9 +6,9 @@
 #include <map>
 #include <string>
 
-#include "wrenrill/policy.hpp"
+#include "admission_policy/policy.hpp"
 
-namespace wrenrill {
+namespace admission_policy {
 
 // `Classes.0.Name` -> value; a list of objects has its length under `.count`, plain lists are joined by
 // commas.
@@ -17,4 +17,4 @@
 // Throws std::invalid_argument naming the key that cannot be used; keys that are absent have defaults.
 settings settings_from(const setting_paths& paths);
 
-}  // namespace wrenrill
+}  // namespace admission_policy
--- a/src/budgets/allocator.cpp
+++ b/src/quota/allocator.cpp
@@ -1,9 +1,9 @@
-#include "budgets/allocator.hpp"
+#include "quota/allocator.hpp"
 
 #include <algorithm>
 #include <numeric>
 
-namespace marblewharf::budgets {
+namespace marblewharf::quota {
 
 namespace {
 
@@ -132,4 +132,4 @@
   }
 }
 
-}  // namespace marblewharf::budgets
+}  // namespace marblewharf::quota
--- a/src/budgets/allocator.hpp
+++ b/src/quota/allocator.hpp
@@ -14,9 +14,9 @@
 #include <utility>
 #include <vector>
 
-#include "budgets/holder.hpp"
+#include "quota/lease_holder.hpp"
 
-namespace marblewharf::budgets {
+namespace marblewharf::quota {
 
 struct allocator_options {
   lease_rules rules;
@@ -75,4 +75,4 @@
   std::vector<envelope> outbox_;
 };
 
-}  // namespace marblewharf::budgets
+}  // namespace marblewharf::quota
--- a/src/budgets/demand.cpp
+++ b/src/quota/demand.cpp
@@ -1,8 +1,8 @@
-#include "budgets/demand.hpp"
+#include "quota/demand.hpp"
 
 #include <cmath>
 
-namespace marblewharf::budgets {
+namespace marblewharf::quota {
 
 namespace {
 
@@ -37,4 +37,4 @@
   return {static_cast<double>(in_flight), options_.headroom * wanted + options_.least};
 }
 
-}  // namespace marblewharf::budgets
+}  // namespace marblewharf::quota
--- a/src/budgets/demand.hpp
+++ b/src/quota/demand.hpp
@@ -7,9 +7,9 @@
 #include <cstdint>
 #include <optional>
 
-#include "budgets/holder.hpp"
+#include "quota/lease_holder.hpp"
 
-namespace marblewharf::budgets {
+namespace marblewharf::quota {
 
 struct demand_options {
   duration fade = std::chrono::seconds(1);  // a burst is over when so long has gone by without it
@@ -47,4 +47,4 @@
   std::optional<time_point> measured_;
 };
 
-}  // namespace marblewharf::budgets
+}  // namespace marblewharf::quota
--- a/src/budgets/chair.cpp
+++ b/src/quota/leader_election.cpp
@@ -1,9 +1,9 @@
-#include "budgets/chair.hpp"
+#include "quota/leader_election.hpp"
 
 #include <algorithm>
 #include <stdexcept>
 
-namespace marblewharf::budgets {
+namespace marblewharf::quota {
 
 namespace {
 
@@ -11,8 +11,8 @@
 
 }  // namespace
 
-chair::chair(lease_rules rules, std::set<std::string> members, std::string self, std::uint64_t first_term,
-             time_point now)
+leader_election::leader_election(lease_rules rules, std::set<std::string> members, std::string self,
+                                 std::uint64_t first_term, time_point now)
     : rules_(rules),
       members_(std::move(members)),
       self_(std::move(self)),
@@ -21,18 +21,19 @@
   if (!members_.contains(self_)) throw std::invalid_argument("chair: " + self_ + " is no configured member");
 }
 
-std::optional<std::string> chair::leader(time_point now) const {
+std::optional<std::string> leader_election::leader(time_point now) const {
   if (leads(now)) return self_;
   return now < heard_until_ ? std::optional(heard_leader_) : std::nullopt;
 }
 
-void chair::send(const std::string& to, kind what, std::uint64_t term, std::uint64_t sequence, bool leading) {
+void leader_election::send(const std::string& to, kind what, std::uint64_t term, std::uint64_t sequence,
+                           bool leading) {
   outbox_.push_back({to, message{what, self_, term, sequence, 0, 0, {}, what == kind::ask && leading}});
 }
 
 // One candidate at a time: another one only once the promise before it has ended. The same one may go on, or
 // begin anew.
-bool chair::promise(time_point now, const std::string& to, std::uint64_t term) {
+bool leader_election::promise(time_point now, const std::string& to, std::uint64_t term) {
   if (to != promised_to_ && now < promised_until_) return false;
   // Guards the chair against candidates of a smaller side, after a cut heals: they would hold their own
   // voters for ever.
@@ -43,7 +44,7 @@
   return true;
 }
 
-void chair::ask(time_point now) {
+void leader_election::ask(time_point now) {
   const bool leading = leads(now);
   if (!leading)
     term_ = ++highest_term_;  // a lost chair is asked for anew: what it granted belongs to the old term
@@ -57,7 +58,7 @@
   if (2 * promises_.size() > members_.size()) leads_until_ = now + rules_.lease;
 }
 
-time_point chair::step(time_point now, bool stand) {
+time_point leader_election::step(time_point now, bool stand) {
   // Whoever leads goes on to ask even where another should stand: a chair that moves for nothing costs a
   // lease.
   const bool asks = leads(now) || (stand && now >= heard_until_);
@@ -65,7 +66,7 @@
   return asks ? next_ask_ : now + rules_.lease / asks_in_lease;
 }
 
-void chair::receive(time_point now, const message& m) {
+void leader_election::receive(time_point now, const message& m) {
   if (!members_.contains(m.from) || m.from == self_) return;
   switch (m.what) {
     case kind::ask:
@@ -92,4 +93,4 @@
   }
 }
 
-}  // namespace marblewharf::budgets
+}  // namespace marblewharf::quota
--- a/src/budgets/chair.hpp
+++ b/src/quota/leader_election.hpp
@@ -16,17 +16,17 @@
 #include <utility>
 #include <vector>
 
-#include "budgets/lease.hpp"
-#include "budgets/message.hpp"
+#include "quota/lease.hpp"
+#include "quota/message.hpp"
 
-namespace marblewharf::budgets {
+namespace marblewharf::quota {
 
-class chair {
+class leader_election {
  public:
   // `members`: all configured ones, `self` among them (else std::invalid_argument). `first_term`: above terms
   // of before a restart where that can be told (Unix ms); safety does not rest on it.
-  chair(lease_rules rules, std::set<std::string> members, std::string self, std::uint64_t first_term,
-        time_point now);
+  leader_election(lease_rules rules, std::set<std::string> members, std::string self,
+                  std::uint64_t first_term, time_point now);
 
   // `stand`: this member should be the one (the first that lives, as its owner sees it). Returns when to step
   // again.
@@ -64,4 +64,4 @@
   std::vector<envelope> outbox_;
 };
 
-}  // namespace marblewharf::budgets
+}  // namespace marblewharf::quota
--- a/src/budgets/lease.hpp
+++ b/src/quota/lease.hpp
@@ -6,7 +6,7 @@
 #include <chrono>
 #include <cstdint>
 
-namespace marblewharf::budgets {
+namespace marblewharf::quota {
 
 using time_point = std::chrono::nanoseconds;  // of a clock that goes on while the machine sleeps
 using duration = std::chrono::nanoseconds;
@@ -23,4 +23,4 @@
   return duration(static_cast<std::int64_t>(static_cast<double>(r.lease.count()) * factor) + 1);
 }
 
-}  // namespace marblewharf::budgets
+}  // namespace marblewharf::quota
--- a/src/budgets/holder.cpp
+++ b/src/quota/lease_holder.cpp
@@ -1,11 +1,11 @@
-#include "budgets/holder.hpp"
+#include "quota/lease_holder.hpp"
 
 #include <algorithm>
 
-namespace marblewharf::budgets {
+namespace marblewharf::quota {
 
-holder::holder(holder_options o, std::vector<budget> budgets, std::string self, std::uint64_t session,
-               std::uint64_t digest)
+lease_holder::lease_holder(lease_holder_options o, std::vector<budget> budgets, std::string self,
+                           std::uint64_t session, std::uint64_t digest)
     : options_(o),
       budgets_(std::move(budgets)),
       self_(std::move(self)),
@@ -14,17 +14,17 @@
       leased_(budgets_.size()),
       short_(budgets_.size()) {}
 
-double holder::safe(std::size_t i, time_point now) const {
+double lease_holder::safe(std::size_t i, time_point now) const {
   const budget& b = budgets_[i];
   return joined_ && now >= *joined_ + (b.in_flight ? b.settle : duration{}) ? b.safe : 0;
 }
 
-double holder::share(std::size_t i, time_point now) const {
+double lease_holder::share(std::size_t i, time_point now) const {
   return safe(i, now) + (now < until_ ? leased_[i] : 0);
 }
 
-time_point holder::step(time_point now, const std::optional<std::string>& leader,
-                        const std::vector<use>& uses) {
+time_point lease_holder::step(time_point now, const std::optional<std::string>& leader,
+                              const std::vector<use>& uses) {
   if (!leader) return now + options_.soonest;
   for (std::size_t i = 0; i < budgets_.size(); ++i) {
     const bool wants = uses[i].demand > share(i, now);
@@ -51,7 +51,7 @@
   return std::min(next_, now + options_.soonest);
 }
 
-void holder::receive(time_point now, const message& m) {
+void lease_holder::receive(time_point now, const message& m) {
   if (m.from != asked_) return;
   if (m.what == kind::poke) {
     soon_ = true;
@@ -71,4 +71,4 @@
   until_ = sent_ + options_.rules.lease;
 }
 
-}  // namespace marblewharf::budgets
+}  // namespace marblewharf::quota
--- a/src/budgets/holder.hpp
+++ b/src/quota/lease_holder.hpp
@@ -14,10 +14,10 @@
 #include <utility>
 #include <vector>
 
-#include "budgets/lease.hpp"
-#include "budgets/message.hpp"
+#include "quota/lease.hpp"
+#include "quota/message.hpp"
 
-namespace marblewharf::budgets {
+namespace marblewharf::quota {
 
 // One whole, as the operator's file has it.
 struct budget {
@@ -29,7 +29,7 @@
   duration settle{};       // ... and for so long after a node was lost, or its process ended
 };
 
-struct holder_options {
+struct lease_holder_options {
   lease_rules rules;
   duration renew = std::chrono::milliseconds(500);
   duration soonest = std::chrono::milliseconds(50);  // between requests, whatever happens
@@ -41,10 +41,10 @@
   double demand = 0;    // what it could use, in the budget's unit
 };
 
-class holder {
+class lease_holder {
  public:
-  holder(holder_options o, std::vector<budget> budgets, std::string self, std::uint64_t session,
-         std::uint64_t digest);
+  lease_holder(lease_holder_options o, std::vector<budget> budgets, std::string self, std::uint64_t session,
+               std::uint64_t digest);
 
   // Asks `leader` for renewal when that is due; at once where the leader changed, share was given up, or a
   // demand over the share has come up. Returns when to step again.
@@ -69,7 +69,7 @@
  private:
   double safe(std::size_t i, time_point now) const;
 
-  holder_options options_;
+  lease_holder_options options_;
   std::vector<budget> budgets_;
   std::string self_;
   std::uint64_t session_;
@@ -88,4 +88,4 @@
   std::vector<envelope> outbox_;
 };
 
-}  // namespace marblewharf::budgets
+}  // namespace marblewharf::quota
--- a/src/budgets/message.hpp
+++ b/src/quota/message.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace marblewharf::budgets {
+namespace marblewharf::quota {
 
 // Above the kinds of membership, with which they share the socket.
 enum class kind : std::uint8_t {
@@ -44,4 +44,4 @@
   message m;
 };
 
-}  // namespace marblewharf::budgets
+}  // namespace marblewharf::quota
--- a/src/budgets/office.cpp
+++ b/src/quota/quota_coordinator.cpp
@@ -1,9 +1,9 @@
-#include "budgets/office.hpp"
+#include "quota/quota_coordinator.hpp"
 
 #include <algorithm>
 #include <utility>
 
-namespace marblewharf::budgets {
+namespace marblewharf::quota {
 
 namespace {
 
@@ -25,8 +25,9 @@
   return hash;
 }
 
-office::office(office_options o, std::vector<budget> budgets, std::set<std::string> members, std::string self,
-               std::uint64_t session, time_point now)
+quota_coordinator::quota_coordinator(quota_coordinator_options o, std::vector<budget> budgets,
+                                     std::set<std::string> members, std::string self, std::uint64_t session,
+                                     time_point now)
     : options_(o),
       members_(std::move(members)),
       self_(std::move(self)),
@@ -36,17 +37,17 @@
       holder_({o.rules, o.renew, o.soonest}, std::move(budgets), self_, session, digest_),
       noted_(holder_.budgets().size(), -1) {}
 
-void office::join(time_point now) {
+void quota_coordinator::join(time_point now) {
   if (std::exchange(joined_, true)) return;
   // As a voter it begins now: what the process before it promised has to end first.
-  chair_ = chair(options_.rules, members_, self_, session_, now);
+  chair_ = leader_election(options_.rules, members_, self_, session_, now);
   holder_.answer_to({});
   holder_.join(now);
   note(now);
 }
 
 // Before joining nobody says who leads: the members in turn are asked, and whoever answered last again.
-std::optional<std::string> office::whom_to_ask(time_point now) {
+std::optional<std::string> quota_coordinator::whom_to_ask(time_point now) {
   if (joined_) return chair_.leader(now);
   const bool waits = !holder_.answered() && now - holder_.sent() < options_.renew / tries_in_renewal;
   if (!tried_.empty() && (holder_.answered() || waits)) return tried_;
@@ -55,11 +56,11 @@
   return tried_ = *next;
 }
 
-std::optional<double> office::committed(std::size_t i, time_point now) const {
+std::optional<double> quota_coordinator::committed(std::size_t i, time_point now) const {
   return allocator_ && chair_.leads(now) ? std::optional(allocator_->committed(i, now)) : std::nullopt;
 }
 
-time_point office::step(time_point now, const std::vector<use>& uses, bool first) {
+time_point quota_coordinator::step(time_point now, const std::vector<use>& uses, bool first) {
   time_point due = joined_ ? chair_.step(now, first) : now + options_.renew;
   // The books go with the chair: whoever has it next, this member too, does not know what is granted
   // meanwhile.
@@ -79,7 +80,7 @@
   return due;
 }
 
-void office::receive(time_point now, const message& m) {
+void quota_coordinator::receive(time_point now, const message& m) {
   if (!members_.contains(m.from)) return;
   switch (m.what) {
     case kind::ask:
@@ -99,7 +100,7 @@
 }
 
 // What this member has to say to itself it hears at once.
-void office::pass(time_point now) {
+void quota_coordinator::pass(time_point now) {
   for (bool more = true; more;) {
     more = false;
     std::vector<envelope> all = chair_.take_outbox();
@@ -121,7 +122,7 @@
   }
 }
 
-void office::note(time_point now) {
+void quota_coordinator::note(time_point now) {
   for (std::size_t i = 0; i < noted_.size(); ++i) {
     const double share = holder_.share(i, now);
     if (share == noted_[i]) continue;
@@ -130,4 +131,4 @@
   }
 }
 
-}  // namespace marblewharf::budgets
+}  // namespace marblewharf::quota
--- a/src/budgets/office.hpp
+++ b/src/quota/quota_coordinator.hpp
@@ -15,13 +15,13 @@
 #include <utility>
 #include <vector>
 
-#include "budgets/allocator.hpp"
-#include "budgets/chair.hpp"
-#include "budgets/holder.hpp"
+#include "quota/allocator.hpp"
+#include "quota/leader_election.hpp"
+#include "quota/lease_holder.hpp"
 
-namespace marblewharf::budgets {
+namespace marblewharf::quota {
 
-struct office_options {
+struct quota_coordinator_options {
   lease_rules rules;
   duration renew = std::chrono::milliseconds(500);
   duration soonest = std::chrono::milliseconds(50);
@@ -36,13 +36,13 @@
   time_point until{};  // in this member's clock
 };
 
-class office {
+class quota_coordinator {
  public:
   // Begins as a process that is not the member yet: it asks for shares, and has no voice and no safe share
   // until join(). `members`: configured, `self` among them. `session`: of this process, above those before it
   // (its start in Unix ms). Throws std::invalid_argument where `self` is not among them.
-  office(office_options o, std::vector<budget> budgets, std::set<std::string> members, std::string self,
-         std::uint64_t session, time_point now);
+  quota_coordinator(quota_coordinator_options o, std::vector<budget> budgets, std::set<std::string> members,
+                    std::string self, std::uint64_t session, time_point now);
   // The member's address is this process's own from now on: the one before it has let go of it.
   void join(time_point now);
   bool joined() const { return joined_; }
@@ -80,15 +80,15 @@
   void note(time_point now);
   std::optional<std::string> whom_to_ask(time_point now);
 
-  office_options options_;
+  quota_coordinator_options options_;
   std::set<std::string> members_;
   std::string self_;
   std::uint64_t session_;
   std::uint64_t digest_;
   bool joined_ = false;
   std::string tried_;  // before joining: the member asked last
-  chair chair_;
-  holder holder_;
+  leader_election chair_;
+  lease_holder holder_;
   std::optional<allocator> allocator_;
   std::uint64_t allocates_in_ = 0;  // the term
   std::vector<double> noted_;       // shares last told as changes
@@ -100,4 +100,4 @@
 // Of what all members must have alike: names, wholes, safe shares, settling, and who the members are.
 std::uint64_t digest_of(const std::vector<budget>& budgets, const std::set<std::string>& members);
 
-}  // namespace marblewharf::budgets
+}  // namespace marblewharf::quota
--- a/src/budgets/wire.cpp
+++ b/src/quota/wire.cpp
@@ -1,9 +1,9 @@
-#include "budgets/wire.hpp"
+#include "quota/wire.hpp"
 
 #include <cmath>
 #include <msgpack.hpp>
 
-namespace marblewharf::budgets {
+namespace marblewharf::quota {
 
 namespace {
 
@@ -94,4 +94,4 @@
   }
 }
 
-}  // namespace marblewharf::budgets
+}  // namespace marblewharf::quota
--- a/src/budgets/wire.hpp
+++ b/src/quota/wire.hpp
@@ -8,9 +8,9 @@
 #include <string>
 #include <string_view>
 
-#include "budgets/message.hpp"
+#include "quota/message.hpp"
 
-namespace marblewharf::budgets {
+namespace marblewharf::quota {
 
 inline constexpr std::uint32_t wire_version = 2;
 // Budgets in one message: so many fit into a datagram that is not fragmented.
@@ -27,4 +27,4 @@
 // not_ours: a datagram of another kind, or of none: for membership to read.
 decoded decode(const std::string& fleet, std::string_view datagram);
 
-}  // namespace marblewharf::budgets
+}  // namespace marblewharf::quota
--- a/src/catalog/reporter.cpp
+++ b/src/registry/registry_client.cpp
@@ -1,4 +1,4 @@
-#include "catalog/reporter.hpp"
+#include "registry/registry_client.hpp"
 
 #include <Poco/Exception.h>
 
@@ -7,14 +7,14 @@
 #include "net/reactor.hpp"
 #include "telemetry/telemetry.hpp"
 
-namespace marblewharf::catalog {
+namespace marblewharf::registry {
 
-reporter::reporter(const config& settings)
+registry_client::registry_client(const config& settings)
     : config_(settings), to_(net::address_of(settings.directory, "directory")), socket_(to_.family()) {
   socket_.setBlocking(false);
 }
 
-void reporter::move(const Poco::Net::SocketAddress& to) {
+void registry_client::move(const Poco::Net::SocketAddress& to) {
   if (to.family() != to_.family()) {
     socket_ = Poco::Net::DatagramSocket(to.family());
     socket_.setBlocking(false);
@@ -23,7 +23,7 @@
   next_ = {};
 }
 
-time_point reporter::step(time_point now, bool passing) {
+time_point registry_client::step(time_point now, bool passing) {
   if (now < next_ && passing == passing_) return next_;
   passing_ = passing;
   next_ = now + config_.bounds.report_every;
@@ -36,4 +36,4 @@
   return next_;
 }
 
-}  // namespace marblewharf::catalog
+}  // namespace marblewharf::registry
--- a/src/catalog/reporter.hpp
+++ b/src/registry/registry_client.hpp
@@ -6,11 +6,11 @@
 #include "config/config.hpp"
 #include "core/request.hpp"
 
-namespace marblewharf::catalog {
+namespace marblewharf::registry {
 
-class reporter {
+class registry_client {
  public:
-  explicit reporter(const config& settings);
+  explicit registry_client(const config& settings);
 
   // The catalog is there from now on; it hears at the next step.
   void move(const Poco::Net::SocketAddress& to);
@@ -26,4 +26,4 @@
   bool passing_ = true;
 };
 
-}  // namespace marblewharf::catalog
+}  // namespace marblewharf::registry
--- a/src/runtime/link.cpp
+++ b/src/runtime/link.cpp
@@ -333,7 +333,7 @@
 // runs, the runtime says so and it goes on; if not, it is started. Where a stop is for good, only what is
 // safe is started again; an effect is stopped and counts as failed.
 void link::settle() {
-  const bool pauses = config_.settings.halt == wrenrill::halt_mode::pause;
+  const bool pauses = config_.settings.halt == admission_policy::halt_mode::pause;
   state_ = state::up;
   std::vector<std::string> doubtful;
   for (auto& [label, c] : calls_) {
@@ -345,7 +345,7 @@
       c.fence = questions_ + 1;
       say(encode_stop(label));
     } else if (c.start == sent::on_its_way && !c.stopped &&
-               config_.settings.classes[c.request_class].repeats == wrenrill::effect::safe) {
+               config_.settings.classes[c.request_class].repeats == admission_policy::effect::safe) {
       c.start = sent::no;
     } else if (c.start == sent::on_its_way) {
       doubtful.push_back(label);
--- a/src/scheduler/room.hpp
+++ b/src/scheduler/headroom_meter.hpp
@@ -10,21 +10,21 @@
 
 namespace marblewharf::scheduler {
 
-struct room_rules {
+struct headroom_options {
   double quiet = 0.5;  // busy cores up to which there is all room, as a share
   double busy = 0.85;  // ... and from which on there is none
   std::chrono::nanoseconds calm = std::chrono::seconds(1);  // none so long after a request had to wait
 };
 
-class room_meter {
+class headroom_meter {
  public:
-  explicit room_meter(room_rules r) : rules_(r) {}
+  explicit headroom_meter(headroom_options r) : rules_(r) {}
 
   // `cores_busy`: 0 to 1; none: it is not known. `waiting`: requests that the admission module holds.
   double look(std::chrono::nanoseconds now, std::optional<double> cores_busy, std::size_t waiting);
 
  private:
-  room_rules rules_;
+  headroom_options rules_;
   std::optional<std::chrono::nanoseconds> waited_;
 };
 
--- a/src/node/background.cpp
+++ b/src/server/background.cpp
@@ -1,4 +1,4 @@
-#include "node/background.hpp"
+#include "server/background.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -7,7 +7,7 @@
 
 #include "store/scrub.hpp"
 
-namespace marblewharf::node {
+namespace marblewharf::server {
 
 namespace {
 
@@ -119,4 +119,4 @@
   return out.str();
 }
 
-}  // namespace marblewharf::node
+}  // namespace marblewharf::server
--- a/src/node/background.hpp
+++ b/src/server/background.hpp
@@ -13,12 +13,12 @@
 #include <string>
 
 #include "config/config.hpp"
+#include "scheduler/headroom_meter.hpp"
 #include "scheduler/pool.hpp"
-#include "scheduler/room.hpp"
 #include "store/table_service.hpp"
 #include "telemetry/telemetry.hpp"
 
-namespace marblewharf::node {
+namespace marblewharf::server {
 
 class background {
  public:
@@ -47,11 +47,11 @@
 
   telemetry::counters& counters_;
   const duration deadline_;
-  scheduler::room_meter room_;
+  scheduler::headroom_meter room_;
   double room_now_ = 1;
   time_point due_{};
   std::atomic<bool> ended_ = false;  // a slice has, since the last step
   scheduler::pool pool_;             // last: its threads go first
 };
 
-}  // namespace marblewharf::node
+}  // namespace marblewharf::server
--- a/src/node/serve.cpp
+++ b/src/server/serve.cpp
@@ -1,4 +1,4 @@
-#include "node/serve.hpp"
+#include "server/serve.hpp"
 
 #include <unistd.h>
 
@@ -16,36 +16,36 @@
 #include <sstream>
 #include <vector>
 
-#include "catalog/reporter.hpp"
-#include "console/front.hpp"
+#include "admin/console_server.hpp"
+#include "admin/statistics.hpp"
+#include "cluster/agent.hpp"
+#include "cluster/quota_client.hpp"
 #include "core/dispatcher.hpp"
-#include "dependencies/gatherer.hpp"
-#include "dependencies/writer.hpp"
-#include "fleet/link.hpp"
-#include "fleet/shares.hpp"
-#include "keyed/awaited.hpp"
-#include "keyed/keeper.hpp"
-#include "keyed/memory_results.hpp"
+#include "fan_out/client.hpp"
+#include "idempotency/deferred_service.hpp"
+#include "idempotency/durable_service.hpp"
+#include "idempotency/memory_service.hpp"
+#include "lifecycle/drain_state.hpp"
+#include "lifecycle/graceful_shutdown.hpp"
+#include "lifecycle/hot_restart.hpp"
+#include "net/event_loop_wakeup.hpp"
 #include "net/reactor.hpp"
-#include "net/waker.hpp"
-#include "node/background.hpp"
-#include "node/signals.hpp"
-#include "ops/departure.hpp"
-#include "ops/drain.hpp"
-#include "ops/figures.hpp"
-#include "ops/handover.hpp"
+#include "registry/registry_client.hpp"
 #include "runtime/link.hpp"
+#include "server/background.hpp"
+#include "server/signals.hpp"
 #include "telemetry/telemetry.hpp"
 #include "thrift/front.hpp"
+#include "transaction/coordinator.hpp"
 #include "uwsgi/client.hpp"
 #include "uwsgi/front.hpp"
 
-namespace marblewharf::node {
+namespace marblewharf::server {
 namespace {
 
 // Where the runtime and the catalog are may change while the program runs; a file that cannot be used changes
 // nothing.
-void reload(const config& settings, runtime::link& runtime, catalog::reporter& reporter) {
+void reload(const config& settings, runtime::link& runtime, registry::registry_client& registry_client) {
   try {
     const config fresh = load_config();
     const auto runtime_at = net::address_of(fresh.runtime, "runtime");
@@ -55,7 +55,7 @@
     if (fresh.name != settings.name || fresh.listen != settings.listen)
       telemetry::log("reload", "name or listen differs: that takes a restart");
     runtime.move(runtime_at);
-    reporter.move(directory_at);
+    registry_client.move(directory_at);
   } catch (const std::exception& e) {
     telemetry::log("reload", "the old configuration stays: %s", e.what());
   }
@@ -66,9 +66,9 @@
   return std::uint64_t{random()} << 32 | random();
 }
 
-keyed::keeper_options keeper_options_of(const config& settings) {
+idempotency::durable_service_options keeper_options_of(const config& settings) {
   const keyed_config& k = *settings.keyed;
-  keyed::keeper_options o;
+  idempotency::durable_service_options o;
   o.folder = k.folder;
   o.windows = k.windows;
   for (const auto& c : settings.settings.classes) o.classes.push_back(c.name);
@@ -91,9 +91,9 @@
   return o;
 }
 
-keyed::memory_results_options memory_results_options_of(const config& settings) {
+idempotency::memory_service_options memory_results_options_of(const config& settings) {
   const repeats_config& r = *settings.repeats;
-  keyed::memory_results_options o;
+  idempotency::memory_service_options o;
   o.windows = r.windows;
   o.longest_wait = r.longest_wait;
   o.memory = r.memory;
@@ -108,7 +108,7 @@
 class handover_file {
  public:
   explicit handover_file(const config& settings)
-      : path_(ops::mark_path(folder(), settings.name, settings.listen.host, settings.listen.port)),
+      : path_(lifecycle::mark_path(folder(), settings.name, settings.listen.host, settings.listen.port)),
         self_{static_cast<std::uint64_t>(::getpid()), net::unix_ms()} {}
 
   // Once: this process takes clients. A rename, so that a reader never sees half a mark.
@@ -117,7 +117,7 @@
     const std::string fresh = path_ + "." + std::to_string(self_.process);
     {
       std::ofstream out(fresh, std::ios::trunc);
-      out << ops::write_mark(self_);
+      out << lifecycle::write_mark(self_);
       if (!out.flush()) {
         telemetry::log("handover", "no mark written to %s", fresh.c_str());
         return;
@@ -134,8 +134,8 @@
     std::ifstream in(path_);
     std::ostringstream text;
     text << in.rdbuf();
-    const std::optional<ops::handover_mark> mark = ops::read_mark(text.str());
-    return ops::successor_took_over(self_, mark) && is_alive(mark->process);
+    const std::optional<lifecycle::hot_restart_mark> mark = lifecycle::read_mark(text.str());
+    return lifecycle::successor_took_over(self_, mark) && is_alive(mark->process);
   }
 
  private:
@@ -150,18 +150,18 @@
   }
 
   std::string path_;
-  ops::handover_mark self_;
+  lifecycle::hot_restart_mark self_;
   bool marked_ = false;
 };
 
 // The console's calls, answered from the node's own parts.
-class operators_desk : public console::desk {
+class operators_desk : public admin::admin_handler {
  public:
   operators_desk(const config& settings, const dispatcher& table, const telemetry::counters& counters,
-                 const runtime::link& runtime, const thrift::server& front, ops::drain_state& drain,
-                 const fleet::link* in_fleet, const std::optional<dependencies::gatherer>& gathers,
-                 const std::optional<dependencies::writer>& writes,
-                 const std::optional<fleet::shares>& shared, const std::optional<background>& jobs)
+                 const runtime::link& runtime, const thrift::server& front, lifecycle::drain_state& drain,
+                 const cluster::agent* in_fleet, const std::optional<fan_out::client>& gathers,
+                 const std::optional<transaction::coordinator>& writes,
+                 const std::optional<cluster::quota_client>& shared, const std::optional<background>& jobs)
       : desk_(table),
         counters_(counters),
         runtime_(runtime),
@@ -177,7 +177,7 @@
 
   bool ready() override { return runtime_.up() && !front_.leaving(); }
   std::string figures() override {
-    return ops::render_figures(counters_, classes_, desk_.unanswered()) +
+    return admin::render_statistics(counters_, classes_, desk_.unanswered()) +
            (fleet_ ? fleet_->show_figures() : "") + (gathers_ ? gathers_->figures() : "") +
            (writes_ ? writes_->figures() : "") + (shared_ ? shared_->show_figures() : "") +
            (jobs_ ? jobs_->figures(net::steady_now()) : "");
@@ -205,18 +205,18 @@
   const telemetry::counters& counters_;
   const runtime::link& runtime_;
   const thrift::server& front_;
-  ops::drain_state& drain_;
-  const fleet::link* fleet_;  // none: in no fleet
-  const std::optional<dependencies::gatherer>& gathers_;
-  const std::optional<dependencies::writer>& writes_;
-  const std::optional<fleet::shares>& shared_;
+  lifecycle::drain_state& drain_;
+  const cluster::agent* fleet_;  // none: in no fleet
+  const std::optional<fan_out::client>& gathers_;
+  const std::optional<transaction::coordinator>& writes_;
+  const std::optional<cluster::quota_client>& shared_;
   const std::optional<background>& jobs_;
   std::vector<std::string> classes_;
 };
 
 }  // namespace
 
-void serve(const config& settings, net::tap* tap) {
+void serve(const config& settings, net::traffic_observer* traffic_observer) {
   if (told_to_leave()) {
     telemetry::log("stop", "notice to leave before the start");
     return;
@@ -224,17 +224,17 @@
   const limits& bounds = settings.bounds;
   telemetry::counters counters;
   net::reactor reactor(bounds);
-  reactor.listen_in(tap);
+  reactor.listen_in(traffic_observer);
   dispatcher desk(settings.settings, settings.seed, net::steady_now(), counters);
-  std::optional<net::waker> waker;
+  std::optional<net::event_loop_wakeup> waker;
   const auto disk = std::make_shared<store::posix_file_system>();
-  std::unique_ptr<keyed::keeper> keeper;
-  std::optional<keyed::awaited_book> keys;
+  std::unique_ptr<idempotency::durable_service> keeper;
+  std::optional<idempotency::deferred_service> keys;
   time_point next_lock_try = time_point::max();
   // Reads the folder as after a restart: what the process before kept is known from now on.
   const auto open_keeper = [&] {
-    keeper =
-        std::make_unique<keyed::keeper>(*disk, keeper_options_of(settings), counters, [&] { waker->wake(); });
+    keeper = std::make_unique<idempotency::durable_service>(*disk, keeper_options_of(settings), counters,
+                                                            [&] { waker->wake(); });
     keeper->report_to(desk);
     keys->take(*keeper);
   };
@@ -249,7 +249,7 @@
       next_lock_try = net::steady_now() + settings.keyed->retry_disk;
     }
   }
-  std::optional<keyed::memory_results> repeats;
+  std::optional<idempotency::memory_service> repeats;
   if (settings.repeats) {
     repeats.emplace(memory_results_options_of(settings), counters);
     repeats->report_to(desk);
@@ -258,23 +258,23 @@
     desk.use(*repeats, duration{});
   }
   runtime::link runtime(reactor, settings, desk, counters);
-  catalog::reporter reporter(settings);
+  registry::registry_client registry_client(settings);
   thrift::server front(reactor, settings, desk, runtime, counters);
-  ops::drain_state drained;
+  lifecycle::drain_state drained;
   front.answer_health_by([&] { return drained.healthy(desk.healthy()); });
   // Membership and failover: only where the operator's file names a fleet, never in `run` on the platform.
-  std::optional<fleet::link> fleet;
+  std::optional<cluster::agent> fleet;
   if (settings.fleet) fleet.emplace(reactor, *settings.fleet, random_number());
   std::optional<uwsgi::client> servers;
-  std::optional<dependencies::gatherer> gatherer;
-  std::optional<dependencies::writer> writer;
+  std::optional<fan_out::client> gatherer;
+  std::optional<transaction::coordinator> writer;
   // Budgets of the fleet: only where the operator's file names one.
-  std::optional<fleet::shares> shared;
+  std::optional<cluster::quota_client> shared;
   // Work behind the requests: only where the operator's file asks for some.
   std::optional<background> jobs;
   operators_desk operators(settings, desk, counters, runtime, front, drained, fleet ? &*fleet : nullptr,
                            gatherer, writer, shared, jobs);
-  std::optional<console::server> console;
+  std::optional<admin::console_server> console;
   if (settings.console) {
     console.emplace(reactor, bounds, *settings.console, operators, counters);
     telemetry::log("start", "console on %s:%u", settings.console->host.c_str(),
@@ -293,20 +293,20 @@
                    static_cast<unsigned>(settings.uwsgi->listen.port));
   }
   if (settings.budgets) {
-    fleet::calls_user calls;
+    cluster::calls_user calls;
     calls.limit = [&](std::size_t d, double n) {
       writer ? writer->set_share(d, n) : gatherer->set_share(d, n);
     };
     calls.use = [&](std::size_t d) {
-      const dependencies::gatherer::calls now = writer ? writer->calls_at(d) : gatherer->calls_at(d);
-      return fleet::calls_user::calls{now.in_flight, now.waiting, now.turned_away};
+      const fan_out::client::calls now = writer ? writer->calls_at(d) : gatherer->calls_at(d);
+      return cluster::calls_user::calls{now.in_flight, now.waiting, now.turned_away};
     };
     shared.emplace(*fleet, settings, desk, counters, std::move(calls));
   }
   if (background::wanted(settings))
     jobs.emplace(
         settings, counters, [&] { waker->wake(); }, net::steady_now());
-  std::optional<ops::departure> leaving;  // from the notice on
+  std::optional<lifecycle::graceful_shutdown> leaving;  // from the notice on
   handover_file handover(settings);
   std::uint64_t routed_by = ~std::uint64_t{0};  // the fleet's changes that the routes of calls follow already
   bool writes_looked_after = false;             // the folder's tables are, by background work
@@ -324,7 +324,7 @@
       telemetry::print(counters);
       if (gatherer) gatherer->print();
     }
-    if (take_reload_request()) reload(settings, runtime, reporter);
+    if (take_reload_request()) reload(settings, runtime, registry_client);
     if (operators.ready()) handover.mark_ready();
     if (told_to_leave() && !leaving) {
       const bool handed_over = handover.taken_over();
@@ -377,7 +377,7 @@
         front.leave();
         if (second_front) second_front->leave();
       }
-      ops::departure::progress connections;
+      lifecycle::graceful_shutdown::progress connections;
       if (leaving->ends_connections(now)) {
         const bool first_ended = front.end_connections();
         connections.ended = (!second_front || second_front->end_connections()) && first_ended;
@@ -388,8 +388,8 @@
       if (leaving->is_over(now, connections)) reactor.stop();
     }
     const time_point due = std::min(
-        {desk.due(), runtime.step(now), reporter.step(now, drained.healthy(desk.healthy())), front.step(now),
-         second_front ? second_front->step(now) : time_point::max(),
+        {desk.due(), runtime.step(now), registry_client.step(now, drained.healthy(desk.healthy())),
+         front.step(now), second_front ? second_front->step(now) : time_point::max(),
          gatherer ? gatherer->step(now) : time_point::max(), writer ? writer->step(now) : time_point::max(),
          console ? console->step(now) : time_point::max(), fleet_due, shared_due, next_lock_try,
          jobs ? jobs->due() : time_point::max()});
@@ -399,4 +399,4 @@
   telemetry::print(counters);
 }
 
-}  // namespace marblewharf::node
+}  // namespace marblewharf::server
--- a/src/node/serve.hpp
+++ b/src/server/serve.hpp
@@ -2,12 +2,12 @@
 #pragma once
 
 #include "config/config.hpp"
-#include "net/tap.hpp"
+#include "net/traffic_observer.hpp"
 
-namespace marblewharf::node {
+namespace marblewharf::server {
 
 // Heeds the signals that node::catch_signals() notes. Returns when the node has left; throws what keeps it
 // from starting.
-void serve(const config& settings, net::tap* tap);
+void serve(const config& settings, net::traffic_observer* traffic_observer);
 
-}  // namespace marblewharf::node
+}  // namespace marblewharf::server
--- a/src/node/signals.cpp
+++ b/src/server/signals.cpp
@@ -1,9 +1,9 @@
-#include "node/signals.hpp"
+#include "server/signals.hpp"
 
 #include <csignal>
 #include <initializer_list>
 
-namespace marblewharf::node {
+namespace marblewharf::server {
 namespace {
 
 volatile std::sig_atomic_t leave_noted = 0;
@@ -46,4 +46,4 @@
   return take(counters_noted);
 }
 
-}  // namespace marblewharf::node
+}  // namespace marblewharf::server
--- a/src/node/signals.hpp
+++ b/src/server/signals.hpp
@@ -1,7 +1,7 @@
 // The signals that the process heeds. A handler only notes that one came; the reactor's thread asks for it.
 #pragma once
 
-namespace marblewharf::node {
+namespace marblewharf::server {
 
 // From now on signals are noted. To be called before anything else: until then SIGHUP and SIGUSR1 end the
 // process.
@@ -14,4 +14,4 @@
 bool take_reload_request();
 bool take_counters_request();
 
-}  // namespace marblewharf::node
+}  // namespace marblewharf::server
--- a/src/simhost.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -8,12 +8,12 @@
 #include <string>
 #include <vector>
 
+#include "admission_policy/policy.hpp"
 #include "wire.hpp"
-#include "wrenrill/policy.hpp"
 
 namespace {
 
-using namespace wrenrill;
+using namespace admission_policy;
 
 class host {
  public:
@@ -111,7 +111,7 @@
     serve();
     return 0;
   } catch (const std::exception& e) {
-    std::cerr << "wrenrill_simhost: " << e.what() << '\n';
+    std::cerr << "simulator_adapter: " << e.what() << '\n';
     return 1;
   }
 }
--- a/src/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -5,9 +5,9 @@
 #include <cstring>
 #include <limits>
 
-#include "settings.hpp"
+#include "../policy_settings/settings_reader.hpp"
 
-namespace wrenrill::wire {
+namespace admission_policy::wire {
 namespace {
 
 enum class event_code : std::uint8_t {
@@ -219,7 +219,7 @@
     put<std::uint64_t>(out, raw_time(a.stay_away));
     put<std::uint8_t>(out, a.not_elsewhere ? 1 : 0);
   }
-  void write(instance_id i, const wrenrill::fail& a) { about(action_code::give_up, i, a.id); }
+  void write(instance_id i, const admission_policy::fail& a) { about(action_code::give_up, i, a.id); }
   void write(instance_id i, const place_call& a) {
     about(action_code::go_call, i, a.id, 8);
     put<std::uint64_t>(out, raw_time(a.limit));
@@ -301,4 +301,4 @@
   return settings_from(paths);
 }
 
-}  // namespace wrenrill::wire
+}  // namespace admission_policy::wire
--- a/src/wire.hpp
+++ b/src/simulator_adapter/wire.hpp
@@ -9,9 +9,9 @@
 #include <variant>
 #include <vector>
 
-#include "wrenrill/policy.hpp"
+#include "admission_policy/policy.hpp"
 
-namespace wrenrill::wire {
+namespace admission_policy::wire {
 
 using instance_id = std::uint16_t;
 
@@ -50,4 +50,4 @@
 // used.
 settings parse_settings(std::string_view environment);
 
-}  // namespace wrenrill::wire
+}  // namespace admission_policy::wire
--- a/src/thrift/front.cpp
+++ b/src/thrift/front.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 #include <vector>
 
-#include "net/closing.hpp"
+#include "net/graceful_close.hpp"
 #include "thrift/request.hpp"
 
 namespace marblewharf::thrift {
@@ -170,7 +170,7 @@
     if (unused == nullptr) {
       ++counters_.turned_away;
       log("full", "connection closed at once, %zu stand", connections_.size());
-      net::turn_away(socket, encode_closing());
+      net::reject_connection(socket, encode_closing());
       return;
     }
     ++counters_.made_room;
--- a/src/thrift/request.cpp
+++ b/src/thrift/request.cpp
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <optional>
 
-#include "keyed/content.hpp"
+#include "idempotency/fingerprint.hpp"
 
 namespace marblewharf::thrift {
 namespace {
@@ -52,9 +52,9 @@
 void read_key(const execute& what, const key_rules& keys, request& r) {
   if (!keys.required && !what.fields.contains(keys.field)) return;
   r.key = field(what.fields, keys.field.c_str());
-  if (keyed::fault_of_key(r.key, keys.longest) != nullptr) throw bad_field(keys.field);
+  if (idempotency::fault_of_key(r.key, keys.longest) != nullptr) throw bad_field(keys.field);
   const std::array<std::string_view, 2> asked = {"thrift", what.body};
-  r.content = keyed::content_hash(asked);
+  r.content = idempotency::fingerprint_of(asked);
 }
 
 }  // namespace
