--- a/src/dependencies/writer.cpp
+++ b/src/transaction/coordinator.cpp
@@ -1,4 +1,4 @@
-#include "dependencies/writer.hpp"
+#include "transaction/coordinator.hpp"
 
 #include <Poco/Exception.h>
 
@@ -8,11 +8,11 @@
 #include <sstream>
 #include <utility>
 
-#include "dependencies/compose.hpp"
-#include "dependencies/write_folder.hpp"
+#include "fan_out/response_assembly.hpp"
+#include "transaction/log_folder.hpp"
 #include "uwsgi/packet.hpp"
 
-namespace marblewharf::dependencies {
+namespace marblewharf::transaction {
 
 using telemetry::log;
 
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-struct writer::write {
+struct coordinator::write {
   write_id id;
   std::uint64_t number = 0;  // the second half of its id: rises from write to write, also over restarts
   std::size_t request_class = 0;
@@ -50,7 +50,7 @@
   log_mark on_disk{};                                   // the last one; 0 = none
   std::uint64_t room = 0;                               // of reserved_
   std::vector<std::shared_ptr<uwsgi::exchange>> talks;  // by participant
-  std::vector<part_result> results;                     // by participant, of its commit
+  std::vector<fan_out::part_result> results;            // by participant, of its commit
   std::vector<endpoint> at;        // by participant: the one endpoint that all its steps go to
   std::vector<std::size_t> route;  // the same, by its number
   std::vector<time_point> asked;   // by participant: its step in flight
@@ -68,7 +68,7 @@
 
 std::vector<double> bounds_of(const dependencies_config& all) {
   std::vector<double> most;
-  for (const dependency_rules& r : all.rules) most.push_back(r.most_in_flight);
+  for (const upstream::dependency_rules& r : all.rules) most.push_back(r.most_in_flight);
   return most;
 }
 
@@ -80,8 +80,9 @@
 
 }  // namespace
 
-writer::writer(net::reactor& r, const config& settings, dispatcher& d, gatherer& behind,
-               std::shared_ptr<store::file_system> fs, std::uint64_t random, std::function<void()> notify)
+coordinator::coordinator(net::reactor& r, const config& settings, dispatcher& d, fan_out::client& behind,
+                         std::shared_ptr<store::file_system> fs, std::uint64_t random,
+                         std::function<void()> notify)
     : reactor_(r),
       config_(settings),
       dispatcher_(d),
@@ -94,7 +95,7 @@
       calls_(bounds_of(*settings.dependencies),
              [this](std::size_t dependency) { return behind_.calls_at(dependency).in_flight; }),
       outcomes_(settings.writes->outcomes) {
-  for (const dependency_rules& rules : config_.dependencies->rules)
+  for (const upstream::dependency_rules& rules : config_.dependencies->rules)
     routes_.emplace_back(rules.endpoints, rules.health, rules.near);
   try {
     open_folder();
@@ -105,16 +106,16 @@
 }
 
 // A slice of background work may still have the service, and its end must not wake a reactor that has gone.
-writer::~writer() {
+coordinator::~coordinator() {
   if (service_ != nullptr) service_->stop();
 }
 
-void writer::open_folder() {
+void coordinator::open_folder() {
   const writes_config& w = *config_.writes;
   const std::chrono::nanoseconds unix_now = std::chrono::system_clock::now().time_since_epoch();
-  write_folder found =
-      open_write_folder(*fs_, {w.folder, w.segment, w.space, keep_, random_}, unix_now.count());
-  clock_ = keyed::ageing_clock(unix_now, std::chrono::nanoseconds(found.tables->latest()), net::steady_now());
+  log_folder found = open_log_folder(*fs_, {w.folder, w.segment, w.space, keep_, random_}, unix_now.count());
+  clock_ =
+      idempotency::aging_clock(unix_now, std::chrono::nanoseconds(found.tables->latest()), net::steady_now());
   salt_ = found.tables->salt();
   if (found.moved > 0)
     log("writes", "%s: %zu rows made of an older program's marks", w.folder.c_str(), found.moved);
@@ -141,7 +142,7 @@
   }
 }
 
-void writer::take_folder_over(time_point steady) {
+void coordinator::take_folder_over(time_point steady) {
   next_try_ = steady + config_.keyed->retry_disk;
   try {
     open_folder();
@@ -152,19 +153,19 @@
     // Damage does not mend itself, and each try reads the folder on the reactor's thread.
     if (dynamic_cast<const store::damaged*>(&e) != nullptr) next_try_ = time_point::max();
     open_.clear();
-    outcomes_ = outcomes(config_.writes->outcomes);
+    outcomes_ = outcome_cache(config_.writes->outcomes);
     service_ = nullptr;
     log("handover", "%s cannot be taken over: %s", config_.writes->folder.c_str(), e.what());
   }
 }
 
-std::int64_t writer::now() const {
+std::int64_t coordinator::now() const {
   return clock_.at(net::steady_now());
 }
 
 // As the keyed results know it: by tenant, class and key; by name, since numbers may change from one start to
 // the next, and a write that is not found counts as one that never ran.
-std::string writer::key_of(const request& what) const {
+std::string coordinator::key_of(const request& what) const {
   const auto& tenants = config_.settings.tenants;
   std::string key = what.tenant < tenants.size() ? tenants[what.tenant].name : std::string();
   key += '\0';
@@ -173,14 +174,14 @@
   return key += what.key;
 }
 
-const write_plan* writer::plan_of(const request& what) const {
+const write_plan* coordinator::plan_of(const request& what) const {
   for (const write_plan& p : config_.writes->plans)
     if (p.request_class == what.request_class) return &p;
   return nullptr;
 }
 
-std::shared_ptr<writer::write> writer::make(const write_id& id, std::size_t request_class,
-                                            std::string payload, std::string key) {
+std::shared_ptr<coordinator::write> coordinator::make(const write_id& id, std::size_t request_class,
+                                                      std::string payload, std::string key) {
   const write_plan* plan = nullptr;
   for (const write_plan& p : config_.writes->plans) {
     if (p.request_class == request_class) plan = &p;
@@ -206,7 +207,7 @@
 }
 
 // Once for each write, before it begins: what a participant has promised its endpoint alone knows.
-void writer::choose_endpoints(write& w) {
+void coordinator::choose_endpoints(write& w) {
   for (std::size_t i = 0; i < w.at.size(); ++i) {
     const std::size_t d = w.plan->participants[i];
     w.route[i] = routes_[d].choose(w.begun, draws_(), true).value_or(0);
@@ -217,35 +218,35 @@
 
 // Its steps begin once it is on disk. Uncounted until then, all that arrive in the meantime would choose the
 // same endpoint.
-void writer::bind_routes(const write& w, bool bound) {
+void coordinator::bind_routes(const write& w, bool bound) {
   for (std::size_t i = 0; i < w.route.size(); ++i) {
-    endpoints* r = route_of(w, i);
+    upstream::endpoint_set* r = route_of(w, i);
     if (r == nullptr) continue;
     bound ? r->on_bound(w.route[i]) : r->on_unbound(w.route[i]);
   }
 }
 
 // None where the endpoint is no longer configured.
-endpoints* writer::route_of(const write& w, std::size_t participant) {
-  endpoints& all = routes_[w.plan->participants[participant]];
+upstream::endpoint_set* coordinator::route_of(const write& w, std::size_t participant) {
+  upstream::endpoint_set& all = routes_[w.plan->participants[participant]];
   return w.route[participant] < all.count() ? &all : nullptr;
 }
 
 // How an endpoint fares tells where the next writes go.
-void writer::step_ended(const write& w, std::size_t participant, bool told, bool well) {
+void coordinator::step_ended(const write& w, std::size_t participant, bool told, bool well) {
   const time_point at = net::steady_now();
-  if (endpoints* r = route_of(w, participant))
+  if (upstream::endpoint_set* r = route_of(w, participant))
     r->on_end(w.route[participant], at, at - w.asked[participant], told, well);
 }
 
-void writer::routes_changed(const std::function<bool(const std::string&)>& routable) {
+void coordinator::routes_changed(const std::function<bool(const std::string&)>& routable) {
   for (std::size_t d = 0; d < routes_.size(); ++d) {
     const std::vector<std::string>& places = config_.dependencies->endpoints[d].places;
     for (std::size_t e = 0; e < places.size(); ++e) routes_[d].set_reachable(e, routable(places[e]));
   }
 }
 
-void writer::recover(const begun_write& b, log_mark last) {
+void coordinator::recover(const begun_write& b, log_mark last) {
   std::size_t i = 0;
   while (i < config_.settings.classes.size() && config_.settings.classes[i].name != b.request_class) ++i;
   auto w = i < config_.settings.classes.size() ? make(b.id, i, b.payload, b.key) : nullptr;
@@ -272,7 +273,7 @@
 // ---- backend ----------------------------------------------------------------------------------------------
 
 // Why a write cannot begin now, as the time after which it is worth coming back.
-std::optional<duration> writer::no_room(const write_plan& plan, const request& what) {
+std::optional<duration> coordinator::no_room(const write_plan& plan, const request& what) {
   constexpr duration soon = std::chrono::seconds(1);
   if (!disk_ || !disk_->writable) return config_.keyed->retry_disk;
   const auto aged = [&] { return std::max<duration>(soon, duration(outcomes_.next_ageing() - now())); };
@@ -285,7 +286,7 @@
   return std::nullopt;
 }
 
-void writer::run(request_id id, const request& what) {
+void coordinator::run(request_id id, const request& what) {
   const write_plan* plan = plan_of(what);
   if (plan == nullptr) {
     behind_.run(id, what);
@@ -318,7 +319,7 @@
 }
 
 // It cannot be stopped: it goes on to its end, which the key tells later.
-void writer::pause(request_id id) {
+void coordinator::pause(request_id id) {
   const auto at = runs_.find(id);
   if (at == runs_.end()) {
     behind_.pause(id);
@@ -330,11 +331,11 @@
   dispatcher_.on_end(id, run_end::broken_off, {}, {});
 }
 
-void writer::resume(request_id id) {
+void coordinator::resume(request_id id) {
   if (!runs_.contains(id)) behind_.resume(id);
 }
 
-bool writer::inquire(request_id id, const request& what) {
+bool coordinator::inquire(request_id id, const request& what) {
   if (plan_of(what) == nullptr) return behind_.inquire(id, what);
   reactor_.wake();
   if (!service_) {  // what another process has in the folder is not known here
@@ -342,13 +343,13 @@
     return true;
   }
   const std::string key = key_of(what);
-  const outcomes::key hash = hash_of(key);
-  const outcomes::known o = outcomes_.of(hash);
+  const outcome_cache::key hash = hash_of(key);
+  const outcome_cache::known o = outcomes_.of(hash);
   switch (o.how) {
     // Nothing of it was ever on disk, so nobody was asked; or it was undone.
-    case outcomes::standing::unknown: dispatcher_.on_inquired(id, inquiry_end::never_ran, {}); break;
-    case outcomes::standing::under_way: dispatcher_.on_inquired(id, inquiry_end::unknown, {}); break;
-    case outcomes::standing::committed:
+    case outcome_cache::standing::unknown: dispatcher_.on_inquired(id, inquiry_end::never_ran, {}); break;
+    case outcome_cache::standing::under_way: dispatcher_.on_inquired(id, inquiry_end::unknown, {}); break;
+    case outcome_cache::standing::committed:
       if (service_->get(++last_ticket_, outcome_table, outcome_key({o.which, hash}))) {
         reads_[last_ticket_] = {id, key};
       } else {
@@ -359,13 +360,13 @@
   return true;
 }
 
-void writer::set_share(std::size_t dependency, double most) {
+void coordinator::set_share(std::size_t dependency, double most) {
   calls_.set_share(dependency, most);
   behind_.set_share(dependency, calls_.left(dependency));
 }
 
-gatherer::calls writer::calls_at(std::size_t dependency) const {
-  gatherer::calls c = behind_.calls_at(dependency);
+fan_out::client::calls coordinator::calls_at(std::size_t dependency) const {
+  fan_out::client::calls c = behind_.calls_at(dependency);
   c.in_flight += calls_.writes(dependency);
   c.waiting += waiting_;
   c.turned_away += calls_.turned_away(dependency);
@@ -373,11 +374,11 @@
 }
 
 // Its calls were taken or given back: what gathers at the same dependencies has the rest of the share.
-void writer::share_changed(const write& w) {
+void coordinator::share_changed(const write& w) {
   for (const std::size_t d : w.plan->participants) behind_.set_share(d, calls_.left(d));
 }
 
-std::string writer::figures() const {
+std::string coordinator::figures() const {
   return "writes.open=" + std::to_string(open_.size()) +
          "\nwrites.outcomes=" + std::to_string(outcomes_.size()) +
          "\nwrites.turned_away=" + std::to_string(turned_away_) +
@@ -390,7 +391,7 @@
 
 // ---- Steps and marks --------------------------------------------------------------------------------------
 
-void writer::advance(const std::shared_ptr<write>& w) {
+void coordinator::advance(const std::shared_ptr<write>& w) {
   while (const auto a = w->machine.pick()) {
     if (const auto* s = std::get_if<take_step>(&*a)) {
       take(w, *s);
@@ -413,7 +414,7 @@
   if (w->machine.where() == transaction::stage::over) finish(w);
 }
 
-void writer::mark(const std::shared_ptr<write>& w, log_mark m) {
+void coordinator::mark(const std::shared_ptr<write>& w, log_mark m) {
   store::batch b;
   if (m == log_mark::begun) {
     begun_write begun{w->id, config_.settings.classes[w->request_class].name, w->key, w->payload, {}};
@@ -434,13 +435,13 @@
 }
 
 // In their order: where the queue is full, they wait for the next step.
-void writer::send_unsent() {
+void coordinator::send_unsent() {
   while (!unsent_.empty() &&
          service_->commit(unsent_.front().first, unsent_.front().second, store::durability::now))
     unsent_.pop_front();
 }
 
-void writer::on_marked(std::uint64_t ticket, bool durable) {
+void coordinator::on_marked(std::uint64_t ticket, bool durable) {
   const auto at = marks_.find(ticket);
   if (at == marks_.end()) return;
   const marking m = at->second;
@@ -453,7 +454,7 @@
   advance(w);
 }
 
-void writer::on_read(const reading& r, const store::table_service::done& d) {
+void coordinator::on_read(const reading& r, const store::table_service::done& d) {
   const auto e = d.value ? read_ended(*d.value) : std::nullopt;
   const bool ours = e && e->key == r.key;
   if (!ours)
@@ -465,7 +466,7 @@
                           ours ? e->result : std::string());
 }
 
-void writer::take(const std::shared_ptr<write>& w, const take_step& s) {
+void coordinator::take(const std::shared_ptr<write>& w, const take_step& s) {
   const dependency_config& d = config_.dependencies->endpoints[w->plan->participants[s.participant]];
   std::string bytes;
   if (const auto p = uwsgi::next_packet(w->payload, config_.bounds)) {
@@ -482,7 +483,7 @@
   const endpoint& to = w->at[s.participant];
   if (w->talks[s.participant] != nullptr)
     step_ended(*w, s.participant, false, false);  // one that nobody waits for now
-  if (endpoints* r = route_of(*w, s.participant)) r->on_start(w->route[s.participant]);
+  if (upstream::endpoint_set* r = route_of(*w, s.participant)) r->on_start(w->route[s.participant]);
   w->asked[s.participant] = net::steady_now();
   try {
     w->talks[s.participant] = std::make_shared<uwsgi::exchange>(
@@ -498,9 +499,9 @@
 }
 
 // 2xx: yes; 409: no, for good; anything else says nothing.
-void writer::on_exchanged(const write_id& id, std::size_t participant, step_kind what,
-                          uwsgi::exchange_end how, const uwsgi::response_head* head,
-                          std::string_view response) {
+void coordinator::on_exchanged(const write_id& id, std::size_t participant, step_kind what,
+                               uwsgi::exchange_end how, const uwsgi::response_head* head,
+                               std::string_view response) {
   const auto at = open_.find(id);
   if (at == open_.end()) return;
   const auto w = at->second;
@@ -513,22 +514,22 @@
   if (how == uwsgi::exchange_end::whole && head->status == no) end = step_end::no;
   if (what == step_kind::commit && end == step_end::yes) {
     w->committed = true;
-    w->results[participant] = {part_is::fresh, {}, std::string(response.substr(head->size))};
+    w->results[participant] = {fan_out::part_is::fresh, {}, std::string(response.substr(head->size))};
   }
   step_ended(*w, participant, true, end != step_end::unknown);
   w->machine.on_step(participant, what, end);
   advance(w);
 }
 
-std::string writer::compose_result(const write& w) const {
-  plan p;
+std::string coordinator::compose_result(const write& w) const {
+  upstream::request_plan p;
   for (const std::size_t i : w.plan->participants)
     p.parts.push_back({config_.dependencies->endpoints[i].name, i, false, {}});
-  return compose(p, w.results);
+  return fan_out::assemble_response(p, w.results);
 }
 
-void writer::finish(const std::shared_ptr<write>& w) {
-  const outcomes::key key = hash_of(w->key);
+void coordinator::finish(const std::shared_ptr<write>& w) {
+  const outcome_cache::key key = hash_of(w->key);
   if (w->committed && w->on_disk == log_mark::over) {
     outcomes_.committed(key, w->number, now() + keep_.count());
   } else {
@@ -544,13 +545,13 @@
   open_.erase(w->id);
 }
 
-void writer::schedule(write& w) {
+void coordinator::schedule(write& w) {
   due_.erase({w.due, w.id});
   w.due = std::min(w.decide_by, w.again_at);
   due_.emplace(w.due, w.id);
 }
 
-void writer::look_at(const std::shared_ptr<write>& w, time_point steady) {
+void coordinator::look_at(const std::shared_ptr<write>& w, time_point steady) {
   if (w->waits && calls_.take(w->plan->participants, true)) {
     w->waits = false;
     --waiting_;
@@ -586,7 +587,7 @@
   advance(w);
 }
 
-time_point writer::step(time_point steady) {
+time_point coordinator::step(time_point steady) {
   if (!service_) {
     if (steady >= next_try_) take_folder_over(steady);
     if (!service_) return next_try_;
@@ -622,4 +623,4 @@
   return due_.empty() ? next : std::min(next, due_.begin()->first);
 }
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::transaction
--- a/src/dependencies/writer.hpp
+++ b/src/transaction/coordinator.hpp
@@ -22,27 +22,27 @@
 
 #include "config/config.hpp"
 #include "core/dispatcher.hpp"
-#include "dependencies/call_book.hpp"
-#include "dependencies/endpoints.hpp"
-#include "dependencies/gatherer.hpp"
-#include "dependencies/outcomes.hpp"
-#include "dependencies/transaction.hpp"
-#include "dependencies/write_records.hpp"
-#include "keyed/clock.hpp"
+#include "fan_out/client.hpp"
+#include "idempotency/aging_clock.hpp"
 #include "net/reactor.hpp"
 #include "store/table_service.hpp"
+#include "transaction/log_records.hpp"
+#include "transaction/outcome_cache.hpp"
+#include "transaction/state_machine.hpp"
+#include "upstream/endpoint_set.hpp"
+#include "upstream/in_flight_calls.hpp"
 #include "uwsgi/exchange.hpp"
 
-namespace marblewharf::dependencies {
+namespace marblewharf::transaction {
 
-class writer : public backend {
+class coordinator : public backend {
  public:
   // Reads the folder and goes on with what is open in it, unless another process holds it; what an older
   // program left in it is moved up first. `notify`: step() has something to do, from another thread. Throws
   // store::io_error or store::damaged.
-  writer(net::reactor& r, const config& settings, dispatcher& d, gatherer& behind,
-         std::shared_ptr<store::file_system> fs, std::uint64_t random, std::function<void()> notify);
-  ~writer() override;
+  coordinator(net::reactor& r, const config& settings, dispatcher& d, fan_out::client& behind,
+              std::shared_ptr<store::file_system> fs, std::uint64_t random, std::function<void()> notify);
+  ~coordinator() override;
 
   // backend
   void run(request_id id, const request& what) override;
@@ -60,7 +60,7 @@
   // This node's share of calls at a dependency, and what writes and gatherings together have and want of
   // them.
   void set_share(std::size_t dependency, double most);
-  gatherer::calls calls_at(std::size_t dependency) const;
+  fan_out::client::calls calls_at(std::size_t dependency) const;
   // Lines of `writes.NAME=VALUE` for show-stat.
   std::string figures() const;
   // For whoever does its background work; none: another process has the folder.
@@ -77,7 +77,7 @@
   void open_folder();
   void take_folder_over(time_point now);
   std::string key_of(const request& what) const;
-  outcomes::key hash_of(const std::string& key) const { return hash_of_key(key, salt_); }
+  outcome_cache::key hash_of(const std::string& key) const { return hash_of_key(key, salt_); }
   const write_plan* plan_of(const request& what) const;
   std::optional<duration> no_room(const write_plan& plan, const request& what);
   std::uint64_t room_of(std::size_t payload) const;
@@ -91,7 +91,7 @@
                               std::string key);
   void choose_endpoints(write& w);
   void bind_routes(const write& w, bool bound);
-  endpoints* route_of(const write& w, std::size_t participant);
+  upstream::endpoint_set* route_of(const write& w, std::size_t participant);
   void step_ended(const write& w, std::size_t participant, bool told, bool well);
   void recover(const begun_write& b, log_mark last);
   void advance(const std::shared_ptr<write>& w);
@@ -106,21 +106,22 @@
   net::reactor& reactor_;
   const config& config_;
   dispatcher& dispatcher_;
-  gatherer& behind_;
+  fan_out::client& behind_;
   const std::shared_ptr<store::file_system> fs_;
   const std::function<void()> notify_;
   const duration keep_;  // outcomes: the longest window of any class
-  keyed::ageing_clock clock_;
+  idempotency::aging_clock clock_;
   std::uint64_t random_;
   std::uint64_t salt_ = 0;  // the folder's
   std::mt19937_64 draws_;
-  std::vector<endpoints> routes_;  // by dependency: which endpoint a new write takes, where places are known
-  call_book calls_;
+  std::vector<upstream::endpoint_set>
+      routes_;  // by dependency: which endpoint a new write takes, where places are known
+  upstream::in_flight_calls calls_;
   std::uint64_t last_number_ = 0;
   std::unordered_map<write_id, std::shared_ptr<write>> open_;
   std::unordered_map<request_id, write_id> runs_;
   std::set<std::pair<time_point, write_id>> due_;  // when each of open_ is looked at next
-  outcomes outcomes_;
+  outcome_cache outcomes_;
   struct marking {
     write_id id;
     log_mark what{};
@@ -139,4 +140,4 @@
   std::shared_ptr<store::table_service> service_;  // last: its thread goes first
 };
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::transaction
--- a/src/dependencies/write_folder.cpp
+++ b/src/transaction/log_folder.cpp
@@ -1,10 +1,10 @@
-#include "dependencies/write_folder.hpp"
+#include "transaction/log_folder.hpp"
 
 #include <algorithm>
 #include <limits>
 #include <utility>
 
-namespace marblewharf::dependencies {
+namespace marblewharf::transaction {
 namespace {
 
 constexpr double amplification = 2;  // docs/store.md
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-write_folder open_write_folder(store::file_system& fs, const write_folder_options& o, std::int64_t unix_now) {
+log_folder open_log_folder(store::file_system& fs, const log_folder_options& o, std::int64_t unix_now) {
   older_marks older;
   store::tables_options t;
   t.folder = o.folder;
@@ -40,7 +40,7 @@
   t.most_keys = std::numeric_limits<std::size_t>::max();  // outcomes and open writes have bounds of their own
   t.salt = o.salt;
   t.older = [&older](std::uint32_t type, std::string_view body) { older.take(type, body); };
-  write_folder found;
+  log_folder found;
   found.tables = std::make_unique<store::tables>(fs, std::move(t), unix_now);
   store::tables& all = *found.tables;
   const std::int64_t now = std::max(unix_now, all.latest());
@@ -63,4 +63,4 @@
   return found;
 }
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::transaction
--- a/src/dependencies/write_folder.hpp
+++ b/src/transaction/log_folder.hpp
@@ -11,12 +11,12 @@
 #include <string>
 #include <vector>
 
-#include "dependencies/write_records.hpp"
 #include "store/tables.hpp"
+#include "transaction/log_records.hpp"
 
-namespace marblewharf::dependencies {
+namespace marblewharf::transaction {
 
-struct write_folder_options {
+struct log_folder_options {
   std::string folder;
   std::uint64_t segment = std::uint64_t{8} << 20, space = std::uint64_t{256} << 20;  // bytes
   std::chrono::nanoseconds keep{};  // an outcome, from its write's end
@@ -31,7 +31,7 @@
   outcome_id what;
   std::int64_t expiry = 0;
 };
-struct write_folder {
+struct log_folder {
   std::unique_ptr<store::tables> tables;
   std::vector<found_write> open;
   std::vector<found_outcome> over;  // in the order in which they age
@@ -40,6 +40,6 @@
 
 // Throws store::held, io_error (also where there is no room to move up) or damaged. What was begun and broken
 // off is done anew by the next call.
-write_folder open_write_folder(store::file_system& fs, const write_folder_options& o, std::int64_t unix_now);
+log_folder open_log_folder(store::file_system& fs, const log_folder_options& o, std::int64_t unix_now);
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::transaction
--- a/src/dependencies/write_records.cpp
+++ b/src/transaction/log_records.cpp
@@ -1,15 +1,15 @@
-#include "dependencies/write_records.hpp"
+#include "transaction/log_records.hpp"
 
 #include <algorithm>
 #include <array>
 #include <charconv>
 #include <utility>
 
-#include "keyed/records.hpp"
+#include "idempotency/records.hpp"
 #include "store/bytes.hpp"
 #include "store/table_records.hpp"
 
-namespace marblewharf::dependencies {
+namespace marblewharf::transaction {
 namespace {
 
 void put_text(std::string& out, std::string_view text) {
@@ -144,8 +144,8 @@
          row_room(24, names + longest_result);
 }
 
-outcomes::key hash_of_key(std::string_view key, std::uint64_t salt) {
-  const keyed::key_id h = keyed::hash_of({}, {}, key, salt);
+outcome_cache::key hash_of_key(std::string_view key, std::uint64_t salt) {
+  const idempotency::key_id h = idempotency::hash_of({}, {}, key, salt);
   return {h.low, h.high};
 }
 
@@ -192,4 +192,4 @@
   return out;
 }
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::transaction
--- a/src/dependencies/write_records.hpp
+++ b/src/transaction/log_records.hpp
@@ -12,11 +12,11 @@
 #include <string_view>
 #include <vector>
 
-#include "dependencies/outcomes.hpp"
-#include "dependencies/transaction.hpp"
 #include "store/tables.hpp"
+#include "transaction/outcome_cache.hpp"
+#include "transaction/state_machine.hpp"
 
-namespace marblewharf::dependencies {
+namespace marblewharf::transaction {
 
 inline constexpr const char* open_table = "open";
 inline constexpr const char* mark_table = "mark";
@@ -37,7 +37,7 @@
 };
 struct outcome_id {
   std::uint64_t number = 0;
-  outcomes::key key;  // hash under the folder's salt
+  outcome_cache::key key;  // hash under the folder's salt
 };
 
 // Each is durable before anything that follows from it.
@@ -58,7 +58,7 @@
 std::uint64_t room_of_write(std::size_t payload, std::size_t longest_result);
 
 // The hash by which a key is known in a folder.
-outcomes::key hash_of_key(std::string_view key, std::uint64_t salt);
+outcome_cache::key hash_of_key(std::string_view key, std::uint64_t salt);
 
 // The marks of an older program's folder, in their order: the last one of a write counts, and a mark that
 // says all of it anew begins it where what it began with has aged.
@@ -82,4 +82,4 @@
   std::map<std::string, one> all_;  // by id
 };
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::transaction
--- a/src/dependencies/outcomes.hpp
+++ b/src/transaction/outcome_cache.hpp
@@ -10,9 +10,9 @@
 #include <deque>
 #include <unordered_map>
 
-namespace marblewharf::dependencies {
+namespace marblewharf::transaction {
 
-class outcomes {
+class outcome_cache {
  public:
   using moment = std::int64_t;  // ns of the ageing clock
   // A key with its scope, as a hash.
@@ -30,7 +30,7 @@
     std::uint64_t which = 0;  // the write's number
   };
 
-  explicit outcomes(std::size_t most) : most_(most) {}
+  explicit outcome_cache(std::size_t most) : most_(most) {}
 
   bool room() const { return table_.size() < most_; }
   // Write `which` of this key begins; numbers rise from write to write, also over restarts. An earlier one of
@@ -68,4 +68,4 @@
   std::deque<due> ageing_;  // of those that are over, the oldest first
 };
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::transaction
--- a/src/dependencies/transaction.cpp
+++ b/src/transaction/state_machine.cpp
@@ -1,10 +1,10 @@
-#include "dependencies/transaction.hpp"
+#include "transaction/state_machine.hpp"
 
 #include <algorithm>
 #include <stdexcept>
 #include <utility>
 
-namespace marblewharf::dependencies {
+namespace marblewharf::transaction {
 
 transaction::transaction(std::vector<part_kind> participants) {
   if (participants.empty()) throw std::invalid_argument("a write over no participant");
@@ -251,4 +251,4 @@
   }
 }
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::transaction
--- a/src/dependencies/transaction.hpp
+++ b/src/transaction/state_machine.hpp
@@ -17,7 +17,7 @@
 #include <variant>
 #include <vector>
 
-namespace marblewharf::dependencies {
+namespace marblewharf::transaction {
 
 // What a participant can do.
 enum class part_kind {
@@ -103,4 +103,4 @@
   std::size_t taken_ = 0;
 };
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::transaction
--- a/src/dependencies/adaptive_limit.cpp
+++ b/src/upstream/adaptive_limit.cpp
@@ -1,9 +1,9 @@
-#include "dependencies/adaptive_limit.hpp"
+#include "upstream/adaptive_limit.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace marblewharf::dependencies {
+namespace marblewharf::upstream {
 namespace {
 
 constexpr double mean_memory = 8;  // calls over which latency is averaged
@@ -56,4 +56,4 @@
   if (in_flight + 1 >= used * limit_) limit_ = std::min(most_, limit_ + 1 / limit_);
 }
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::upstream
--- a/src/dependencies/adaptive_limit.hpp
+++ b/src/upstream/adaptive_limit.hpp
@@ -6,7 +6,7 @@
 
 #include "core/request.hpp"
 
-namespace marblewharf::dependencies {
+namespace marblewharf::upstream {
 
 class adaptive_limit {
  public:
@@ -30,4 +30,4 @@
   time_point next_cut_{};
 };
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::upstream
--- a/src/dependencies/endpoints.cpp
+++ b/src/upstream/endpoint_set.cpp
@@ -1,10 +1,10 @@
-#include "dependencies/endpoints.hpp"
+#include "upstream/endpoint_set.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-namespace marblewharf::dependencies {
+namespace marblewharf::upstream {
 namespace {
 
 constexpr double mean_memory = 8;     // calls
@@ -15,16 +15,16 @@
 
 }  // namespace
 
-endpoints::endpoints(std::size_t count, endpoint_rules rules, nearness near)
+endpoint_set::endpoint_set(std::size_t count, endpoint_rules rules, nearness near)
     : rules_(rules), near_(std::move(near)), all_(count) {}
 
-std::size_t endpoints::out() const {
+std::size_t endpoint_set::out() const {
   return static_cast<std::size_t>(std::count_if(all_.begin(), all_.end(), [](const one& e) {
     return e.where == endpoint_state::out || e.where == endpoint_state::probing;
   }));
 }
 
-double endpoints::weight(const one& e, time_point now) const {
+double endpoint_set::weight(const one& e, time_point now) const {
   if (e.where != endpoint_state::ramping) return 1;
   const double done =
       std::chrono::duration<double>(now - e.since) / std::chrono::duration<double>(rules_.ramp);
@@ -33,15 +33,15 @@
 
 // Guards against an endpoint that was slow once: passed over for that, it would never show that it no longer
 // is.
-double endpoints::left_of_mean(duration unasked) const {
+double endpoint_set::left_of_mean(duration unasked) const {
   return std::exp2(
       -std::max(0.0, std::chrono::duration<double>(unasked) / std::chrono::duration<double>(rules_.fade)));
 }
 
 // Those among which the call goes, all of one level: the level by the levels' able shares
 // (failover/locality).
-std::vector<std::size_t> endpoints::near_ones(time_point now, std::uint64_t random,
-                                              std::optional<std::size_t> not_this) const {
+std::vector<std::size_t> endpoint_set::near_ones(time_point now, std::uint64_t random,
+                                                 std::optional<std::size_t> not_this) const {
   std::vector<failover::endpoint_state> states(all_.size());
   // What not even panic overrides: it asked for time, or holds as many calls as it may.
   std::vector<bool> closed(all_.size());
@@ -67,8 +67,8 @@
   return at;
 }
 
-std::optional<std::size_t> endpoints::choose(time_point now, std::uint64_t random, bool may_probe,
-                                             std::optional<std::size_t> not_this) {
+std::optional<std::size_t> endpoint_set::choose(time_point now, std::uint64_t random, bool may_probe,
+                                                std::optional<std::size_t> not_this) {
   std::vector<std::size_t> usable;
   for (std::size_t i = 0; i < all_.size(); ++i) {
     one& e = all_[i];
@@ -97,13 +97,13 @@
   return cost(b, a) < cost(a, b) ? b : a;
 }
 
-void endpoints::on_start(std::size_t which) {
+void endpoint_set::on_start(std::size_t which) {
   one& e = all_[which];
   e.was_idle = e.in_flight++ == 0;
   if (e.where == endpoint_state::probing) e.probe_out = true;
 }
 
-void endpoints::on_end(std::size_t which, time_point now, duration took, bool told, bool well) {
+void endpoint_set::on_end(std::size_t which, time_point now, duration took, bool told, bool well) {
   one& e = all_[which];
   if (e.in_flight > 0) --e.in_flight;
   // What is known weighs as little in the new mean as it did in the choice.
@@ -140,7 +140,7 @@
   }
 }
 
-void endpoints::hold_out(std::size_t which, time_point now, const char* why) {
+void endpoint_set::hold_out(std::size_t which, time_point now, const char* why) {
   one& e = all_[which];
   const bool is_out = e.where == endpoint_state::probing;
   // Guards against holding out all for what is wrong elsewhere: those that are left are used, failing or not.
@@ -155,16 +155,16 @@
   move(which, endpoint_state::out, why);
 }
 
-void endpoints::move(std::size_t which, endpoint_state to, const std::string& why) {
+void endpoint_set::move(std::size_t which, endpoint_state to, const std::string& why) {
   all_[which].where = to;
   changes_.emplace_back(which, why);
 }
 
-void endpoints::on_not_now(std::size_t which, time_point until) {
+void endpoint_set::on_not_now(std::size_t which, time_point until) {
   all_[which].not_before = std::max(all_[which].not_before, until);
 }
 
-std::optional<time_point> endpoints::next_use(time_point now) const {
+std::optional<time_point> endpoint_set::next_use(time_point now) const {
   std::optional<time_point> next;
   for (const one& e : all_) {
     if (e.where == endpoint_state::probing && e.probe_out) continue;
@@ -177,4 +177,4 @@
   return next;
 }
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::upstream
--- a/src/dependencies/endpoints.hpp
+++ b/src/upstream/endpoint_set.hpp
@@ -15,7 +15,7 @@
 #include "core/request.hpp"
 #include "failover/locality.hpp"
 
-namespace marblewharf::dependencies {
+namespace marblewharf::upstream {
 
 struct endpoint_rules {
   unsigned failures = 5;  // in a row, until it is held out
@@ -38,9 +38,9 @@
   failover::locality_options rules;
 };
 
-class endpoints {
+class endpoint_set {
  public:
-  endpoints(std::size_t count, endpoint_rules rules, nearness near = {});
+  endpoint_set(std::size_t count, endpoint_rules rules, nearness near = {});
 
   // Where the next call goes; none: all are held out, asked for time, or is `not_this`. `may_probe`: this
   // call may be the one that finds out whether an endpoint is back.
@@ -101,4 +101,4 @@
   std::vector<std::pair<std::size_t, std::string>> changes_;
 };
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::upstream
--- a/src/dependencies/call_book.cpp
+++ b/src/upstream/in_flight_calls.cpp
@@ -1,10 +1,10 @@
-#include "dependencies/call_book.hpp"
+#include "upstream/in_flight_calls.hpp"
 
 #include <algorithm>
 
-namespace marblewharf::dependencies {
+namespace marblewharf::upstream {
 
-bool call_book::take(const std::vector<std::size_t>& participants, bool waits) {
+bool in_flight_calls::take(const std::vector<std::size_t>& participants, bool waits) {
   bool room = true;
   for (const std::size_t d : participants) {
     const double with_it = static_cast<double>(writes_[d]) + 1;
@@ -17,12 +17,12 @@
   return true;
 }
 
-void call_book::give_back(const std::vector<std::size_t>& participants) {
+void in_flight_calls::give_back(const std::vector<std::size_t>& participants) {
   for (const std::size_t d : participants) --writes_[d];
 }
 
-double call_book::left(std::size_t dependency) const {
+double in_flight_calls::left(std::size_t dependency) const {
   return std::max(0.0, share_[dependency] - static_cast<double>(writes_[dependency]));
 }
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::upstream
--- a/src/dependencies/call_book.hpp
+++ b/src/upstream/in_flight_calls.hpp
@@ -10,13 +10,13 @@
 #include <limits>
 #include <vector>
 
-namespace marblewharf::dependencies {
+namespace marblewharf::upstream {
 
-class call_book {
+class in_flight_calls {
  public:
   // By dependency: writes that may be open there at once. `gathering`: calls in flight there that gather
   // parts.
-  call_book(std::vector<double> most, std::function<std::size_t(std::size_t)> gathering)
+  in_flight_calls(std::vector<double> most, std::function<std::size_t(std::size_t)> gathering)
       : most_(std::move(most)),
         gathering_(std::move(gathering)),
         share_(most_.size(), std::numeric_limits<double>::infinity()),
@@ -43,4 +43,4 @@
   std::vector<std::uint64_t> turned_away_;
 };
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::upstream
--- a/src/dependencies/latency.cpp
+++ b/src/upstream/latency_estimator.cpp
@@ -1,9 +1,9 @@
-#include "dependencies/latency.hpp"
+#include "upstream/latency_estimator.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace marblewharf::dependencies {
+namespace marblewharf::upstream {
 namespace {
 
 constexpr double first_us = 50;  // upper end of the first bucket
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-void latency::add(duration took) {
+void latency_estimator::add(duration took) {
   constexpr int recent_calls = 8;
   recent_ = recent_.count() == 0 ? took : recent_ + (took - recent_) / recent_calls;
   const double us = std::max(1.0, std::chrono::duration<double, std::micro>(took).count());
@@ -22,7 +22,7 @@
   for (std::uint32_t& c : counts_) total_ += c /= 2;
 }
 
-std::optional<duration> latency::quantile(double q) const {
+std::optional<duration> latency_estimator::quantile(double q) const {
   if (total_ < least) return std::nullopt;
   const double rank = q * total_;
   double seen = 0;
@@ -32,4 +32,4 @@
       std::chrono::duration<double, std::micro>(first_us * std::pow(factor, static_cast<double>(i))));
 }
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::upstream
--- a/src/dependencies/latency.hpp
+++ b/src/upstream/latency_estimator.hpp
@@ -8,9 +8,9 @@
 
 #include "core/request.hpp"
 
-namespace marblewharf::dependencies {
+namespace marblewharf::upstream {
 
-class latency {
+class latency_estimator {
  public:
   void add(duration took);
   // None before enough calls were seen. `q` from 0 to 1.
@@ -28,4 +28,4 @@
   duration recent_{};
 };
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::upstream
--- a/src/dependencies/plan.cpp
+++ b/src/upstream/plan.cpp
@@ -1,15 +1,16 @@
-#include "dependencies/plan.hpp"
+#include "upstream/plan.hpp"
 
 #include <set>
 
-namespace marblewharf::dependencies {
+namespace marblewharf::upstream {
 namespace {
 
 std::string ms(duration d) {
   return std::to_string(d / std::chrono::milliseconds(1)) + "ms";
 }
 
-void check_part(const plan& p, std::size_t which, int at, const std::vector<dependency_rules>& dependencies) {
+void check_part(const request_plan& p, std::size_t which, int at,
+                const std::vector<dependency_rules>& dependencies) {
   const part_plan& part = p.parts[static_cast<std::size_t>(at)];
   std::set<std::size_t> chain;
   duration needed{};
@@ -21,12 +22,12 @@
   };
   add(part.from);
   bool ended = false;
-  for (const stand_in& s : part.stand_ins) {
+  for (const fallback& s : part.stand_ins) {
     if (ended) throw bad_plan("has a fall-back behind a fixed one, which never fails", which, at);
-    if (s.what == stand_in::kind::dependency) add(s.from);
-    if (s.what == stand_in::kind::stale && s.oldest.count() <= 0)
+    if (s.what == fallback::kind::dependency) add(s.from);
+    if (s.what == fallback::kind::stale && s.oldest.count() <= 0)
       throw bad_plan("has a stale part of no age", which, at);
-    ended = s.what == stand_in::kind::fixed;
+    ended = s.what == fallback::kind::fixed;
   }
   if (needed > p.aim - p.reserve)
     throw bad_plan("needs " + ms(needed) + " one after the other, and the aim less the reserve is " +
@@ -36,9 +37,9 @@
 
 }  // namespace
 
-void check_plans(const std::vector<plan>& plans, const std::vector<dependency_rules>& dependencies) {
+void check_plans(const std::vector<request_plan>& plans, const std::vector<dependency_rules>& dependencies) {
   for (std::size_t i = 0; i < plans.size(); ++i) {
-    const plan& p = plans[i];
+    const request_plan& p = plans[i];
     if (p.parts.empty()) throw bad_plan("has no part", i, -1);
     std::set<std::string> names;
     for (std::size_t k = 0; k < p.parts.size(); ++k) {
@@ -50,4 +51,4 @@
   }
 }
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::upstream
--- a/src/dependencies/plan.hpp
+++ b/src/upstream/plan.hpp
@@ -8,9 +8,9 @@
 #include <vector>
 
 #include "core/request.hpp"
-#include "dependencies/endpoints.hpp"
+#include "upstream/endpoint_set.hpp"
 
-namespace marblewharf::dependencies {
+namespace marblewharf::upstream {
 
 // A dependency, and how it is called.
 struct dependency_rules {
@@ -29,7 +29,7 @@
 };
 
 // What stands in, the first that is to be had.
-struct stand_in {
+struct fallback {
   enum class kind { dependency, stale, fixed };
   kind what = kind::fixed;
   std::size_t from = 0;  // dependency
@@ -41,10 +41,10 @@
   std::string name;
   std::size_t from = 0;   // dependency
   bool required = false;  // without it the answer is a failure
-  std::vector<stand_in> stand_ins;
+  std::vector<fallback> stand_ins;
 };
 
-struct plan {
+struct request_plan {
   std::string request_class;
   duration aim{};                                    // of the class
   duration reserve = std::chrono::milliseconds(50);  // of it, to compose and send the answer
@@ -61,6 +61,6 @@
 
 // Throws bad_plan for one that could not be kept: no parts, a name twice, a dependency twice in one chain,
 // budgets of a chain that cannot all pass within the aim less the reserve.
-void check_plans(const std::vector<plan>& plans, const std::vector<dependency_rules>& dependencies);
+void check_plans(const std::vector<request_plan>& plans, const std::vector<dependency_rules>& dependencies);
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::upstream
--- a/src/dependencies/share_cap.cpp
+++ b/src/upstream/retry_budget.cpp
@@ -1,10 +1,10 @@
-#include "dependencies/share_cap.hpp"
+#include "upstream/retry_budget.hpp"
 
 #include <numeric>
 
-namespace marblewharf::dependencies {
+namespace marblewharf::upstream {
 
-void share_cap::turn(time_point now) {
+void retry_budget::turn(time_point now) {
   if (slice_end_ == time_point{} || now >= slice_end_ + slice_ * slices) {  // nothing of the window is left
     firsts_.fill(0);
     extras_.fill(0);
@@ -18,7 +18,7 @@
   }
 }
 
-bool share_cap::take(time_point now) {
+bool retry_budget::take(time_point now) {
   turn(now);
   const double firsts = std::accumulate(firsts_.begin(), firsts_.end(), 0u);
   const double extras = std::accumulate(extras_.begin(), extras_.end(), 0u);
@@ -30,4 +30,4 @@
   return true;
 }
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::upstream
--- a/src/dependencies/share_cap.hpp
+++ b/src/upstream/retry_budget.hpp
@@ -8,12 +8,12 @@
 
 #include "core/request.hpp"
 
-namespace marblewharf::dependencies {
+namespace marblewharf::upstream {
 
-class share_cap {
+class retry_budget {
  public:
   // `share`: extras for each first call; `floor`: extras a second that are allowed whatever comes.
-  share_cap(double share, double floor, duration window = std::chrono::seconds(10))
+  retry_budget(double share, double floor, duration window = std::chrono::seconds(10))
       : share_(share), floor_(floor), slice_(window / slices) {}
 
   void on_first(time_point now) {
@@ -35,4 +35,4 @@
   time_point slice_end_{};
 };
 
-}  // namespace marblewharf::dependencies
+}  // namespace marblewharf::upstream
--- a/src/uwsgi/client.cpp
+++ b/src/uwsgi/client.cpp
@@ -38,7 +38,7 @@
 }
 
 void client::run(request_id id, const request& what) {
-  const bool safe = config_.settings.classes[what.request_class].repeats == wrenrill::effect::safe;
+  const bool safe = config_.settings.classes[what.request_class].repeats == admission_policy::effect::safe;
   begin(std::make_shared<attempt>(id, what.payload, safe, false));
 }
 
--- a/src/uwsgi/front.cpp
+++ b/src/uwsgi/front.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "net/closing.hpp"
+#include "net/graceful_close.hpp"
 #include "uwsgi/request.hpp"
 
 namespace marblewharf::uwsgi {
@@ -81,7 +81,7 @@
     if (unused == nullptr) {
       ++counters_.turned_away;
       log("full", "uwsgi connection closed at once, %zu stand", connections_.size());
-      net::turn_away(socket, encode_response(503, "Retry-After: 1\r\n"));
+      net::reject_connection(socket, encode_response(503, "Retry-After: 1\r\n"));
       return;
     }
     ++counters_.made_room;
--- a/src/uwsgi/request.cpp
+++ b/src/uwsgi/request.cpp
@@ -3,7 +3,7 @@
 #include <array>
 #include <charconv>
 
-#include "keyed/content.hpp"
+#include "idempotency/fingerprint.hpp"
 
 namespace marblewharf::uwsgi {
 namespace {
@@ -30,13 +30,13 @@
   const auto var = [&](std::string_view name) { return p.find(name).value_or(std::string_view()); };
   const std::array<std::string_view, 5> asked = {"uwsgi", var("REQUEST_METHOD"), var("PATH_INFO"),
                                                  var("QUERY_STRING"), p.body};
-  return keyed::content_hash(asked);
+  return idempotency::fingerprint_of(asked);
 }
 
 void read_key(const packet& p, const keyed_config& keys, request& r) {
   if (keys.windows[r.request_class].count() == 0) return;
   const std::string_view key = p.find(keys.uwsgi_var).value_or(std::string_view());
-  if (const char* fault = keyed::fault_of_key(key, keys.longest_key))
+  if (const char* fault = idempotency::fault_of_key(key, keys.longest_key))
     throw bad_packet(bad_request, std::string(fault) + " in " + keys.uwsgi_var);
   r.key = key;
   r.content = content_of(p);
--- a/tests/harness.hpp
+++ b/tests/admission_policy/harness.hpp
@@ -5,9 +5,9 @@
 #include <variant>
 #include <vector>
 
-#include "wrenrill/policy.hpp"
+#include "admission_policy/policy.hpp"
 
-namespace wrenrill::testing {
+namespace admission_policy::testing {
 
 using namespace std::chrono_literals;
 
@@ -86,4 +86,4 @@
   return timer_fired{{cpu_busy}};
 }
 
-}  // namespace wrenrill::testing
+}  // namespace admission_policy::testing
--- a/tests/policy_test.cpp
+++ b/tests/admission_policy/policy_test.cpp
@@ -4,7 +4,7 @@
 
 #include "harness.hpp"
 
-namespace wrenrill::testing {
+namespace admission_policy::testing {
 namespace {
 
 using ids = std::vector<request_id>;
@@ -833,4 +833,4 @@
 }
 
 }  // namespace
-}  // namespace wrenrill::testing
+}  // namespace admission_policy::testing
--- a/tests/rules_test.cpp
+++ b/tests/admission_policy/rules_test.cpp
@@ -9,7 +9,7 @@
 
 #include "harness.hpp"
 
-namespace wrenrill::testing {
+namespace admission_policy::testing {
 namespace {
 
 enum class stage { held, running, wants_call, at_call, sharing };
@@ -399,4 +399,4 @@
 }
 
 }  // namespace
-}  // namespace wrenrill::testing
+}  // namespace admission_policy::testing
--- a/tests/dependencies/decisions_test.cpp
+++ b/tests/fan_out/decisions_test.cpp
@@ -7,10 +7,11 @@
 #include <set>
 
 #include "../check.hpp"
-#include "dependencies/conductor.hpp"
+#include "fan_out/state_machine.hpp"
 
 using namespace marblewharf;
-using namespace marblewharf::dependencies;
+using namespace marblewharf::fan_out;
+using namespace marblewharf::upstream;
 using namespace std::chrono_literals;
 
 namespace {
@@ -24,7 +25,7 @@
   holds("extras within any window stay within share and floor", [] {
     const double share = *rc::gen::inRange(0, 50) / 100.0;
     const double floor = *rc::gen::inRange(0, 30) / 10.0;
-    share_cap cap(share, floor, 10s);
+    retry_budget cap(share, floor, 10s);
     std::vector<time_point> firsts, extras;
     time_point now = 100s;
     const int events = *rc::gen::inRange(10, 400);
@@ -43,7 +44,7 @@
       }
     }
   });
-  share_cap rare(0.1, 1);  // rare traffic has the floor
+  retry_budget rare(0.1, 1);  // rare traffic has the floor
   rare.on_first(1s);
   CHECK(rare.take(1s));
 }
@@ -51,7 +52,7 @@
 void quantiles_are_near() {
   holds("a quantile is off by one bucket at most", [] {
     const auto times = *rc::gen::container<std::vector<int>>(100, rc::gen::inRange(100, 1000000));
-    latency l;
+    latency_estimator l;
     for (const int us : times) l.add(std::chrono::microseconds(us));
     auto sorted = times;
     std::sort(sorted.begin(), sorted.end());
@@ -61,7 +62,7 @@
       RC_ASSERT(got >= exact * 0.99 && got <= exact * 1.27);
     }
   });
-  CHECK(!latency().quantile(0.5));
+  CHECK(!latency_estimator().quantile(0.5));
 }
 
 // A stall cuts the limit, and it comes back to where it was when the dependency does.
@@ -95,7 +96,7 @@
     const auto n = static_cast<std::size_t>(*rc::gen::inRange(1, 8));
     endpoint_rules rules;
     rules.most_out = *rc::gen::inRange(0, 101) / 100.0;
-    endpoints all(n, rules);
+    endpoint_set all(n, rules);
     time_point now = 1s;
     std::vector<std::vector<std::size_t>> flying(n);
     std::set<std::size_t> bad;
@@ -129,12 +130,12 @@
 }
 
 void the_less_loaded_is_chosen() {
-  endpoints all(2, {});
+  endpoint_set all(2, {});
   all.on_start(0);
   all.on_start(0);
   for (std::uint64_t r = 0; r < 20; ++r) CHECK(all.choose(1s, r * 0x100000001ull, true) == 1u);
   // One that comes back is met by few: its weight grows.
-  endpoints ramp(2, {.failures = 1, .out = 1s, .probes = 1, .ramp = 10s});
+  endpoint_set ramp(2, {.failures = 1, .out = 1s, .probes = 1, .ramp = 10s});
   ramp.on_start(0);
   ramp.on_end(0, 1s, 1ms, true, false);
   CHECK(ramp.state_of(0) == endpoint_state::out);
@@ -152,14 +153,14 @@
 // Of two endpoints the first has answered in 50 ms. The other is asked too, but until it answers it draws no
 // more calls than its part: its time is not known to be short.
 void the_unanswered_draws_its_part() {
-  endpoints all(2, {});
+  endpoint_set all(2, {});
   all.on_start(0);
   all.on_end(0, 50ms, 50ms, true, true);
   CHECK(all.choose(50ms, 0, true) == 1u);  // never asked: tried at once
   for (std::uint64_t r = 0; r < 40; ++r) all.on_start(*all.choose(50ms, r * 0x100000001ull, true));
   CHECK(all.in_flight(0) == 20 && all.in_flight(1) == 20);
   // What is bound to one counts before its first call, and until it is over.
-  endpoints ahead(2, {});
+  endpoint_set ahead(2, {});
   ahead.on_start(0);
   std::array<int, 2> bound{};
   for (std::uint64_t r = 0; r < 39; ++r) {
@@ -177,7 +178,7 @@
 // again after a while, and one that stays eight times as slow gets few calls.
 void each_is_asked_now_and_then() {
   std::mt19937_64 draws(7);
-  endpoints all(3, {.fade = 500ms});
+  endpoint_set all(3, {.fade = 500ms});
   time_point now{};
   const auto ask = [&](int calls, const std::array<duration, 3>& takes) {
     std::array<int, 3> got{};
@@ -208,7 +209,7 @@
     time_point at, ends;
     call_end how;
   };
-  world(std::vector<plan> plans, std::vector<dependency_rules> rules, unsigned seed)
+  world(std::vector<request_plan> plans, std::vector<dependency_rules> rules, unsigned seed)
       : rules_of(rules), c(std::move(plans), std::move(rules), 1 << 20, seed), random(seed) {}
 
   void take() {
@@ -260,7 +261,7 @@
   }
 
   std::vector<dependency_rules> rules_of;
-  conductor c;
+  state_machine c;
   std::mt19937 random;
   time_point now = 1000s;
   std::function<std::pair<duration, call_end>(const start_call&)> behave = [](const start_call&) {
@@ -273,8 +274,8 @@
   std::map<std::size_t, int> started;
 };
 
-plan four_parts(bool required = false) {
-  plan p{"kurs-liste", 3s, 50ms, {}};
+request_plan four_parts(bool required = false) {
+  request_plan p{"kurs-liste", 3s, 50ms, {}};
   for (std::size_t i = 0; i < 4; ++i) p.parts.push_back({"part" + std::to_string(i), i, required, {}});
   return p;
 }
@@ -394,8 +395,8 @@
 }
 
 void what_stands_in() {
-  plan p{"kurs-liste", 3s, 50ms, {}};
-  using kind = stand_in::kind;
+  request_plan p{"kurs-liste", 3s, 50ms, {}};
+  using kind = fallback::kind;
   p.parts.push_back(
       {"kurse",
        0,
@@ -436,8 +437,8 @@
 }
 
 void plans_that_could_not_be_kept() {
-  using kind = stand_in::kind;
-  const auto fault = [](const plan& p, duration budget = 800ms) {
+  using kind = fallback::kind;
+  const auto fault = [](const request_plan& p, duration budget = 800ms) {
     try {
       check_plans({p}, four_rules(budget));
     } catch (const bad_plan& e) {
@@ -445,25 +446,25 @@
     }
     return std::string();
   };
-  plan p = four_parts();
+  request_plan p = four_parts();
   CHECK(fault(p).empty());
   CHECK(fault(p, 3s) == "needs 3000ms one after the other, and the aim less the reserve is 2950ms");
-  plan twice = p;
+  request_plan twice = p;
   twice.parts[1].name = "part0";
   CHECK(fault(twice) == "names a part twice: part0");
-  plan cycle = p;
+  request_plan cycle = p;
   cycle.parts[0].stand_ins = {{kind::dependency, 1, {}, ""}, {kind::dependency, 0, {}, ""}};
   CHECK(fault(cycle) == "falls back on d0, which it has tried");
-  plan unknown = p;
+  request_plan unknown = p;
   unknown.parts[0].from = 9;
   CHECK(fault(unknown) == "names no dependency");
-  plan behind = p;
+  request_plan behind = p;
   behind.parts[0].stand_ins = {{kind::fixed, 0, {}, "x"}, {kind::stale, 0, 1s, ""}};
   CHECK(fault(behind) == "has a fall-back behind a fixed one, which never fails");
-  plan none = p;
+  request_plan none = p;
   none.parts.clear();
   CHECK(fault(none) == "has no part");
-  plan longer = p;
+  request_plan longer = p;
   longer.parts[0].stand_ins = {
       {kind::dependency, 1, {}, ""}, {kind::dependency, 2, {}, ""}, {kind::dependency, 3, {}, ""}};
   CHECK(!fault(longer).empty());
@@ -477,7 +478,7 @@
            level::rest, level::rest},
           {.most_each = most_each}};
 }
-std::array<int, 3> levels_of(endpoints& all, time_point now, int n) {
+std::array<int, 3> levels_of(endpoint_set& all, time_point now, int n) {
   std::array<int, 3> at{};
   std::mt19937_64 random(7);
   for (int i = 0; i < n; ++i) {
@@ -491,7 +492,7 @@
 }
 
 void calls_stay_near() {
-  endpoints all(9, {}, three_levels());
+  endpoint_set all(9, {}, three_levels());
   CHECK(levels_of(all, 1s, 1000)[0] == 1000);
   // Two of the zone's three held out for failures: 1.4 / 3 stays, the rest goes to the region.
   for (const std::size_t e : {0u, 1u})
@@ -511,7 +512,7 @@
   CHECK(panic[0] > 200 && panic[1] > 200 && panic[2] > 200);
   // A bound on each: one call at each of the zone's, then the region takes the next, and panic breaks no
   // bound.
-  endpoints bounded(9, {}, three_levels(1));
+  endpoint_set bounded(9, {}, three_levels(1));
   std::mt19937_64 random(8);
   std::array<int, 3> at{};
   for (int i = 0; i < 9; ++i) {
@@ -529,7 +530,7 @@
 void nearness_holds() {
   holds("calls go only where the shares allow", [] {
     const auto most_each = static_cast<unsigned>(*rc::gen::inRange(0, 4));
-    endpoints all(9, {}, three_levels(most_each));
+    endpoint_set all(9, {}, three_levels(most_each));
     std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
     std::vector<bool> reachable(9, true);
     time_point now = 1s;
--- a/tests/keyed/keeper_test.cpp
+++ b/tests/idempotency/durable_service_test.cpp
@@ -1,5 +1,5 @@
 // Dispatcher, keeper and the store's thread together, over a disk that stops and comes back.
-#include "keyed/keeper.hpp"
+#include "idempotency/durable_service.hpp"
 
 #include <atomic>
 #include <filesystem>
@@ -67,19 +67,19 @@
     keeper.reset();
     std::filesystem::remove_all(folder);
   }
-  static wrenrill::settings settings_of(duration deadline) {
-    wrenrill::settings s;
+  static admission_policy::settings settings_of(duration deadline) {
+    admission_policy::settings s;
     s.cores = 8;
     s.tick = 1ms;
     s.classes.push_back({.name = "kurs-meldung",
                          .aim = deadline,
                          .deadline = deadline,
-                         .repeats = wrenrill::effect::keyed,
+                         .repeats = admission_policy::effect::keyed,
                          .window = deadline});
     return s;
   }
   void open() {
-    keyed::keeper_options o;
+    idempotency::durable_service_options o;
     o.folder = folder + "/results";
     o.windows = {1h};
     o.classes = {"kurs-meldung"};
@@ -87,7 +87,7 @@
     o.retry_disk = 20ms;
     o.unix_now = 1000s;
     o.steady_now = steady();
-    keeper = std::make_unique<keyed::keeper>(disk, o, counters, [] {});
+    keeper = std::make_unique<idempotency::durable_service>(disk, o, counters, [] {});
     keeper->report_to(desk);
     desk.use(*keeper, 10s);
   }
@@ -138,7 +138,7 @@
   dispatcher desk;
   switched_disk disk;
   std::string folder;
-  std::unique_ptr<keyed::keeper> keeper;
+  std::unique_ptr<idempotency::durable_service> keeper;
   std::map<request_id, answer> answers;
   std::map<request_id, std::string> results;
   std::map<std::string, int> ran;
--- a/tests/keyed/memory_results_test.cpp
+++ b/tests/idempotency/memory_service_test.cpp
@@ -1,5 +1,5 @@
 // The idempotency table in memory: its bounds, and what it forgets when. Time is handed in.
-#include "keyed/memory_results.hpp"
+#include "idempotency/memory_service.hpp"
 
 #include <map>
 #include <string>
@@ -9,12 +9,12 @@
 
 using namespace marblewharf;
 using namespace std::chrono_literals;
-using standing = key_book::standing;
+using standing = idempotency_store::standing;
 
 namespace {
 
 // Notes what the dispatcher would hear.
-struct heard : key_events {
+struct heard : idempotency_observer {
   void on_intended(request_id leader, bool durable) override {
     CHECK(durable);
     intended.push_back(leader);
@@ -62,7 +62,7 @@
 
   telemetry::counters counters;
   heard events;
-  keyed::memory_results book;
+  idempotency::memory_service book;
 };
 
 // However many keys come, results stay within the memory; what finds no room is refused, and there is room
--- a/tests/keyed/store_test.cpp
+++ b/tests/idempotency/store_test.cpp
@@ -9,13 +9,13 @@
 
 #include "../check.hpp"
 #include "crash_fs.hpp"
-#include "keyed/clock.hpp"
-#include "keyed/ledger.hpp"
-#include "keyed/records.hpp"
+#include "idempotency/aging_clock.hpp"
+#include "idempotency/key_table.hpp"
+#include "idempotency/records.hpp"
 #include "store/log.hpp"
 
 using namespace marblewharf;
-using namespace marblewharf::keyed;
+using namespace marblewharf::idempotency;
 using namespace std::chrono_literals;
 
 namespace {
@@ -25,7 +25,7 @@
 // A node without its sockets: the ledger over a log, and a backend that counts what ran.
 struct small_node {
   explicit small_node(crash::fs& f, std::map<std::uint64_t, int>& runs, moment at)
-      : now(at), ran(runs), book(ledger_options{100000, 100000, 200, 600, 1s, 0, 0s}) {
+      : now(at), ran(runs), book(key_table_options{100000, 100000, 200, 600, 1s, 0, 0s}) {
     store::log_options o{"d", 4096, 40960, 7};
     disk = std::make_unique<store::log>(
         f, o, [](std::uint32_t type, std::string_view body) { return decode(type, body)->expiry; },
@@ -118,7 +118,7 @@
   moment now;
   std::map<std::uint64_t, int>& ran;
   std::map<std::uint64_t, std::string> waiting;  // results that the disk did not take
-  ledger book;
+  key_table book;
   std::unique_ptr<store::log> disk;
 };
 
@@ -371,19 +371,19 @@
 // A clock that is set back keeps no key longer than its window and dates none before others; a long stop ages
 // them.
 void the_clock_does_not_go_back() {
-  const ageing_clock back(10s, 1000s, 5s);
+  const aging_clock back(10s, 1000s, 5s);
   CHECK(back.at(5s) == std::chrono::nanoseconds(1000s).count() &&
         back.at(6s) == std::chrono::nanoseconds(1001s).count());
-  const ageing_clock later(5000s, 1000s, 5s);
+  const aging_clock later(5000s, 1000s, 5s);
   CHECK(later.at(5s) == std::chrono::nanoseconds(5000s).count());
 }
 
 // Every step from every state: what is not in the table of docs/keyed-results.md changes nothing.
 void only_the_steps_of_the_table() {
-  const ledger_options o{4, 4, 100, 200, 1s, 2, 10ms};
+  const key_table_options o{4, 4, 100, 200, 1s, 2, 10ms};
   const key_id key{1, 1};
   const auto in = [&](state s) {
-    ledger l(o);
+    key_table l(o);
     l.set_disk({true, 100000, 0});
     CHECK(l.arrive(key, 5, 9, 10s, 0).how == standing::first);
     if (s == state::held) return l;
@@ -401,25 +401,25 @@
     CHECK(l.recorded(key, {1, 2, 3}, 1));
     return l;
   };
-  using step = std::function<bool(ledger&)>;
+  using step = std::function<bool(key_table&)>;
   const std::vector<std::pair<step, std::set<state>>> steps = {
-      {[&](ledger& l) { return l.intend(key); }, {state::held}},
-      {[&](ledger& l) { return l.intended(key); }, {state::intending}},
-      {[&](ledger& l) { return l.record(key); }, {state::running, state::asking, state::in_doubt}},
-      {[&](ledger& l) { return l.recorded(key, {}, 1); }, {state::recording}},
-      {[&](ledger& l) { return l.doubt(key); }, {state::running}},
-      {[&](ledger& l) { return l.release(key); },
+      {[&](key_table& l) { return l.intend(key); }, {state::held}},
+      {[&](key_table& l) { return l.intended(key); }, {state::intending}},
+      {[&](key_table& l) { return l.record(key); }, {state::running, state::asking, state::in_doubt}},
+      {[&](key_table& l) { return l.recorded(key, {}, 1); }, {state::recording}},
+      {[&](key_table& l) { return l.doubt(key); }, {state::running}},
+      {[&](key_table& l) { return l.release(key); },
        {state::held, state::intending, state::running, state::in_doubt, state::asking}},
   };
   const std::vector<state> states = {state::held,     state::intending, state::running, state::recording,
                                      state::in_doubt, state::asking,    state::answered};
   for (const state s : states) {
     for (const auto& [take, from] : steps) {
-      ledger l = in(s);
+      key_table l = in(s);
       CHECK(take(l) == from.contains(s));
       if (!from.contains(s)) CHECK(l.state_of(key) == s);
     }
-    ledger l = in(s);
+    key_table l = in(s);
     CHECK(l.arrive(key, 6, 11, 10s, 1).how == standing::conflict && l.state_of(key) == s);
     const standing again = l.arrive(key, 5, 11, 10s, 1).how;
     CHECK(again == (s == state::answered   ? standing::answered
@@ -428,7 +428,7 @@
     // Room is set aside for what is still to be written, and for nothing else.
     CHECK(l.reserved() <= 300 && (s != state::answered || l.reserved() == 0));
     // Open ones do not age; what is known does.
-    ledger old = in(s);
+    key_table old = in(s);
     old.age(std::chrono::nanoseconds(20s).count());
     CHECK(old.knows(key) == (s != state::answered && s != state::in_doubt));
   }
@@ -436,7 +436,7 @@
 
 // Inquiries are bounded and back off; the next one is not at once.
 void inquiries_are_bounded() {
-  ledger l({4, 4, 100, 200, 1s, 3, 10ms});
+  key_table l({4, 4, 100, 200, 1s, 3, 10ms});
   l.set_disk({true, 100000, 0});
   const key_id key{1, 1};
   l.recover_intent(key, 5, std::chrono::nanoseconds(100s).count(), 0);
@@ -453,7 +453,7 @@
 
 // Bounds are kept by refusing what is new, never by dropping what is known.
 void bounds_refuse_the_new() {
-  ledger l({3, 2, 100, 200, 500ms, 0, 0ms});
+  key_table l({3, 2, 100, 200, 500ms, 0, 0ms});
   CHECK(l.arrive({1, 1}, 5, 1, 10s, 0).how == standing::no_room);  // the disk has not said anything yet
   l.set_disk({true, 650, 4'000'000'000});
   CHECK(l.arrive({1, 1}, 5, 1, 10s, 0).how == standing::first);
--- a/tests/ops/units_test.cpp
+++ b/tests/lifecycle/units_test.cpp
@@ -3,11 +3,11 @@
 #include <string>
 
 #include "../check.hpp"
-#include "ops/console_line.hpp"
-#include "ops/departure.hpp"
-#include "ops/drain.hpp"
-#include "ops/figures.hpp"
-#include "ops/handover.hpp"
+#include "admin/console_command.hpp"
+#include "admin/statistics.hpp"
+#include "lifecycle/drain_state.hpp"
+#include "lifecycle/graceful_shutdown.hpp"
+#include "lifecycle/hot_restart.hpp"
 
 using namespace marblewharf;
 using namespace std::chrono_literals;
@@ -15,10 +15,10 @@
 namespace {
 
 void drain_state() {
-  ops::drain_state d;
+  lifecycle::drain_state d;
   CHECK(d.healthy(true) && !d.healthy(false));
   CHECK(!d.resume(1s));  // resume without a drain changes nothing
-  CHECK(d.where() == ops::drain_state::stage::serving && d.since() == 0s);
+  CHECK(d.where() == lifecycle::drain_state::stage::serving && d.since() == 0s);
   CHECK(d.drain(2s) && !d.healthy(true));
   CHECK(!d.drain(3s) && d.since() == 2s);  // twice: the first time stays
   CHECK(d.resume(4s) && d.healthy(true) && d.since() == 4s);
@@ -26,14 +26,14 @@
 }
 
 void console_lines() {
-  using ops::console_call;
-  CHECK(ops::parse_console_line("ready") == console_call::ready);
-  CHECK(ops::parse_console_line(" show-stat\r") == console_call::show_stat);
-  CHECK(ops::parse_console_line("drain\t") == console_call::drain);
-  CHECK(ops::parse_console_line("resume") == console_call::resume);
+  using admin::console_command;
+  CHECK(admin::parse_console_command("ready") == console_command::ready);
+  CHECK(admin::parse_console_command(" show-stat\r") == console_command::show_stat);
+  CHECK(admin::parse_console_command("drain\t") == console_command::drain);
+  CHECK(admin::parse_console_command("resume") == console_command::resume);
   for (const char* none : {"", "\r", "  ", "READY", "ready now", "rea", "show stat", "drain\r\r"})
-    CHECK(!ops::parse_console_line(none));
-  CHECK(!ops::parse_console_line(std::string_view("ready\0", 6)));
+    CHECK(!admin::parse_console_command(none));
+  CHECK(!admin::parse_console_command(std::string_view("ready\0", 6)));
 }
 
 void figures() {
@@ -42,38 +42,40 @@
   c.refused_by_class = {1, 2};
   c.failed_by_class = {0, 5};
   c.sent = 9;
-  const std::string text = ops::render_figures(c, {"a", "b"}, 4);
+  const std::string text = admin::render_statistics(c, {"a", "b"}, 4);
   CHECK(text ==
         "app.completed.a=3\napp.rejected.a=1\napp.failed.a=0\napp.completed.b=0\napp.rejected.b=2\n"
         "app.failed.b=5\napp.upstream_requests=9\napp.pending=4\n");
   telemetry::counters empty;  // vectors not sized: zeros, no fault
-  CHECK(ops::render_figures(empty, {"a"}, 0).find("app.completed.a=0\n") == 0);
+  CHECK(admin::render_statistics(empty, {"a"}, 0).find("app.completed.a=0\n") == 0);
 }
 
 void handover_marks() {
-  const ops::handover_mark old{100, 1'000'000}, successor{200, 1'003'500};
-  CHECK(ops::read_mark(ops::write_mark(successor)) == successor);
-  const std::string whole = ops::write_mark(successor);
-  for (std::size_t cut = 0; cut < whole.size(); ++cut) CHECK(!ops::read_mark(whole.substr(0, cut)));
+  const lifecycle::hot_restart_mark old{100, 1'000'000}, successor{200, 1'003'500};
+  CHECK(lifecycle::read_mark(lifecycle::write_mark(successor)) == successor);
+  const std::string whole = lifecycle::write_mark(successor);
+  for (std::size_t cut = 0; cut < whole.size(); ++cut) CHECK(!lifecycle::read_mark(whole.substr(0, cut)));
   for (const char* bad :
        {"marblewharf ready 1 2", "marblewharf ready x 2\n", "marblewharf ready 1\n", "marblewharf ready  2\n",
         "marblewharf ready 1 \n", "marblewharf ready 1 2 3\n", "marblewharf ready -1 2\n", "other 1 2\n"})
-    CHECK(!ops::read_mark(bad));
-  CHECK(ops::successor_took_over(old, successor));
-  CHECK(!ops::successor_took_over(old, std::nullopt));
-  CHECK(!ops::successor_took_over(old, old));                                 // its own mark
-  CHECK(!ops::successor_took_over(successor, old));                           // left from before
-  CHECK(!ops::successor_took_over(old, ops::handover_mark{300, 1'000'000}));  // same millisecond: no proof
-  CHECK(ops::mark_path("/t", "n3", "127.0.0.2", 9000) == "/t/marblewharf-n3-127.0.0.2-9000.ready");
-  CHECK(ops::mark_path("/t", "n3", "127.0.0.2", 9000) != ops::mark_path("/t", "n3", "127.0.0.2", 9001));
+    CHECK(!lifecycle::read_mark(bad));
+  CHECK(lifecycle::successor_took_over(old, successor));
+  CHECK(!lifecycle::successor_took_over(old, std::nullopt));
+  CHECK(!lifecycle::successor_took_over(old, old));        // its own mark
+  CHECK(!lifecycle::successor_took_over(successor, old));  // left from before
+  CHECK(!lifecycle::successor_took_over(
+      old, lifecycle::hot_restart_mark{300, 1'000'000}));  // same millisecond: no proof
+  CHECK(lifecycle::mark_path("/t", "n3", "127.0.0.2", 9000) == "/t/marblewharf-n3-127.0.0.2-9000.ready");
+  CHECK(lifecycle::mark_path("/t", "n3", "127.0.0.2", 9000) !=
+        lifecycle::mark_path("/t", "n3", "127.0.0.2", 9001));
 }
 
-void departure() {
+void graceful_shutdown() {
   limits bounds;
   bounds.stop = 3200ms;
-  const ops::departure::progress standing{}, ended{.empty = false, .ended = true},
+  const lifecycle::graceful_shutdown::progress standing{}, ended{.empty = false, .ended = true},
       empty{.empty = true, .ended = true};
-  ops::departure alone(10s, false, bounds);
+  lifecycle::graceful_shutdown alone(10s, false, bounds);
   CHECK(!alone.asks_callers_to_go(12s) && !alone.is_over(12s, empty));  // still serving
   CHECK(alone.asks_callers_to_go(12600ms) && alone.is_over(12600ms, empty));
   CHECK(!alone.ends_connections(12900ms) && !alone.is_over(12900ms, ended));
@@ -81,9 +83,9 @@
         !alone.is_over(12950ms, ended));  // callers may see the end and close
   CHECK(alone.is_over(13050ms, ended) && !alone.is_over(13050ms, standing));
   CHECK(alone.is_over(13100ms, standing));  // the kill is near
-  ops::departure replaced(10s, true, bounds);
+  lifecycle::graceful_shutdown replaced(10s, true, bounds);
   CHECK(replaced.asks_callers_to_go(10s) && replaced.is_over(10s, empty) && !replaced.is_over(10s, ended));
-  ops::departure late(10s, false, bounds);  // stood still until after the kill was due
+  lifecycle::graceful_shutdown late(10s, false, bounds);  // stood still until after the kill was due
   CHECK(late.asks_callers_to_go(14s) && late.ends_connections(14s));
   CHECK(!late.is_over(14s, standing) && late.is_over(14010ms, ended) && late.is_over(14050ms, standing));
 }
@@ -95,7 +97,7 @@
                                                    {"console_lines", console_lines},
                                                    {"figures", figures},
                                                    {"handover", handover_marks},
-                                                   {"departure", departure}};
+                                                   {"departure", graceful_shutdown}};
   const auto found = tests.find(argv[1] != nullptr ? argv[1] : "");
   CHECK(found != tests.end());
   found->second();
--- a/tests/net/budgets_test.cpp
+++ b/tests/net/budgets_test.cpp
@@ -3,7 +3,7 @@
 #include <filesystem>
 #include <map>
 
-#include "../fleet/audit.hpp"
+#include "../cluster/audit.hpp"
 #include "../peers/frail.hpp"
 #include "../peers/uwsgi_server.hpp"
 #include "uwsgi_peer.hpp"
--- a/tests/net/dispatcher_test.cpp
+++ b/tests/net/dispatcher_test.cpp
@@ -30,7 +30,7 @@
 namespace {
 
 struct rig : front, backend {
-  explicit rig(wrenrill::settings s) : desk(s, 1, now, counters) {
+  explicit rig(admission_policy::settings s) : desk(s, 1, now, counters) {
     desk.add(*this);
     desk.on_server_up(false, now);
     desk.step(now, {});
@@ -64,16 +64,17 @@
   dispatcher desk;
 };
 
-wrenrill::settings usual(unsigned cores = 2) {
-  wrenrill::settings s;
+admission_policy::settings usual(unsigned cores = 2) {
+  admission_policy::settings s;
   s.cores = cores;
   s.crowd_factor = 5;
   s.tick = 1ms;
-  s.halt = wrenrill::halt_mode::pause;
+  s.halt = admission_policy::halt_mode::pause;
   s.max_retry_after = 1s;
   s.drain_grace = 500ms;
   s.classes.push_back({.name = "read", .aim = 1s, .deadline = 3s});
-  s.classes.push_back({.name = "write", .aim = 1s, .deadline = 3s, .repeats = wrenrill::effect::unsafe});
+  s.classes.push_back(
+      {.name = "write", .aim = 1s, .deadline = 3s, .repeats = admission_policy::effect::unsafe});
   return s;
 }
 
--- a/tests/net/waker_test.cpp
+++ b/tests/net/event_loop_wakeup_test.cpp
@@ -1,5 +1,5 @@
 // The waker brings the reactor out of a long poll from another thread, without a Unix socket (ctest -L ops).
-#include "net/waker.hpp"
+#include "net/event_loop_wakeup.hpp"
 
 #include <atomic>
 #include <chrono>
@@ -16,7 +16,7 @@
   limits bounds;
   bounds.longest_poll = std::chrono::seconds(30);  // without a wake the step comes only after this
   net::reactor reactor(bounds);
-  net::waker waker(reactor);
+  net::event_loop_wakeup event_loop_wakeup(reactor);
   std::atomic<int> steps = 0, woken = 0;
   const auto begun = std::chrono::steady_clock::now();
   std::thread other([&] {
@@ -24,7 +24,7 @@
       while (steps.load() <= i) std::this_thread::sleep_for(1ms);  // the reactor waits in its poll
       std::this_thread::sleep_for(50ms);
       ++woken;
-      waker.wake();
+      event_loop_wakeup.wake();
     }
   });
   reactor.serve([&]() -> net::time_point {
--- a/tests/net/fleet_test.cpp
+++ b/tests/net/fleet_test.cpp
@@ -1,6 +1,6 @@
 // A fleet of nine price nodes in three zones on loopback: membership, zones decided in common and calls kept
 // near, with faults between the processes (ctest -L failover).
-#include "../fleet/routed.hpp"
+#include "../cluster/routed.hpp"
 #include "membership/wire.hpp"
 
 using namespace harness;
--- a/tests/budgets/office_test.cpp
+++ b/tests/quota/quota_test.cpp
@@ -1,8 +1,6 @@
 // Budgets of a whole fleet in one process (ctest -L budgets): clocks that run apart, links that lose, copy,
 // delay and cut, members paused, killed and started anew; an auditor sums what all act on at every step of
 // true time.
-#include "budgets/office.hpp"
-
 #include <rapidcheck.h>
 
 #include <algorithm>
@@ -17,9 +15,10 @@
 #include <string>
 
 #include "../check.hpp"
-#include "budgets/demand.hpp"
+#include "quota/demand.hpp"
+#include "quota/quota_coordinator.hpp"
 
-using namespace marblewharf::budgets;
+using namespace marblewharf::quota;
 using namespace std::chrono_literals;
 
 namespace {
@@ -57,8 +56,8 @@
         {"rate", 90, 1, 1, false, {}},
         {"runs", 60, 2, 1, true, settles ? std::chrono::duration_cast<duration>(longest * 1.2) : duration{}}};
   }
-  static office_options options() {
-    office_options o;
+  static quota_coordinator_options options() {
+    quota_coordinator_options o;
     o.rules = {1s, drift};
     o.renew = 200ms;
     o.soonest = 20ms;
@@ -69,7 +68,7 @@
     return offset.at(i) + std::chrono::duration_cast<duration>(now * rate.at(i));
   }
   void start(int i) {
-    members[i] = std::make_unique<office>(options(), both(), names, at(i), ++sessions, local(i));
+    members[i] = std::make_unique<quota_coordinator>(options(), both(), names, at(i), ++sessions, local(i));
     members[i]->join(local(i));
     believed[i].clear();
   }
@@ -83,7 +82,8 @@
   // A replacement: a second process beside member i, and later the end of the first.
   void beside(int i) {
     if (members.contains(i + waits) || !members.contains(i)) return;
-    members[i + waits] = std::make_unique<office>(options(), both(), names, at(i), ++sessions, local(i));
+    members[i + waits] =
+        std::make_unique<quota_coordinator>(options(), both(), names, at(i), ++sessions, local(i));
     members[i + waits]->answer_to(reached_at(i + waits));
   }
   void take_over(int i) {
@@ -178,7 +178,7 @@
   std::map<int, double> rate;
   std::map<int, duration> offset;
   std::map<int, std::array<double, 2>> demand;
-  std::map<int, std::unique_ptr<office>> members;
+  std::map<int, std::unique_ptr<quota_coordinator>> members;
   std::map<int, std::vector<duration>> running;  // ends of runs, in true time
   std::map<int, std::vector<duration>> left;     // by member: of runs whose process has gone
   std::map<int, std::map<int, duration>> believed;
@@ -373,7 +373,7 @@
 // Answers to any request but the latest change nothing, nor does a second one to that, nor one to another
 // process's.
 void stale_answers() {
-  holder h({.rules = {1s, drift}, .renew = 200ms}, {{"rate", 90, 1, 1, false, {}}}, "m", 5, 7);
+  lease_holder h({.rules = {1s, drift}, .renew = 200ms}, {{"rate", 90, 1, 1, false, {}}}, "m", 5, 7);
   h.join(0s);
   const std::vector<use> wants = {{0, 300}};
   const auto grant = [](std::uint64_t sequence, double held, std::uint64_t session = 5) {
@@ -396,7 +396,7 @@
 // have stood. Then it promises one candidate at a time, and yields to the one that leads.
 void voter() {
   const lease_rules rules{1s, drift};
-  chair v(rules, {"a", "b", "v"}, "v", 0, 10s);
+  leader_election v(rules, {"a", "b", "v"}, "v", 0, 10s);
   const auto answer = [&](time_point at, const std::string& from, bool leading = false) {
     v.receive(at, message{kind::ask, from, 1, 1, 0, 0, {}, leading});
     return v.take_outbox().at(0).m.what;
@@ -430,7 +430,8 @@
   for (int i = 0; i < 3; ++i) w.demand[i] = {300, 300};
   auto larger = world::both();
   larger[0].whole = 900;
-  w.members[2] = std::make_unique<office>(world::options(), larger, w.names, world::at(2), 99, w.local(2));
+  w.members[2] =
+      std::make_unique<quota_coordinator>(world::options(), larger, w.names, world::at(2), 99, w.local(2));
   w.members[2]->join(w.local(2));
   w.run(8s);
   CHECK(w.share(2) == 1 && w.share(1) > 30);
@@ -458,8 +459,8 @@
 
 // What a process before left in flight counts in the member's safe share until it has surely ended.
 void safe_after_settling() {
-  holder h({.rules = {1s, drift}}, {{"rate", 90, 1, 1, false, {}}, {"runs", 60, 2, 1, true, 900ms}}, "m", 5,
-           7);
+  lease_holder h({.rules = {1s, drift}}, {{"rate", 90, 1, 1, false, {}}, {"runs", 60, 2, 1, true, 900ms}},
+                 "m", 5, 7);
   CHECK(h.share(0, 10s) == 0 && h.share(1, 10s) == 0);
   h.join(10s);
   CHECK(h.share(0, 10s) == 1 && h.share(1, 10s) == 0);
--- a/tests/budgets/wire_test.cpp
+++ b/tests/quota/wire_test.cpp
@@ -1,5 +1,5 @@
 // Messages on budgets as datagrams (ctest -L budgets).
-#include "budgets/wire.hpp"
+#include "quota/wire.hpp"
 
 #include <cmath>
 #include <cstdio>
@@ -8,7 +8,7 @@
 #include "../check.hpp"
 #include "membership/wire.hpp"
 
-using namespace marblewharf::budgets;
+using namespace marblewharf::quota;
 
 namespace {
 
--- a/tests/scheduler/scheduler_test.cpp
+++ b/tests/scheduler/scheduler_test.cpp
@@ -14,8 +14,8 @@
 #include <thread>
 
 #include "../check.hpp"
+#include "scheduler/headroom_meter.hpp"
 #include "scheduler/pool.hpp"
-#include "scheduler/room.hpp"
 #include "store/log.hpp"
 #include "store/scrub.hpp"
 
@@ -190,7 +190,7 @@
 }
 
 void room() {
-  sched::room_meter m({.quiet = 0.5, .busy = 0.9, .calm = 1s});
+  sched::headroom_meter m({.quiet = 0.5, .busy = 0.9, .calm = 1s});
   CHECK(m.look(1s, 0.2, 0) == 1 && m.look(1s, 0.95, 0) == 0);
   const double half = m.look(1s, 0.7, 0);
   CHECK(half > 0.45 && half < 0.55);
--- a/tests/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -1,8 +1,8 @@
-#include "wire.hpp"
+#include "simulator_adapter/wire.hpp"
 
 #include <gtest/gtest.h>
 
-namespace wrenrill::wire {
+namespace admission_policy::wire {
 namespace {
 
 std::string from_hex(std::string_view hex) {
@@ -112,4 +112,4 @@
 }
 
 }  // namespace
-}  // namespace wrenrill::wire
+}  // namespace admission_policy::wire
--- a/tests/store/tables_test.cpp
+++ b/tests/store/tables_test.cpp
@@ -18,7 +18,7 @@
 #include <vector>
 
 #include "../check.hpp"
-#include "../keyed/crash_fs.hpp"
+#include "../idempotency/crash_fs.hpp"
 #include "store/table_service.hpp"
 
 using namespace marblewharf::store;
--- a/tests/dependencies/write_folder_test.cpp
+++ b/tests/transaction/log_folder_test.cpp
@@ -1,6 +1,6 @@
 // The folder of writes over several participants: its rows, and an older program's folder moved up, with
 // crashes and failures at each call on the way (ctest -L dependencies).
-#include "dependencies/write_folder.hpp"
+#include "transaction/log_folder.hpp"
 
 #include <rapidcheck.h>
 
@@ -8,10 +8,10 @@
 #include <random>
 
 #include "../check.hpp"
-#include "../keyed/crash_fs.hpp"
+#include "../idempotency/crash_fs.hpp"
 #include "store/bytes.hpp"
 
-using namespace marblewharf::dependencies;
+using namespace marblewharf::transaction;
 namespace store = marblewharf::store;
 
 namespace {
@@ -19,7 +19,7 @@
 constexpr std::int64_t second = 1'000'000'000;
 constexpr std::uint64_t segment = 8 << 10;
 
-write_folder_options options(std::uint64_t space = 64 * segment) {
+log_folder_options options(std::uint64_t space = 64 * segment) {
   return {"f", segment, space, std::chrono::seconds(60), 7};
 }
 
@@ -115,7 +115,7 @@
   return m;
 }
 
-void expect(const write_folder& f, const model& m, std::int64_t now) {
+void expect(const log_folder& f, const model& m, std::int64_t now) {
   CHECK(f.open.size() == m.open.size() && f.over.size() == m.over.size());
   for (const found_write& w : f.open) {
     CHECK(m.open.contains(w.what.id) && m.open.at(w.what.id) == w.last);
@@ -142,7 +142,7 @@
     crash::fs fs;
     model m = older_folder(fs, seed, 30, now);
     {
-      const write_folder f = open_write_folder(fs, options(), now);
+      const log_folder f = open_log_folder(fs, options(), now);
       expect(f, m, now);
       CHECK(f.moved >= m.open.size() + m.over.size());
       const std::string id = m.open.begin()->first;
@@ -150,7 +150,7 @@
       m.open.erase(id);
     }
     {
-      const write_folder f = open_write_folder(fs, options(), now + second);
+      const log_folder f = open_log_folder(fs, options(), now + second);
       expect(f, m, now + second);
       CHECK(f.moved == 0);
       for (int i = 0; f.tables->clean_step(now + second); ++i) CHECK(i < 10'000);
@@ -163,7 +163,7 @@
       }
     }
     CHECK(store::inspect_tables(fs, "f", now + second).older == 0);
-    expect(open_write_folder(fs, options(), now + second), m, now + second);
+    expect(open_log_folder(fs, options(), now + second), m, now + second);
     try {
       store::log older(
           fs, {"f", segment, 16 * segment, 7},
@@ -192,7 +192,7 @@
         fs.how = how;
         fs.fail_at = tries == 0 ? at : 1 + random() % at;
         try {
-          open_write_folder(fs, options(), now);
+          open_log_folder(fs, options(), now);
         } catch (const crash::crashed&) {
           reached = true;
           fs.restart(random);
@@ -202,7 +202,7 @@
         reached = reached || fs.calls >= fs.fail_at;
         fs.fail_at = 0;
       }
-      expect(open_write_folder(fs, options(), now), m, now);
+      expect(open_log_folder(fs, options(), now), m, now);
       faults += reached;
       if (!reached) break;
     }
@@ -217,12 +217,12 @@
   crash::fs fs;
   const model m = older_folder(fs, 3, 120, now);
   try {
-    open_write_folder(fs, options(store::least_segments * segment), now);
+    open_log_folder(fs, options(store::least_segments * segment), now);
     CHECK(false);
   } catch (const store::io_error& e) {
     CHECK(std::string(e.what()).find("more writes.space") != std::string::npos);
   }
-  expect(open_write_folder(fs, options(), now), m, now);
+  expect(open_log_folder(fs, options(), now), m, now);
 }
 
 }  // namespace
--- a/tests/dependencies/outcomes_test.cpp
+++ b/tests/transaction/outcome_cache_test.cpp
@@ -1,6 +1,6 @@
 // What is known of writes by their keys, and the room that they take at their participants (ctest -L
 // dependencies).
-#include "dependencies/outcomes.hpp"
+#include "transaction/outcome_cache.hpp"
 
 #include <rapidcheck.h>
 
@@ -9,13 +9,14 @@
 #include <vector>
 
 #include "../check.hpp"
-#include "dependencies/call_book.hpp"
+#include "upstream/in_flight_calls.hpp"
 
-using namespace marblewharf::dependencies;
+using namespace marblewharf::transaction;
+using namespace marblewharf::upstream;
 
 namespace {
 
-using standing = outcomes::standing;
+using standing = outcome_cache::standing;
 
 // Against a plain map that forgets nothing but what has aged.
 void against_a_map() {
@@ -25,14 +26,14 @@
       standing how = standing::under_way;
       std::int64_t expiry = 0;
     };
-    outcomes o(1'000'000);
+    outcome_cache o(1'000'000);
     std::map<std::uint64_t, written> model;  // by key: the latest write
     std::uint64_t last = 0;
     std::int64_t now = 1;
     const int steps = *rc::gen::inRange(1, 200);
     for (int i = 0; i < steps; ++i) {
       const std::uint64_t k = static_cast<std::uint64_t>(*rc::gen::inRange(0, 8));
-      const outcomes::key key{k, k * 7};
+      const outcome_cache::key key{k, k * 7};
       auto& m = model[k];
       switch (*rc::gen::inRange(0, 5)) {
         case 0:
@@ -57,7 +58,7 @@
             if (w.how == standing::committed && w.expiry <= now) w = {};
       }
       for (const auto& [mk, w] : model) {
-        const outcomes::known is = o.of({mk, mk * 7});
+        const outcome_cache::known is = o.of({mk, mk * 7});
         RC_ASSERT(is.how == (w.which == 0 ? standing::unknown : w.how));
         if (w.how == standing::committed) RC_ASSERT(is.which == w.which);
       }
@@ -66,7 +67,7 @@
 }
 
 void bounded() {
-  outcomes o(2);
+  outcome_cache o(2);
   o.begin({1, 1}, 1);
   CHECK(o.room());
   o.begin({2, 2}, 2);
@@ -92,7 +93,7 @@
     const std::size_t n = 3;
     std::vector<std::size_t> gathering(n);
     const std::vector<double> most = {4, 2, 3};
-    call_book book(most, [&](std::size_t d) { return gathering[d]; });
+    in_flight_calls book(most, [&](std::size_t d) { return gathering[d]; });
     std::vector<double> share(n, 100);
     for (std::size_t d = 0; d < n; ++d) book.set_share(d, share[d]);
     std::vector<std::vector<std::size_t>> open;
--- a/tests/dependencies/transaction_test.cpp
+++ b/tests/transaction/state_machine_test.cpp
@@ -1,6 +1,6 @@
 // The write over several participants under lost, late and repeated steps, a disk that fails and crashes at
 // any moment: whole at all or at none once all is quiet, and no answer that is not so.
-#include "dependencies/transaction.hpp"
+#include "transaction/state_machine.hpp"
 
 #include <rapidcheck.h>
 
@@ -9,7 +9,7 @@
 
 #include "../check.hpp"
 
-using namespace marblewharf::dependencies;
+using namespace marblewharf::transaction;
 
 namespace {
 
--- a/tools/fleet/experiments.hpp
+++ b/tools/fleet/experiments.hpp
@@ -13,7 +13,7 @@
 #include <thread>
 #include <vector>
 
-#include "../../tests/fleet/routed.hpp"
+#include "../../tests/cluster/routed.hpp"
 
 namespace fleet_experiments {
 
