--- a/bench/keyed_bench.cpp
+++ b/bench/keyed_bench.cpp
@@ -179,7 +179,7 @@
   }
   void respond(request_id, const answer& a) override {
     ++answers;
-    served += a.how == verdict::served;
+    served += a.status == response_status::served;
   }
   void close_idle(duration) override {}
   void run(request_id id, const request&) override { running.push_back(id); }
@@ -195,12 +195,12 @@
 std::pair<double, double> steps(const std::string& folder, bool keyed_on, duration sync, int& served) {
   admission_policy::settings s;
   s.cores = 8;
-  s.classes.push_back(
-      {.name = "kurs-meldung",
-       .aim = 5s,
-       .deadline = 10s,
-       .repeats = keyed_on ? admission_policy::effect::keyed : admission_policy::effect::unsafe,
-       .window = 10s});
+  s.classes.push_back({.name = "kurs-meldung",
+                       .latency_objective = 5s,
+                       .deadline = 10s,
+                       .effect = keyed_on ? admission_policy::request_effect::keyed
+                                          : admission_policy::request_effect::unsafe,
+                       .idempotency_window = 10s});
   s.tick = 1ms;
   desk_rig rig(s);
   slow_disk disk(sync);
@@ -224,12 +224,12 @@
     for (int i = 0; i < 4; ++i) {
       request r;
       r.payload = "price";
-      r.held_kb = 1;
+      r.reserved_kb = 1;
       if (keyed_on) r.key = "k" + std::to_string(++n);
       rig.desk.on_arrival(rig, rig, std::move(r));
     }
     for (const request_id id : std::exchange(rig.running, {}))
-      rig.desk.on_end(id, run_end::fine, "done", 1ms);
+      rig.desk.on_end(id, run_end::succeeded, "done", 1ms);
     if (keeper) keeper->step(steady());
     rig.desk.step(steady(), {});
     took.push_back(seconds(steady() - at) * 1e6);
--- a/examples/guarded_server.cpp
+++ b/examples/guarded_server.cpp
@@ -58,14 +58,14 @@
 int main(int argc, char** argv) {
   admission_policy::settings settings;
   settings.cores = 2;
-  settings.crowd_factor = 5;
+  settings.concurrency_ceiling_per_core = 5;
   settings.max_retry_after = 1s;
   settings.retry_after = true;
   settings.tick = 1ms;
   settings.gauges = {"cpu_busy"};
-  settings.classes.push_back({.name = "kurs-abfrage", .aim = 500ms, .deadline = 2s});
+  settings.classes.push_back({.name = "kurs-abfrage", .latency_objective = 500ms, .deadline = 2s});
 
-  settings.classes.push_back({.name = "kurs-meldung", .aim = 1s, .deadline = 3s});
+  settings.classes.push_back({.name = "kurs-meldung", .latency_objective = 1s, .deadline = 3s});
 
   std::optional<marblewharf::middleware::gate> guard;
   if (argc > 2) {
--- a/include/admission_policy/policy.hpp
+++ b/include/admission_policy/policy.hpp
@@ -22,22 +22,22 @@
 using time_point = std::chrono::nanoseconds;  // since an origin of the host's choice
 using request_id = std::uint32_t;
 
-enum class effect { safe, keyed, unsafe };               // may a request run again?
+enum class request_effect { safe, keyed, unsafe };       // may a request run again?
 enum class halt_mode { none, drop, pause };              // what stopping running work does
 enum class signal_kind { none, level, credit, weight };  // how callers read the advertised value
 enum class outcome { ok, error, full, timeout, connect_failed, reset, cancelled, moot };
 
 struct class_settings {
   std::string name;
-  duration aim{};       // an answer within this earns the full worth
-  duration deadline{};  // the caller's patience
-  double aim_stretch = 0;
-  double worth = 1;
-  double late_worth = 0;     // share of the worth for an answer between aim and deadline
-  double worth_without = 0;  // share of the worth kept when a call is left out
-  effect repeats = effect::safe;
-  duration window{};   // keyed: how long after its arrival a request may arrive again
-  bool calls = false;  // may call the shared dependency
+  duration latency_objective{};  // an answer within this earns the full worth
+  duration deadline{};           // the caller's patience
+  double objective_stretch = 0;
+  double priority_weight = 1;
+  double late_weight = 0;          // share of the worth for an answer between aim and deadline
+  double weight_without_call = 0;  // share of the worth kept when a call is left out
+  request_effect effect = request_effect::safe;
+  duration idempotency_window{};  // keyed: how long after its arrival a request may arrive again
+  bool calls_dependency = false;  // may call the shared dependency
 };
 
 struct tenant_settings {
@@ -51,24 +51,25 @@
   unsigned servers = 1;  // at start
   unsigned callers = 1;  // at start
   unsigned cores = 1;
-  bool cold = false;           // only just started
-  double cold_speed = 1;       // a cold server starts at no less than this share of its speed
-  duration warm_within{};      // and is warm after this long
-  double crowd_factor = 0;     // running requests a core that a warm server survives; 0 = not stated
-  duration crowd_period{};     // averaged over this
-  double memory_kb = 0;        // 0 = not stated
-  double run_factor = 1;       // memory of a running request over that of a held one
-  double key_kb = 0;           // memory of one kept key
-  double fair_calls = 0;       // this server's share of the calls in the dependency's hands
-  duration calls_period{};     // averaged over this
-  duration call_linger{};      // an abandoned call stays with the dependency this long
-  duration fresh{};            // how long a read's answer may be handed to others
-  duration answer_slack{};     // grace on due times
-  duration drain_grace{};      // what arrives later than this after the notice is not run
-  duration signal_heeded{};    // callers keep the advertised value this long
-  duration max_retry_after{};  // longest advice to stay away that is observed
-  bool retry_after = false;    // advice is relayed at all
-  duration tick{};             // the host's granularity of time
+  bool cold_start = false;         // only just started
+  double cold_start_capacity = 1;  // a cold server starts at no less than this share of its speed
+  duration slow_start_duration{};  // and is warm after this long
+  double concurrency_ceiling_per_core =
+      0;  // running requests a core that a warm server survives; 0 = not stated
+  duration concurrency_ceiling_period{};  // averaged over this
+  double memory_kb = 0;                   // 0 = not stated
+  double running_memory_factor = 1;       // memory of a running request over that of a held one
+  double idempotency_key_kb = 0;          // memory of one kept key
+  double fair_concurrent_calls = 0;       // this server's share of the calls in the dependency's hands
+  duration calls_period{};                // averaged over this
+  duration abandoned_call_duration{};     // an abandoned call stays with the dependency this long
+  duration result_freshness{};            // how long a read's answer may be handed to others
+  duration answer_slack{};                // grace on due times
+  duration drain_grace{};                 // what arrives later than this after the notice is not run
+  duration load_signal_ttl{};             // callers keep the advertised value this long
+  duration max_retry_after{};             // longest advice to stay away that is observed
+  bool retry_after = false;               // advice is relayed at all
+  duration tick{};                        // the host's granularity of time
   halt_mode halt = halt_mode::none;
   signal_kind signal = signal_kind::none;
   std::vector<std::string> gauges;  // names of the values that come with a timer
@@ -77,12 +78,12 @@
 // Events, in the order in which they happened.
 struct arrival {
   request_id id{};
-  request_id repeats = 0;  // the kept request that this one is a further try of; 0 = none
+  request_id duplicate_of = 0;  // the kept request that this one is a further try of; 0 = none
   std::uint64_t key = 0;
-  double held_kb = 0;
-  duration patience{};  // until the caller gives up; 0 = not stated
-  duration work{};      // expected work; 0 = not stated
-  duration waited{};    // since it reached the machine
+  double reserved_kb = 0;
+  duration client_timeout{};  // until the caller gives up; 0 = not stated
+  duration expected_work{};   // expected work; 0 = not stated
+  duration read_delay{};      // since it reached the machine
   unsigned tenant = 0;
   unsigned request_class = 0;
   unsigned caller = 0;
@@ -95,7 +96,7 @@
   outcome result{};
   duration elapsed{};
 };  // a run or a share ended
-struct departure {
+struct client_cancelled {
   request_id id{};
 };  // nobody waits for it any longer
 struct call_needed {
@@ -106,26 +107,27 @@
   outcome result{};
   duration elapsed{};
 };
-struct notice {
-  duration left{};
+struct shutdown_notice {
+  duration time_left{};
 };  // the process is stopped after this long
 struct timer_fired {
   std::vector<double> gauges;
 };
 // What this server may act on of wholes that it shares with others. In force until the next one; before the
 // first there is no bound. What has no share is refused at once, never held for it.
-struct rate_share {
+struct rate_quota {
   unsigned tenant = 0;
   int request_class = -1;  // -1 = all of the tenant's together
   double per_second = 0;
 };
-struct shares {
-  double runs = -1;               // handed out at once, calls and stopped ones with them; below 0 = no bound
-  std::vector<rate_share> rates;  // requests let in
-  duration more_in{};             // when there may be a share where there is none now: the advice then
+struct quota_update {
+  double max_concurrent_runs =
+      -1;                         // handed out at once, calls and stopped ones with them; below 0 = no bound
+  std::vector<rate_quota> rates;  // requests let in
+  duration next_quota_in{};       // when there may be a share where there is none now: the advice then
 };
-using event =
-    std::variant<arrival, completion, departure, call_needed, call_ended, notice, timer_fired, shares>;
+using event = std::variant<arrival, completion, client_cancelled, call_needed, call_ended, shutdown_notice,
+                           timer_fired, quota_update>;
 
 // Actions, to be applied in order. The policy uses skip_call only where an answer without the call keeps
 // worth (worth_without).
@@ -135,14 +137,14 @@
 struct stop_run {
   request_id id{};
 };
-struct refuse {
+struct reject {
   request_id id{};
-  duration stay_away{};
-  bool not_elsewhere = false;
+  duration retry_after{};
+  bool no_retry_elsewhere = false;
 };  // it never ran
 struct fail {
   request_id id{};
-  duration stay_away{};
+  duration retry_after{};
 };  // no assurance
 struct place_call {
   request_id id{};
@@ -151,14 +153,14 @@
 struct skip_call {
   request_id id{};
 };
-struct keep_key {
+struct retain_key {
   request_id id{};
   duration ttl{};
 };
 struct forget_key {
   request_id id{};
 };
-struct share_outcome {
+struct share_result {
   request_id id{};
 };  // answer with the outcome of the request that it repeats
 struct set_health {
@@ -177,8 +179,8 @@
 struct log_line {
   std::string text;
 };
-using action = std::variant<start, stop_run, refuse, fail, place_call, skip_call, keep_key, forget_key,
-                            share_outcome, set_health, advertise, close_idle, set_timer, log_line>;
+using action = std::variant<start, stop_run, reject, fail, place_call, skip_call, retain_key, forget_key,
+                            share_result, set_health, advertise, close_idle, set_timer, log_line>;
 
 // One instance decides for one server during one life of its process.
 class policy {
--- a/src/admission_policy/policy.cpp
+++ b/src/admission_policy/policy.cpp
@@ -90,7 +90,7 @@
   time_point useful_until{};  // an answer after this earns less or nothing
   time_point start_tag{};     // both tags in shifted time: see tag()
   time_point finish_tag{};
-  double held_kb{};
+  double reserved_kb{};
   double work{};  // units of work: hinted seconds, or 1
   phase where = phase::held;
   bool answered = false;  // nothing is owed any longer; it may still run
@@ -114,7 +114,7 @@
 };
 
 struct rate_bucket {
-  rate_share of;
+  rate_quota of;
   double tokens = 1;
   time_point filled{};
 };
@@ -131,12 +131,12 @@
 
   void on(const arrival& a);
   void on(const completion& c);
-  void on(const departure& d);
+  void on(const client_cancelled& d);
   void on(const call_needed& c);
   void on(const call_ended& c);
-  void on(const notice& n);
+  void on(const shutdown_notice& n);
   void on(const timer_fired& t);
-  void on(const shares& s);
+  void on(const quota_update& s);
 
   void resync();
   void tag(request& r);
@@ -169,7 +169,9 @@
 
   const class_settings& class_of(const request& r) const { return set_.classes[r.request_class]; }
   bool occupies(phase p) const { return p != phase::held && p != phase::sharing; }
-  double weight_kb(const request& r) const { return r.held_kb * (occupies(r.where) ? set_.run_factor : 1); }
+  double weight_kb(const request& r) const {
+    return r.reserved_kb * (occupies(r.where) ? set_.running_memory_factor : 1);
+  }
   double speed() const;
   double crowd() const;
   double time_per_unit() const;
@@ -212,7 +214,7 @@
   time_point timer_at_{duration::max()};
   duration shift_{};  // of all tags so far
   duration tightest_aim_{duration::max()};
-  shares shares_;
+  quota_update quota_;
   std::vector<rate_bucket> rates_;
   duration share_in_{};  // when whoever was found without a share may have one
   double memory_kb_ = 0;
@@ -259,7 +261,7 @@
   if (set_.classes.empty()) throw std::invalid_argument("classes: at least one is needed");
   for (const class_settings& c : set_.classes) {
     if (c.deadline <= 0ns) throw std::invalid_argument("classes: deadline of " + c.name + " is missing");
-    tightest_aim_ = std::min(tightest_aim_, c.aim > 0ns ? c.aim : c.deadline);
+    tightest_aim_ = std::min(tightest_aim_, c.latency_objective > 0ns ? c.latency_objective : c.deadline);
   }
   if (set_.tenants.empty()) set_.tenants.push_back({});
   for (const tenant_settings& t : set_.tenants) {
@@ -271,8 +273,8 @@
     tenants_.push_back(s);
   }
   limit_ = set_.cores;
-  for (const class_settings& c : set_.classes) calls_each_.push_back(c.calls ? 1 : 0);
-  call_cap_ = calls_least * set_.fair_calls;
+  for (const class_settings& c : set_.classes) calls_each_.push_back(c.calls_dependency ? 1 : 0);
+  call_cap_ = calls_least * set_.fair_concurrent_calls;
   call_credit_ = calls_burst * call_cap_;
   units_done_ = 1;
   core_seconds_ = to_seconds(assumed_run) / speed();
@@ -336,7 +338,7 @@
   if (t.held == 0) t.min_start = start;
   r.start_tag = start + shift_;
   const class_settings& c = class_of(r);
-  r.finish_tag = r.start_tag + (c.aim > 0ns ? c.aim : c.deadline);
+  r.finish_tag = r.start_tag + (c.latency_objective > 0ns ? c.latency_objective : c.deadline);
 }
 
 // A slot frees: the smallest finish tag starts, and its tenant's MinS becomes that start tag.
@@ -361,9 +363,10 @@
 void policy::impl::shed_hopeless() {
   const double per_unit = time_per_unit();
   // Without a share of runs nothing that is held will start: it goes at once.
-  while (shares_.runs >= 0 && shares_.runs < 1 && !hold_.empty())
-    turn_away(requests_.at(hold_.begin()->second), false, shares_.more_in);
-  const double slots = std::min({limit_, crowd(), shares_.runs < 0 ? limit_ : std::max(1.0, shares_.runs)});
+  while (quota_.max_concurrent_runs >= 0 && quota_.max_concurrent_runs < 1 && !hold_.empty())
+    turn_away(requests_.at(hold_.begin()->second), false, quota_.next_quota_in);
+  const double slots = std::min(
+      {limit_, crowd(), quota_.max_concurrent_runs < 0 ? limit_ : std::max(1.0, quota_.max_concurrent_runs)});
   double ahead = 0;
   double calls_ahead = static_cast<double>(calls_wanted_.size());
   for (const auto& [start, id] : running_) {
@@ -376,13 +379,13 @@
   for (auto i = hold_.begin(); i != hold_.end();) {
     request& r = requests_.at((i++)->second);
     const double own = r.work * per_unit;
-    const double due = class_of(r).worth_without > 0 ? 0 : calls_due(r);  // else it can go without
+    const double due = class_of(r).weight_without_call > 0 ? 0 : calls_due(r);  // else it can go without
     const double queue = due > 0 ? call_wait(calls_ahead) : 0;
     const double left = to_seconds(r.useful_until - now_);
     const bool taken = taking > 0 && left > 0 && (queue <= 0 || queue + due * round_trip_ <= left);
     if (!taken && std::max(std::max(0.0, ahead) / slots, queue) + own + due * round_trip_ > left) {
       ++shed_in_window_;
-      turn_away(r, due > 0 && calls_jam() && set_.fair_calls > 0);  // all servers share the jam
+      turn_away(r, due > 0 && calls_jam() && set_.fair_concurrent_calls > 0);  // all servers share the jam
       continue;
     }
     if (taken) --taking;
@@ -432,9 +435,9 @@
 // seen from this caller for this class. Guards against work for further tries whose aim has gone by
 // elsewhere. Unmarked ones pass: first tries come with differing patience too.
 duration policy::impl::age_of(const arrival& a) {
-  if (a.patience <= 0ns) return {};
+  if (a.client_timeout <= 0ns) return {};
   duration& longest = longest_patience_[{a.caller, a.request_class}];
-  const duration patience = a.patience + a.waited;
+  const duration patience = a.client_timeout + a.read_delay;
   longest = std::max(longest, patience);
   return a.retry ? longest - patience : duration{};
 }
@@ -484,32 +487,36 @@
   r.request_class = std::min<unsigned>(a.request_class, static_cast<unsigned>(set_.classes.size()) - 1);
   r.tenant = std::min<unsigned>(a.tenant, static_cast<unsigned>(tenants_.size()) - 1);
   const class_settings& c = class_of(r);
-  r.arrived = now_ - a.waited;
-  const time_point due = a.patience > 0ns ? now_ + a.patience : std::max(now_, r.arrived + c.deadline);
+  r.arrived = now_ - a.read_delay;
+  const time_point due =
+      a.client_timeout > 0ns ? now_ + a.client_timeout : std::max(now_, r.arrived + c.deadline);
   r.answer_by = std::min(due - answer_early - 2 * set_.tick, stop_at_ - stop_early);
-  r.useful_until = std::min(r.answer_by, r.arrived - age_of(a) + (c.aim > 0ns ? c.aim : c.deadline));
-  r.held_kb = std::max(0.0, a.held_kb);
-  if (a.work > 0ns && !hinted_) {  // units become seconds of a standard core
+  r.useful_until = std::min(
+      r.answer_by, r.arrived - age_of(a) + (c.latency_objective > 0ns ? c.latency_objective : c.deadline));
+  r.reserved_kb = std::max(0.0, a.reserved_kb);
+  if (a.expected_work > 0ns && !hinted_) {  // units become seconds of a standard core
     hinted_ = true;
     units_done_ = to_seconds(assumed_run);
     core_seconds_ = units_done_ / speed();
     best_time_per_unit_ = 1;
   }
-  r.work = hinted_ && a.work > 0ns ? to_seconds(a.work) : hinted_ ? to_seconds(assumed_run) : 1;
+  r.work = hinted_ && a.expected_work > 0ns ? to_seconds(a.expected_work)
+           : hinted_                        ? to_seconds(assumed_run)
+                                            : 1;
   read_rate_ += 1 / read_memory;
   const bool twin = unlinked_twin(r, a);
   note_caller(a.caller);
   marked_ = marked_ || a.retry;
-  unread_in_window_ = std::max(unread_in_window_, a.waited);
+  unread_in_window_ = std::max(unread_in_window_, a.read_delay);
   request& held = requests_.emplace(a.id, r).first->second;
-  memory_kb_ += held.held_kb;
+  memory_kb_ += held.reserved_kb;
   tag(held);
   ++tenants_[held.tenant].held;
   hold_.emplace(held.finish_tag, held.id);
   set_wake(held);
-  if (a.repeats != 0 && c.repeats != effect::unsafe) {  // a repeat never gets a run of its own
-    act(share_outcome{held.id});
-    held.ran = c.repeats == effect::keyed;  // the request may have run: no refusal from here on
+  if (a.duplicate_of != 0 && c.effect != request_effect::unsafe) {  // a repeat never gets a run of its own
+    act(share_result{held.id});
+    held.ran = c.effect == request_effect::keyed;  // the request may have run: no refusal from here on
     move(held, phase::sharing);
     return;
   }
@@ -517,7 +524,7 @@
     turn_away(held);
   } else if (!has_share(held)) {
     turn_away(held, false, share_in_);
-  } else if (c.repeats == effect::keyed || (set_.fresh > 0ns && a.key != 0 && !a.write)) {
+  } else if (c.effect == request_effect::keyed || (set_.result_freshness > 0ns && a.key != 0 && !a.write)) {
     keep(held);
   }
 }
@@ -538,7 +545,7 @@
   erase(r);
 }
 
-void policy::impl::on(const departure& d) {
+void policy::impl::on(const client_cancelled& d) {
   const auto found = requests_.find(d.id);
   if (found == requests_.end()) return;
   request& r = found->second;
@@ -561,7 +568,8 @@
   if (found == requests_.end()) return;
   request& r = found->second;
   if (r.where != phase::at_call) return;
-  if (c.result == outcome::timeout || c.result == outcome::reset) lingering_.insert(now_ + set_.call_linger);
+  if (c.result == outcome::timeout || c.result == outcome::reset)
+    lingering_.insert(now_ + set_.abandoned_call_duration);
   steer_calls(c);
   if (c.result == outcome::ok) {
     r.ran_since += now_ - r.left_core;
@@ -571,7 +579,7 @@
   move(r, r.answered ? phase::ending : phase::call_wanted);
   if (r.answered) return;
   const bool never_ran = c.result == outcome::full || c.result == outcome::connect_failed;
-  if (!never_ran && class_of(r).repeats != effect::safe) {
+  if (!never_ran && class_of(r).effect != request_effect::safe) {
     give_up(r);
     return;
   }
@@ -580,7 +588,7 @@
   r.call_after = now_ + from_seconds(round_trip_ * (1u << std::min(r.call_failures, 8u)) / 2);
 }
 
-void policy::impl::on(const notice& n) {
+void policy::impl::on(const shutdown_notice& n) {
   if (!draining_) {
     draining_ = true;
     notice_at_ = now_;
@@ -588,7 +596,7 @@
     act(set_health{false, true});
     act(log_line{"drain: notice to leave"});
   }
-  stop_at_ = std::min(stop_at_, now_ + n.left);
+  stop_at_ = std::min(stop_at_, now_ + n.time_left);
   for (auto& [id, r] : requests_) {
     r.answer_by = std::min(r.answer_by, std::max(now_, stop_at_ - stop_early));
     r.useful_until = std::min(r.useful_until, r.answer_by);
@@ -601,10 +609,10 @@
   if (now_ >= window_end_) close_window(t);
 }
 
-void policy::impl::on(const shares& s) {
-  shares_ = s;
+void policy::impl::on(const quota_update& s) {
+  quota_ = s;
   std::vector<rate_bucket> next;
-  for (const rate_share& r : s.rates) {
+  for (const rate_quota& r : s.rates) {
     const auto known = std::find_if(rates_.begin(), rates_.end(), [&](const rate_bucket& b) {
       return b.of.tenant == r.tenant && b.of.request_class == r.request_class;
     });
@@ -640,7 +648,7 @@
   while (!keys_.empty() && keys_.begin()->first <= now) {
     key_expiry_.erase(keys_.begin()->second);
     keys_.erase(keys_.begin());
-    memory_kb_ -= set_.key_kb;
+    memory_kb_ -= set_.idempotency_key_kb;
   }
 }
 
@@ -726,15 +734,15 @@
 
 // Share of full speed that a server which has just started surely has by now.
 double policy::impl::speed() const {
-  if (!set_.cold || set_.warm_within <= 0ns) return 1;
-  const double warm = std::min(1.0, to_seconds(now_ - opened_) / to_seconds(set_.warm_within));
-  return std::min(1.0, set_.cold_speed + (1 - set_.cold_speed) * warm);
+  if (!set_.cold_start || set_.slow_start_duration <= 0ns) return 1;
+  const double warm = std::min(1.0, to_seconds(now_ - opened_) / to_seconds(set_.slow_start_duration));
+  return std::min(1.0, set_.cold_start_capacity + (1 - set_.cold_start_capacity) * warm);
 }
 
 // The crowd on the cores that is survivable now, with margin: guards against the fall of a crowded server.
 double policy::impl::crowd() const {
-  if (set_.crowd_factor <= 0) return 4.0 * set_.cores;
-  const double survivable = (1 + (set_.crowd_factor - 1) * speed()) * set_.cores;
+  if (set_.concurrency_ceiling_per_core <= 0) return 4.0 * set_.cores;
+  const double survivable = (1 + (set_.concurrency_ceiling_per_core - 1) * speed()) * set_.cores;
   const double whole = std::min(std::ceil(crowd_margin * survivable), std::floor(crowd_most * survivable));
   return std::max<double>(set_.cores, whole);
 }
@@ -742,16 +750,17 @@
 // A start multiplies a request's memory and cannot be taken back everywhere: guards against runs that fill
 // the memory, with nothing left in the hold to turn away. Holds for large requests and many keys too.
 bool policy::impl::fits_as_run(const request& r) const {
-  return set_.memory_kb <= 0 || memory_kb_ + r.held_kb * (set_.run_factor - 1) <= run_margin * set_.memory_kb;
+  return set_.memory_kb <= 0 ||
+         memory_kb_ + r.reserved_kb * (set_.running_memory_factor - 1) <= run_margin * set_.memory_kb;
 }
 
 // Runs that may still start under the share: every one that was handed out counts until its end, also at a
 // call, stopped or no longer waited for.
 double policy::impl::runs_room() const {
-  if (shares_.runs < 0) return 1;
+  if (quota_.max_concurrent_runs < 0) return 1;
   const auto out = std::count_if(requests_.begin(), requests_.end(),
                                  [this](const auto& r) { return occupies(r.second.where); });
-  return shares_.runs - static_cast<double>(out);
+  return quota_.max_concurrent_runs - static_cast<double>(out);
 }
 
 // Takes from every rate share that the request falls under, or from none. Guards wholes that no server owns:
@@ -768,8 +777,8 @@
     b.filled = now_;
     under.push_back(&b);
     if (b.tokens >= 1) continue;
-    share_in_ = std::max(
-        share_in_, b.of.per_second > 0 ? from_seconds((1 - b.tokens) / b.of.per_second) : shares_.more_in);
+    share_in_ = std::max(share_in_, b.of.per_second > 0 ? from_seconds((1 - b.tokens) / b.of.per_second)
+                                                        : quota_.next_quota_in);
   }
   if (share_in_ > 0ns) return false;
   for (rate_bucket* b : under) b->tokens -= 1;
@@ -791,31 +800,34 @@
 // request.
 bool policy::impl::unlinked_twin(const request& r, const arrival& a) {
   const class_settings& c = class_of(r);
-  if (c.repeats != effect::keyed) return false;
-  const duration least = from_seconds(to_seconds(c.aim > 0ns ? c.aim : c.deadline) * try_least);
-  while (!late_reads_.empty() && late_reads_.front().first + c.window < now_) late_reads_.pop_front();
+  if (c.effect != request_effect::keyed) return false;
+  const duration least =
+      from_seconds(to_seconds(c.latency_objective > 0ns ? c.latency_objective : c.deadline) * try_least);
+  while (!late_reads_.empty() && late_reads_.front().first + c.idempotency_window < now_)
+    late_reads_.pop_front();
   const bool twin = std::any_of(late_reads_.begin(), late_reads_.end(), [&](const auto& l) {
     const bool same = a.retry || (!marked_ && l.second.caller == a.caller);
-    return same && l.first >= r.arrived && l.first - l.second.waited + least <= r.arrived;
+    return same && l.first >= r.arrived && l.first - l.second.read_delay + least <= r.arrived;
   });
-  if (a.waited >= least) late_reads_.emplace_back(now_, a);
-  return twin && a.repeats == 0;
+  if (a.read_delay >= least) late_reads_.emplace_back(now_, a);
+  return twin && a.duplicate_of == 0;
 }
 
 // Keeps the key of a request before it can run, so that no repeat gets a run of its own. When the table would
 // take too much memory the request is turned away; no key is forgotten.
 void policy::impl::keep(request& r) {
-  const duration life = class_of(r).repeats == effect::keyed ? class_of(r).window : set_.fresh;
+  const duration life =
+      class_of(r).effect == request_effect::keyed ? class_of(r).idempotency_window : set_.result_freshness;
   const time_point until = r.arrived + life + 2 * set_.tick;
   if (set_.memory_kb > 0 &&
-      set_.key_kb * static_cast<double>(keys_.size() + 1) > keys_margin * set_.memory_kb) {
-    if (class_of(r).repeats == effect::keyed) turn_away(r);
+      set_.idempotency_key_kb * static_cast<double>(keys_.size() + 1) > keys_margin * set_.memory_kb) {
+    if (class_of(r).effect == request_effect::keyed) turn_away(r);
     return;
   }
-  act(keep_key{r.id, until - now_});
+  act(retain_key{r.id, until - now_});
   keys_.emplace(until, r.id);
   key_expiry_[r.id] = until;
-  memory_kb_ += set_.key_kb;
+  memory_kb_ += set_.idempotency_key_kb;
 }
 
 // Calls in hand stay under this server's share of what the dependency survives, at any moment and in the mean
@@ -823,19 +835,19 @@
 // while the share has room. Guards against the fall of the shared dependency, also where the share is a part
 // of one call and all calls grow slow at once. Within that, the mean in hand follows call_cap_.
 void policy::impl::place_calls() {
-  const double share = set_.fair_calls > 0 ? set_.fair_calls * calls_margin : 1e9;
+  const double share = set_.fair_concurrent_calls > 0 ? set_.fair_concurrent_calls * calls_margin : 1e9;
   const double budget = share * std::max(to_seconds(set_.calls_period), to_seconds(set_.tick));
   for (auto i = calls_wanted_.begin(); i != calls_wanted_.end();) {
     const double out = static_cast<double>(calls_out_ + lingering_.size());
     const double left = budget - calls_sum_;
     if (out + 1 > std::max(1.0, share) || left < call_room * budget) break;
-    if (set_.fair_calls > 0 && call_credit_ < static_cast<double>(calls_out_) * round_trip_) break;
+    if (set_.fair_concurrent_calls > 0 && call_credit_ < static_cast<double>(calls_out_) * round_trip_) break;
     request& r = requests_.at((i++)->second);
     if (r.call_after > now_) continue;
     move(r, phase::at_call);
     duration limit = std::min(r.answer_by - now_, from_seconds(left / (out + 1)));
     const duration rest = from_seconds(core_left(r, r.left_core, time_per_unit()));
-    if (class_of(r).worth_without > 0 && now_ + rest < r.useful_until)
+    if (class_of(r).weight_without_call > 0 && now_ + rest < r.useful_until)
       limit = std::min(limit, r.useful_until - now_ - rest);  // in time to go on without it
     act(place_call{r.id, std::max<duration>(limit, set_.tick)});
   }
@@ -856,14 +868,15 @@
   const double better = best_round_trip_ - round_trip_;
   best_round_trip_ -= better > 0 ? better * calls_settle : -best_round_trip_ * calls_creep;
   if (++calls_since_cut_ >= 2 && calls_jam()) call_cap_ *= calls_cut, calls_since_cut_ = 0;
-  if (!calls_jam() && !calls_wanted_.empty()) call_cap_ += calls_grow * set_.fair_calls;
-  call_cap_ = std::clamp(call_cap_, calls_least * set_.fair_calls, calls_margin * set_.fair_calls);
+  if (!calls_jam() && !calls_wanted_.empty()) call_cap_ += calls_grow * set_.fair_concurrent_calls;
+  call_cap_ = std::clamp(call_cap_, calls_least * set_.fair_concurrent_calls,
+                         calls_margin * set_.fair_concurrent_calls);
 }
 
 // Seconds until a call may be placed that has so many before it: what those out and those ahead will use,
 // less what is saved up, at the pace of the cap.
 double policy::impl::call_wait(double ahead) const {
-  if (set_.fair_calls <= 0 || call_cap_ <= 0) return 0;
+  if (set_.fair_concurrent_calls <= 0 || call_cap_ <= 0) return 0;
   return std::max(0.0, (calls_out_ + ahead) * round_trip_ - call_credit_) / call_cap_;
 }
 
@@ -884,16 +897,16 @@
   for (auto i = calls_wanted_.begin(); i != calls_wanted_.end();) {
     request& r = requests_.at((i++)->second);
     const class_settings& c = class_of(r);
-    const bool alone = calls_wanted_.size() == 1 && c.late_worth > 0;
+    const bool alone = calls_wanted_.size() == 1 && c.late_weight > 0;
     const time_point end = alone ? r.answer_by : r.useful_until;
     const double wait = std::max(call_wait(before), to_seconds(r.call_after - now_));
     const bool in_time = now_ + from_seconds(wait + round_trip_) <= end;
     const duration rest = from_seconds(core_left(r, r.left_core, per_unit));
     const bool better_without = now_ + rest <= end && now_ + rest + from_seconds(wait + round_trip_) > end;
-    const bool skips = c.worth_without > 0 && (better_without || (calls_jam() && wait > 0));
+    const bool skips = c.weight_without_call > 0 && (better_without || (calls_jam() && wait > 0));
     if (r.call_failures < call_tries && in_time && !skips) {
       before += 1;
-    } else if (c.worth_without > 0) {
+    } else if (c.weight_without_call > 0) {
       act(skip_call{r.id});
       r.ran_since += now_ - r.left_core;
       move(r, phase::running);
@@ -924,7 +937,7 @@
 void policy::impl::set_wake(request& r) {
   wakes_.erase({r.wake, r.id});
   r.wake = r.answer_by;
-  if (occupies(r.where) && class_of(r).late_worth <= 0 && set_.halt != halt_mode::none)
+  if (occupies(r.where) && class_of(r).late_weight <= 0 && set_.halt != halt_mode::none)
     r.wake = r.useful_until;
   wakes_.emplace(r.wake, r.id);
 }
@@ -945,13 +958,13 @@
 
 // Turns away a request that never ran, and frees its key.
 void policy::impl::turn_away(request& r, bool no_use, duration at_least) {
-  refuse a{r.id, 0ns, false};
+  reject a{r.id, 0ns, false};
   if (draining_) {
-    a.stay_away = set_.max_retry_after;
+    a.retry_after = set_.max_retry_after;
   } else {
-    a.stay_away = std::min(set_.max_retry_after, std::max(advice(), at_least));
-    a.not_elsewhere = no_use || overloaded_everywhere() ||
-                      r.useful_until <= now_;  // where its aim has gone by: no use elsewhere
+    a.retry_after = std::min(set_.max_retry_after, std::max(advice(), at_least));
+    a.no_retry_elsewhere = no_use || overloaded_everywhere() ||
+                           r.useful_until <= now_;  // where its aim has gone by: no use elsewhere
   }
   act(a);
   r.answered = true;
@@ -985,7 +998,7 @@
       act(forget_key{r.id});
       keys_.erase({k->second, r.id});
       key_expiry_.erase(k);
-      memory_kb_ -= set_.key_kb;
+      memory_kb_ -= set_.idempotency_key_kb;
     }
     erase(r);
     return;
@@ -996,7 +1009,7 @@
 }
 
 void policy::impl::erase(request& r) {
-  if (r.where == phase::at_call) lingering_.insert(now_ + set_.call_linger);
+  if (r.where == phase::at_call) lingering_.insert(now_ + set_.abandoned_call_duration);
   wakes_.erase({r.wake, r.id});
   move(r, phase::sharing);
   memory_kb_ -= weight_kb(r);
--- a/src/cluster/quota_client.cpp
+++ b/src/cluster/quota_client.cpp
@@ -148,13 +148,13 @@
 // run.
 void quota_client::apply(quota::time_point at) {
   bool module_changed = false;
-  marblewharf::shares given;
-  given.more_in = settings_.renew;
+  marblewharf::quota_update given;
+  given.next_quota_in = settings_.renew;
   for (std::size_t i = 0; i < settings_.all.size(); ++i) {
     const budget_config& b = settings_.all[i];
     const double share = office_.share(i, at);
     const double acted = b.unit == budget_unit::requests ? share : std::floor(share + 1e-6);
-    if (b.unit == budget_unit::runs) given.runs = acted;
+    if (b.unit == budget_unit::runs) given.max_concurrent_runs = acted;
     if (b.unit == budget_unit::requests) given.rates.push_back({b.tenant, b.request_class, acted});
     if (acted == told_[i]) continue;
     module_changed = module_changed || b.unit != budget_unit::calls;
@@ -163,7 +163,7 @@
     ++moved_[i];
     telemetry::log("share", "%s: %.6g of %.6g %s", b.name.c_str(), acted, b.whole, name_of(b.unit));
   }
-  if (module_changed) desk_.on_shares(given);
+  if (module_changed) desk_.on_quota_update(given);
   const std::vector<quota::change> changes = office_.take_changes();
   if (!settings_.audit) return;
   // For the auditor of tests, without the bound on lines: what is in force from now until when, by the
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -112,7 +112,8 @@
     const std::string at = "settings.Classes." + std::to_string(i) + ".";
     check_name(s.classes[i].name, at + "Name", class_names);
     if (s.classes[i].deadline.count() <= 0) throw bad_config(at + "Deadline is missing or 0");
-    if (s.classes[i].deadline < s.classes[i].aim) throw bad_config(at + "Deadline is under its Objective");
+    if (s.classes[i].deadline < s.classes[i].latency_objective)
+      throw bad_config(at + "Deadline is under its Objective");
   }
   for (std::size_t i = 0; i < s.tenants.size(); ++i)
     check_name(s.tenants[i].name, "settings.Tenants." + std::to_string(i) + ".Name", tenant_names);
@@ -179,8 +180,9 @@
   r.memory = bounds.kept_results;
   bool any = false;
   for (const admission_policy::class_settings& c : settings.classes) {
-    const bool keyed = c.repeats == admission_policy::effect::keyed && c.window.count() > 0;
-    r.windows.push_back(keyed ? c.window + bounds.rule_slack : std::chrono::nanoseconds{});
+    const bool keyed =
+        c.effect == admission_policy::request_effect::keyed && c.idempotency_window.count() > 0;
+    r.windows.push_back(keyed ? c.idempotency_window + bounds.rule_slack : std::chrono::nanoseconds{});
     r.longest_wait = std::max(r.longest_wait, c.deadline);
     any = any || keyed;
   }
@@ -245,8 +247,8 @@
   for (std::size_t i = 0; i < keys.windows.size(); ++i) {
     if (keys.windows[i].count() == 0) continue;
     // The module keeps a key while its request can be open; from then on the folder knows it.
-    c.settings.classes[i].repeats = admission_policy::effect::keyed;
-    c.settings.classes[i].window = c.settings.classes[i].deadline;
+    c.settings.classes[i].effect = admission_policy::request_effect::keyed;
+    c.settings.classes[i].idempotency_window = c.settings.classes[i].deadline;
   }
   c.keyed = std::move(keys);
   c.repeats.reset();
@@ -256,7 +258,7 @@
   if (!c.uwsgi) throw bad_config("parts are gathered for uwsgi requests, and uwsgi is off");
   for (const upstream::request_plan& p : all.plans) {
     for (admission_policy::class_settings& k : c.settings.classes)
-      k.calls = k.calls || k.name == p.request_class;
+      k.calls_dependency = k.calls_dependency || k.name == p.request_class;
   }
   c.uwsgi->hash_content = true;
   c.dependencies = std::move(all);
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -40,7 +40,7 @@
   var_mapping tenant;
   var_mapping cost;                  // in milliseconds on one core
   std::vector<double> default_cost;  // by class, where the var is absent; 0 = not stated
-  double held_kb = 0;                // booked for each request while it is held
+  double reserved_kb = 0;            // booked for each request while it is held
   bool hash_content = false;         // of each request: somebody wants to know what it is about
 };
 
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -335,7 +335,7 @@
         second.default_cost[i] =
             std::chrono::duration<double, std::milli>(s.time("uwsgi_cost", {}, most_cost)).count();
       if (const double worth = s.number("worth_without", 0, 1); worth > 0)
-        known.classes[i].worth_without = worth;
+        known.classes[i].weight_without_call = worth;
       if (!s.flag("keyed")) return;
       // A request may be open for its whole deadline: a key that ages out before could run twice.
       keys.windows[i] = s.time("window", known.classes[i].deadline * 2, longest);
@@ -351,7 +351,7 @@
     u.tenant.var = s.needed("tenant_var");
     u.cost.var = s.text("cost_var");
     constexpr double kib = 1024;
-    u.held_kb = static_cast<double>(s.bytes("held", 100, 2000 * 1024)) / kib;
+    u.reserved_kb = static_cast<double>(s.bytes("held", 100, 2000 * 1024)) / kib;
     return u;
   }
 
@@ -426,12 +426,15 @@
         s.fail("class", "names nothing in the settings", s.text("class"));
       }();
       const admission_policy::class_settings& k = c.settings.classes[request_class];
-      if (k.repeats != admission_policy::effect::safe)
+      if (k.effect != admission_policy::request_effect::safe)
         s.fail("class", "has an effect: only reads are gathered", k.name);
       auto plan = std::find_if(all.plans.begin(), all.plans.end(),
                                [&](const upstream::request_plan& p) { return p.request_class == k.name; });
       if (plan == all.plans.end()) {
-        all.plans.push_back({k.name, k.aim.count() > 0 ? k.aim : k.deadline, reserve_of(k.name), {}});
+        all.plans.push_back({k.name,
+                             k.latency_objective.count() > 0 ? k.latency_objective : k.deadline,
+                             reserve_of(k.name),
+                             {}});
         titles.emplace_back();
         plan = std::prev(all.plans.end());
       }
--- a/src/core/admission.cpp
+++ b/src/core/admission.cpp
@@ -11,18 +11,18 @@
 std::vector<bool> writes_of(const admission_policy::settings& s) {
   std::vector<bool> writes;
   for (const admission_policy::class_settings& c : s.classes)
-    writes.push_back(c.repeats != admission_policy::effect::safe);
+    writes.push_back(c.effect != admission_policy::request_effect::safe);
   return writes;
 }
 
 admission_policy::outcome outcome_of(run_end how) {
   switch (how) {
-    case run_end::fine: return admission_policy::outcome::ok;
-    case run_end::fault:
+    case run_end::succeeded: return admission_policy::outcome::ok;
+    case run_end::failed:
     case run_end::lost: return admission_policy::outcome::error;
-    case run_end::broken_off: return admission_policy::outcome::cancelled;
+    case run_end::aborted: return admission_policy::outcome::cancelled;
     case run_end::never_started:
-    case run_end::unknown: return admission_policy::outcome::moot;
+    case run_end::unknown_request: return admission_policy::outcome::moot;
   }
   return admission_policy::outcome::error;
 }
@@ -39,11 +39,11 @@
   begun_.emplace(fact.id, false);
   admission_policy::arrival a;
   a.id = fact.id;
-  a.repeats = fact.repeats;
+  a.duplicate_of = fact.duplicate_of;
   a.key = r.subject;
-  a.held_kb = r.held_kb;
-  a.work = r.work;
-  a.waited = r.waited;
+  a.reserved_kb = r.reserved_kb;
+  a.expected_work = r.expected_work;
+  a.read_delay = r.read_delay;
   a.tenant = r.tenant;
   a.request_class = r.request_class;
   a.caller = r.caller;
@@ -60,7 +60,7 @@
 void admission::report(const gone& fact) {
   // Nothing more comes of one that never began. Guards the table against one entry for each caller that left.
   if (const auto known = begun_.find(fact.id); known != begun_.end() && !known->second) begun_.erase(known);
-  pending_.emplace_back(admission_policy::departure{fact.id});
+  pending_.emplace_back(admission_policy::client_cancelled{fact.id});
 }
 
 void admission::report(const needs_call& fact) {
@@ -72,10 +72,10 @@
 }
 
 void admission::report(const drain& fact) {
-  pending_.emplace_back(admission_policy::notice{fact.left});
+  pending_.emplace_back(admission_policy::shutdown_notice{fact.left});
 }
 
-void admission::report(const shares& fact) {
+void admission::report(const quota_update& fact) {
   pending_.emplace_back(fact);
 }
 
@@ -105,14 +105,14 @@
       }
     } else if (const auto* p = std::get_if<admission_policy::stop_run>(&a)) {
       decisions_.emplace_back(pause{p->id});
-    } else if (const auto* r = std::get_if<admission_policy::refuse>(&a)) {
-      decisions_.emplace_back(refuse{r->id, r->stay_away, r->not_elsewhere});
+    } else if (const auto* r = std::get_if<admission_policy::reject>(&a)) {
+      decisions_.emplace_back(refuse{r->id, r->retry_after, r->no_retry_elsewhere});
       begun_.erase(r->id);
     } else if (const auto* f = std::get_if<admission_policy::fail>(&a)) {
-      decisions_.emplace_back(fail{f->id, f->stay_away});
+      decisions_.emplace_back(fail{f->id, f->retry_after});
       // One that shared an outcome never begins. Guards the table against one entry for each.
       if (const auto known = begun_.find(f->id); known != begun_.end() && !known->second) begun_.erase(known);
-    } else if (const auto* k = std::get_if<admission_policy::keep_key>(&a)) {
+    } else if (const auto* k = std::get_if<admission_policy::retain_key>(&a)) {
       decisions_.emplace_back(keep{k->id});
     } else if (const auto* o = std::get_if<admission_policy::forget_key>(&a)) {
       decisions_.emplace_back(forget{o->id});
@@ -120,7 +120,7 @@
       decisions_.emplace_back(place{pc->id, pc->limit});
     } else if (const auto* sc = std::get_if<admission_policy::skip_call>(&a)) {
       decisions_.emplace_back(skip{sc->id});
-    } else if (const auto* sh = std::get_if<admission_policy::share_outcome>(&a)) {
+    } else if (const auto* sh = std::get_if<admission_policy::share_result>(&a)) {
       decisions_.emplace_back(share{sh->id});
     } else if (const auto* h = std::get_if<admission_policy::set_health>(&a)) {
       decisions_.emplace_back(health{h->good});
--- a/src/core/admission.hpp
+++ b/src/core/admission.hpp
@@ -17,7 +17,7 @@
 struct arrived {
   request_id id{};
   const request* what = nullptr;  // read at once, not kept
-  request_id repeats = 0;         // the request whose outcome it is to share; 0 = none
+  request_id duplicate_of = 0;    // the request whose outcome it is to share; 0 = none
 };
 struct ended {
   request_id id{};
@@ -37,7 +37,7 @@
 struct drain {
   duration left{};  // until the process is stopped
 };
-using shares = admission_policy::shares;  // of wholes that this node has a part in
+using quota_update = admission_policy::quota_update;  // of wholes that this node has a part in
 
 // Decisions.
 struct run {
@@ -52,7 +52,7 @@
 struct refuse {
   request_id id{};
   duration retry_after{};
-  bool not_elsewhere = false;
+  bool no_retry_elsewhere = false;
 };
 struct fail {
   request_id id{};
@@ -94,7 +94,7 @@
   void report(const needs_call& fact);
   void report(const call_over& fact);
   void report(const drain& fact);
-  void report(const shares& fact);
+  void report(const quota_update& fact);
 
   // Decides on all that was reported and all that has become due. Gauges are in the order of the settings;
   // none: unknown.
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 admission_policy::settings started_cold(admission_policy::settings s, bool cold) {
-  s.cold = s.cold || cold;
+  s.cold_start = s.cold_start || cold;
   return s;
 }
 
@@ -28,7 +28,7 @@
 void dispatcher::on_server_up(bool cold, time_point since) {
   if (read_any_ || draining_) return;  // the module learns the rest from runs
   admission_ = admission(started_cold(settings_, cold), seed_, since);
-  if (shares_) admission_.report(*shares_);  // a module made anew knows of no bound
+  if (quota_) admission_.report(*quota_);  // a module made anew knows of no bound
 }
 
 request_id dispatcher::on_arrival(front& from, backend& to, request what) {
@@ -39,7 +39,7 @@
   ++counters_.taken_in;
   entry& e = table_[last_id_];
   e.what = std::move(what);
-  e.what.arrived = now_ - e.what.waited;
+  e.what.arrived = now_ - e.what.read_delay;
   e.from = &from;
   e.to = &to;
   if (watch_) watch_(e.what);
@@ -68,7 +68,7 @@
   return l;
 }
 
-void dispatcher::on_gone(request_id id) {
+void dispatcher::on_client_cancelled(request_id id) {
   const auto at = table_.find(id);
   if (at == table_.end() || at->second.answered) return;
   ++counters_.gone;
@@ -88,10 +88,10 @@
     end_of_leader(at, how, result, elapsed);
     return;
   }
-  if (how == run_end::fine) {
-    conclude(at, {.how = verdict::served, .result = result});
-  } else if (how != run_end::broken_off) {
-    conclude(at, {.how = verdict::failed, .unknown = how == run_end::unknown});
+  if (how == run_end::succeeded) {
+    conclude(at, {.status = response_status::served, .result = result});
+  } else if (how != run_end::aborted) {
+    conclude(at, {.status = response_status::failed, .unknown_request = how == run_end::unknown_request});
   }
   admission_.report(ended{id, how, elapsed});
   if (at->second.answered) {
@@ -101,10 +101,10 @@
   }
 }
 
-void dispatcher::on_turned_away(request_id id, duration come_back) {
+void dispatcher::on_backend_rejected(request_id id, duration come_back) {
   const auto at = table_.find(id);
   if (at == table_.end() || !at->second.started) return;
-  const answer final{.how = verdict::refused, .retry_after = come_back};
+  const answer final{.status = response_status::rejected, .retry_after = come_back};
   if (at->second.leads) {
     turn_leader_away(at, final);
     return;
@@ -191,10 +191,12 @@
   const auto at = table_.find(d.id);
   if (at == table_.end()) return;
   if (at->second.started) {  // guards against 'never ran' for what may have run
-    conclude(at, {.how = verdict::failed});
+    conclude(at, {.status = response_status::failed});
     return;
   }
-  const answer final{.how = verdict::refused, .retry_after = d.retry_after, .not_elsewhere = d.not_elsewhere};
+  const answer final{.status = response_status::rejected,
+                     .retry_after = d.retry_after,
+                     .no_retry_elsewhere = d.no_retry_elsewhere};
   if (at->second.leads) {
     at->second.leads->in_module = false;
     keys_->release(d.id);
@@ -211,8 +213,9 @@
   if (at == table_.end()) return;
   const bool over = !at->second.started || at->second.to == nullptr;
   if (!at->second.answered && at->second.to != nullptr) ++counters_.given_up;
-  const answer final{
-      .how = verdict::failed, .retry_after = d.retry_after, .overdue = at->second.to != nullptr};
+  const answer final{.status = response_status::failed,
+                     .retry_after = d.retry_after,
+                     .deadline_exceeded = at->second.to != nullptr};
   if (at->second.leads) {
     fail_leader(at, final);
     return;
@@ -228,16 +231,17 @@
 
 void dispatcher::conclude(table::iterator at, const answer& final) {
   if (std::exchange(at->second.answered, true)) return;
-  switch (final.how) {
-    case verdict::served: ++counters_.served; break;
-    case verdict::refused: ++counters_.refused; break;
-    case verdict::failed: ++counters_.failed; break;
+  switch (final.status) {
+    case response_status::served: ++counters_.served; break;
+    case response_status::rejected: ++counters_.refused; break;
+    case response_status::failed: ++counters_.failed; break;
   }
   // The operators' figures by class, counted here and nowhere else, so that each answer counts once.
   const unsigned k = at->second.what.request_class;
-  std::vector<std::uint64_t>& by_class = final.how == verdict::served    ? counters_.served_by_class
-                                         : final.how == verdict::refused ? counters_.refused_by_class
-                                                                         : counters_.failed_by_class;
+  std::vector<std::uint64_t>& by_class = final.status == response_status::served ? counters_.served_by_class
+                                         : final.status == response_status::rejected
+                                             ? counters_.refused_by_class
+                                             : counters_.failed_by_class;
   if (k < by_class.size()) ++by_class[k];
   at->second.from->respond(at->first, final);
 }
--- a/src/core/dispatcher.hpp
+++ b/src/core/dispatcher.hpp
@@ -64,11 +64,11 @@
   void on_server_up(bool cold, time_point since);
 
   request_id on_arrival(front& from, backend& to, request what);
-  void on_gone(request_id id);  // no answer is owed any longer
+  void on_client_cancelled(request_id id);  // no answer is owed any longer
   void on_end(request_id id, run_end how, std::string_view result, duration elapsed);
   // A backend has no room for a run that it was handed, and nothing of it began: refused, with the time to
   // return.
-  void on_turned_away(request_id id, duration come_back);
+  void on_backend_rejected(request_id id, duration come_back);
   // A run cannot go on before it has called others; it has what it called for, or gave up on it.
   void on_call_needed(request_id id);
   void on_call_ended(request_id id, duration elapsed);
@@ -76,8 +76,8 @@
   // Hears of each request as it is read; none: nobody does.
   void watch_arrivals(std::function<void(const request&)> watch) { watch_ = std::move(watch); }
   // What this node may act on of wholes that it shares with others, from the next step on.
-  void on_shares(const shares& given) {
-    shares_ = given;
+  void on_quota_update(const quota_update& given) {
+    quota_ = given;
     admission_.report(given);
   }
   void on_inquired(request_id id, inquiry_end how, std::string_view result);
@@ -157,7 +157,7 @@
   void step_keys();
 
   std::function<void(const request&)> watch_;
-  std::optional<shares> shares_;  // the latest, where any were given
+  std::optional<quota_update> quota_;  // the latest, where any were given
   admission_policy::settings settings_;
   std::uint64_t seed_;
   telemetry::counters& counters_;
--- a/src/core/dispatcher_idempotency.cpp
+++ b/src/core/dispatcher_idempotency.cpp
@@ -28,7 +28,7 @@
       e.leads = std::make_unique<lead>();
       if (o.how == standing::asks) e.leads->where = lead::stage::asking;
       e.leads->answer_by =
-          now_ - e.what.waited + settings_.classes[e.what.request_class].deadline - answer_early;
+          now_ - e.what.read_delay + settings_.classes[e.what.request_class].deadline - answer_early;
       admission_.report(arrived{id, &e.what, o.how == standing::asks ? id : 0});
       break;
     case standing::joins:
@@ -41,10 +41,14 @@
       admission_.report(arrived{id, &e.what, id});
       break;
     // Nothing is let in: the front hears at the next step, once it knows the request by its number.
-    case standing::in_doubt: prompt_.push_back({id, {.how = verdict::failed, .in_doubt = true}}); break;
-    case standing::conflict: prompt_.push_back({id, {.how = verdict::failed, .conflict = true}}); break;
+    case standing::in_doubt:
+      prompt_.push_back({id, {.status = response_status::failed, .outcome_unknown = true}});
+      break;
+    case standing::conflict:
+      prompt_.push_back({id, {.status = response_status::failed, .key_conflict = true}});
+      break;
     case standing::no_room:
-      prompt_.push_back({id, {.how = verdict::refused, .retry_after = o.come_back}});
+      prompt_.push_back({id, {.status = response_status::rejected, .retry_after = o.come_back}});
       break;
   }
 }
@@ -79,7 +83,7 @@
   lead& l = *at->second.leads;
   if (!durable) {
     at->second.started = false;  // it never left this process
-    tell_all(at, {.how = verdict::refused, .retry_after = soon}, run_end::never_started);
+    tell_all(at, {.status = response_status::rejected, .retry_after = soon}, run_end::never_started);
     close_leader(at, run_end::never_started);
   } else if (at->second.answered && l.joined.empty()) {
     keys_->release(leader);
@@ -95,18 +99,19 @@
   if (at->second.leads->where != lead::stage::handed) return;
   if (std::exchange(at->second.leads->in_module, false)) admission_.report(ended{at->first, how, elapsed});
   switch (how) {
-    case run_end::fine:
-    case run_end::fault: record(at, how == run_end::fine, result); break;
+    case run_end::succeeded:
+    case run_end::failed: record(at, how == run_end::succeeded, result); break;
     case run_end::lost:
-    case run_end::broken_off:
+    case run_end::aborted:
       keys_->doubt(at->first);
-      tell_all(at, {.how = verdict::failed, .in_doubt = true}, how);
+      tell_all(at, {.status = response_status::failed, .outcome_unknown = true}, how);
       close_leader(at, how);
       break;
     case run_end::never_started:
-    case run_end::unknown:
+    case run_end::unknown_request:
       keys_->release(at->first);
-      tell_all(at, {.how = verdict::failed, .unknown = how == run_end::unknown}, run_end::never_started);
+      tell_all(at, {.status = response_status::failed, .unknown_request = how == run_end::unknown_request},
+               run_end::never_started);
       close_leader(at, how);
       break;
   }
@@ -129,32 +134,32 @@
   if (served) {
     recording_.emplace(l.answer_by, at->first);
   } else {  // whoever hears of a failure relies on nothing
-    tell_all(at, {.how = verdict::failed}, run_end::fault);
+    tell_all(at, {.status = response_status::failed}, run_end::failed);
   }
   if (keys_->record(at->first, served, result)) return;
-  tell_all(at, {.how = verdict::failed, .in_doubt = true}, run_end::fault);
-  close_leader(at, run_end::fault);
+  tell_all(at, {.status = response_status::failed, .outcome_unknown = true}, run_end::failed);
+  close_leader(at, run_end::failed);
 }
 
 void dispatcher::on_recorded(request_id leader) {
   const auto at = table_.find(leader);
   if (at == table_.end() || !at->second.leads || at->second.leads->where != lead::stage::recording) return;
   lead& l = *at->second.leads;
-  answer final{.how = verdict::failed};  // to those that joined since the run failed
-  if (l.served) final = {.how = verdict::served, .result = l.result};
-  tell_all(at, final, run_end::fine);
-  close_leader(at, run_end::fine);
+  answer final{.status = response_status::failed};  // to those that joined since the run failed
+  if (l.served) final = {.status = response_status::served, .result = l.result};
+  tell_all(at, final, run_end::succeeded);
+  close_leader(at, run_end::succeeded);
 }
 
 void dispatcher::on_fetched(request_id id, bool found, bool served, std::string_view result) {
   const auto at = table_.find(id);
   if (at == table_.end() || !at->second.fetches) return;
   if (found && served) {
-    conclude(at, {.how = verdict::served, .result = result});
+    conclude(at, {.status = response_status::served, .result = result});
   } else {
-    conclude(at, {.how = verdict::failed});
+    conclude(at, {.status = response_status::failed});
   }
-  admission_.report(ended{id, run_end::fine, {}});
+  admission_.report(ended{id, run_end::succeeded, {}});
   table_.erase(at);
 }
 
@@ -178,7 +183,7 @@
     close_leader(at, run_end::never_started);
   } else {
     answer open = final;  // it goes on for those that follow, and may yet end
-    open.in_doubt = l.where != lead::stage::intending;
+    open.outcome_unknown = l.where != lead::stage::intending;
     conclude(at, open);
   }
 }
@@ -236,8 +241,8 @@
   if (!at->second.to->inquire(id, at->second.what)) {
     while (keys_->asked_in_vain(id).count() > 0) {  // nobody can be asked
     }
-    tell_all(at, {.how = verdict::failed, .in_doubt = true}, run_end::fault);
-    close_leader(at, run_end::fault);
+    tell_all(at, {.status = response_status::failed, .outcome_unknown = true}, run_end::failed);
+    close_leader(at, run_end::failed);
   }
 }
 
@@ -248,13 +253,13 @@
     record(at, true, result);
   } else if (how == inquiry_end::never_ran) {
     keys_->release(id);
-    tell_all(at, {.how = verdict::refused, .retry_after = soon}, run_end::never_started);
+    tell_all(at, {.status = response_status::rejected, .retry_after = soon}, run_end::never_started);
     close_leader(at, run_end::never_started);
   } else if (const duration pause = keys_->asked_in_vain(id); pause.count() > 0) {
     asks_.emplace(now_ + pause, id);
   } else {
-    tell_all(at, {.how = verdict::failed, .in_doubt = true}, run_end::fault);
-    close_leader(at, run_end::fault);
+    tell_all(at, {.status = response_status::failed, .outcome_unknown = true}, run_end::failed);
+    close_leader(at, run_end::failed);
   }
 }
 
@@ -271,7 +276,8 @@
   while (!recording_.empty() && (recording_.begin()->first <= now_ || answer_all_by_ <= now_)) {
     const auto at = table_.find(recording_.begin()->second);
     recording_.erase(recording_.begin());
-    if (at != table_.end()) conclude(at, {.how = verdict::failed, .overdue = true, .in_doubt = true});
+    if (at != table_.end())
+      conclude(at, {.status = response_status::failed, .deadline_exceeded = true, .outcome_unknown = true});
   }
   while (!asks_.empty() && asks_.begin()->first <= now_) {
     const auto at = table_.find(asks_.begin()->second);
--- a/src/fan_out/client.cpp
+++ b/src/fan_out/client.cpp
@@ -60,7 +60,8 @@
   const time_point now = net::steady_now();
   const auto& c = config_.settings.classes[at->second.what.request_class];
   const upstream::request_plan& p = state_machine_.plan_at(at->second.plan);
-  const time_point aim = at->second.what.arrived + (c.aim.count() > 0 ? c.aim : c.deadline) - p.reserve;
+  const time_point aim = at->second.what.arrived +
+                         (c.latency_objective.count() > 0 ? c.latency_objective : c.deadline) - p.reserve;
   begin(id, std::min(now + limit, std::max(now, aim)));
 }
 
@@ -90,7 +91,7 @@
   runs_.erase(at);
   apply();
   reactor_.wake();
-  dispatcher_.on_end(id, run_end::broken_off, {}, ran);
+  dispatcher_.on_end(id, run_end::aborted, {}, ran);
 }
 
 void client::resume(request_id id) {
@@ -185,9 +186,9 @@
   dispatcher_.on_call_ended(a.id, now - run.called);
   reactor_.wake();
   if (a.lacks >= 0) {
-    dispatcher_.on_end(a.id, run_end::fault, {}, now - run.begun);
+    dispatcher_.on_end(a.id, run_end::failed, {}, now - run.begun);
   } else {
-    dispatcher_.on_end(a.id, run_end::fine, assemble_response(state_machine_.plan_at(run.plan), a.parts),
+    dispatcher_.on_end(a.id, run_end::succeeded, assemble_response(state_machine_.plan_at(run.plan), a.parts),
                        now - run.begun);
   }
 }
--- a/src/middleware/gate.cpp
+++ b/src/middleware/gate.cpp
@@ -15,8 +15,8 @@
   s.halt = admission_policy::halt_mode::none;
   for (std::size_t i = 0; keys && i < std::min(keys->windows.size(), s.classes.size()); ++i) {
     if (keys->windows[i].count() == 0) continue;
-    s.classes[i].repeats = admission_policy::effect::keyed;
-    s.classes[i].window = s.classes[i].deadline;
+    s.classes[i].effect = admission_policy::request_effect::keyed;
+    s.classes[i].idempotency_window = s.classes[i].deadline;
   }
   return s;
 }
@@ -60,7 +60,7 @@
     keeper_->report_to(dispatcher_);
     dispatcher_.use(*keeper_, {});
   }
-  dispatcher_.on_server_up(settings.cold, steady_now());
+  dispatcher_.on_server_up(settings.cold_start, steady_now());
   ticker_ = std::thread([this] { let_time_pass(); });
 }
 
@@ -83,8 +83,8 @@
   request r;
   r.request_class = t.request_class;
   r.tenant = t.tenant;
-  r.held_kb = t.held_kb;
-  r.work = t.work;
+  r.reserved_kb = t.held_kb;
+  r.expected_work = t.work;
   r.key = std::move(key);
   r.content = content;
   std::unique_lock lock(guard_);
@@ -102,7 +102,7 @@
 bool gate_impl::leave(const visit& v, bool well) {
   const std::lock_guard lock(guard_);
   const bool owed = given_up_.erase(v.id) == 0;
-  dispatcher_.on_end(v.id, well ? run_end::fine : run_end::fault, {}, steady_now() - v.begun);
+  dispatcher_.on_end(v.id, well ? run_end::succeeded : run_end::failed, {}, steady_now() - v.begun);
   step();
   changed_.notify_all();
   return owed;
@@ -115,7 +115,7 @@
   const bool owed = given_up_.erase(v.id) == 0;
   if (owed) visits_.emplace(end.id, &end);
   if (response) {
-    dispatcher_.on_end(v.id, run_end::fine, *response, steady_now() - v.begun);
+    dispatcher_.on_end(v.id, run_end::succeeded, *response, steady_now() - v.begun);
   } else {
     dispatcher_.on_end(v.id, run_end::lost, {}, steady_now() - v.begun);
   }
@@ -151,21 +151,22 @@
 void gate_impl::respond(request_id id, const answer& final) {
   const auto at = visits_.find(id);
   if (at == visits_.end() || at->second->where != state::waiting) {
-    if (final.how == verdict::failed && final.overdue) given_up_.insert_or_assign(id, true);
+    if (final.status == response_status::failed && final.deadline_exceeded)
+      given_up_.insert_or_assign(id, true);
     return;
   }
   visit& v = *at->second;
   v.retry_after = final.retry_after;
-  v.overdue = final.overdue;
-  v.in_doubt = final.in_doubt;
-  v.conflict = final.conflict;
-  switch (final.how) {
-    case verdict::served:
+  v.overdue = final.deadline_exceeded;
+  v.in_doubt = final.outcome_unknown;
+  v.conflict = final.key_conflict;
+  switch (final.status) {
+    case response_status::served:
       v.result = final.result;
       v.where = state::answered;
       break;
-    case verdict::refused: v.where = state::refused; break;
-    case verdict::failed: v.where = state::failed; break;
+    case response_status::rejected: v.where = state::refused; break;
+    case response_status::failed: v.where = state::failed; break;
   }
 }
 
--- a/src/middleware/gathering.cpp
+++ b/src/middleware/gathering.cpp
@@ -49,7 +49,7 @@
 std::vector<marblewharf::upstream::request_plan> plan_of(const std::vector<source>& sources,
                                                          const std::vector<part_of>& parts, duration aim) {
   marblewharf::upstream::request_plan p;
-  p.aim = aim;
+  p.latency_objective = aim;
   p.reserve = {};
   for (const part_of& part : parts) {
     marblewharf::upstream::part_plan one{part.name, find_source(sources, part.source), part.required, {}};
--- a/src/pcap/main.cpp
+++ b/src/pcap/main.cpp
@@ -97,14 +97,14 @@
 }
 
 double work_ms(const request& r) {
-  return std::chrono::duration<double, std::milli>(r.work).count();
+  return std::chrono::duration<double, std::milli>(r.expected_work).count();
 }
 
 void list(const pcap::captured& c, const vocabulary& names) {
   std::printf("%" PRIu64 " %" PRId64 ".%06d %s %s %s %s work_ms=%.2f held_kb=%.1f bytes=%zu %s\n", c.packet,
               c.unix_us / 1000000, static_cast<int>(c.unix_us % 1000000), name_of(c.from), c.caller.c_str(),
               names.classes[c.what.request_class].c_str(), tenant_name(c, names).c_str(), work_ms(c.what),
-              c.what.held_kb, c.bytes.size(), c.what.label.empty() ? "-" : c.what.label.c_str());
+              c.what.reserved_kb, c.bytes.size(), c.what.label.empty() ? "-" : c.what.label.c_str());
 }
 
 struct totals {
--- a/src/policy_settings/settings_reader.cpp
+++ b/src/policy_settings/settings_reader.cpp
@@ -102,16 +102,19 @@
     const std::string at = "Classes." + std::to_string(i) + ".";
     class_settings c;
     c.name = env.text(at + "Name");
-    c.aim = env.time(at + "Objective");
+    c.latency_objective = env.time(at + "Objective");
     c.deadline = env.time(at + "Deadline");
-    c.aim_stretch = env.amount(at + "AimStretch", 0);
-    c.worth = env.amount(at + "Credit", 1);
-    c.late_worth = env.number(at + "LateValue", 0);
-    c.repeats = pick<effect>(env, at + "Effect",
-                             {{"safe", effect::safe}, {"keyed", effect::keyed}, {"unsafe", effect::unsafe}});
-    c.window = env.time(at + "Window");
-    c.calls = !calls.empty() && calls[i] == "true";
-    c.worth_without = without.empty() ? 0 : environment_reader::to_number("Extra.WorthWithout", without[i]);
+    c.objective_stretch = env.amount(at + "AimStretch", 0);
+    c.priority_weight = env.amount(at + "Credit", 1);
+    c.late_weight = env.number(at + "LateValue", 0);
+    c.effect = pick<request_effect>(env, at + "Effect",
+                                    {{"safe", request_effect::safe},
+                                     {"keyed", request_effect::keyed},
+                                     {"unsafe", request_effect::unsafe}});
+    c.idempotency_window = env.time(at + "Window");
+    c.calls_dependency = !calls.empty() && calls[i] == "true";
+    c.weight_without_call =
+        without.empty() ? 0 : environment_reader::to_number("Extra.WorthWithout", without[i]);
     s.classes.push_back(std::move(c));
   }
   const unsigned tenants = env.count("Tenants.count", 0);
@@ -122,21 +125,21 @@
   s.servers = env.count("GroupSize", 1);
   s.callers = env.count("Extra.Upstreams", 1);
   s.cores = env.count("Extra.NCores", 0);
-  s.cold = env.flag("Extra.Cold", false);
-  s.cold_speed = env.amount("Safety.StartCapacity", 1);
-  s.warm_within = env.time("Safety.Cold");
-  s.crowd_factor = env.amount("Safety.OverloadFactor", 0);
-  s.crowd_period = env.time("Safety.Fall");
+  s.cold_start = env.flag("Extra.Cold", false);
+  s.cold_start_capacity = env.amount("Safety.StartCapacity", 1);
+  s.slow_start_duration = env.time("Safety.Cold");
+  s.concurrency_ceiling_per_core = env.amount("Safety.OverloadFactor", 0);
+  s.concurrency_ceiling_period = env.time("Safety.Fall");
   s.memory_kb = env.amount("Extra.RamKb", 0);
-  s.run_factor = env.amount("Extra.RunFactor", 1);
-  s.key_kb = env.amount("Extra.KbPerKey", 0);
-  s.fair_calls = env.amount("Extra.FairCalls", 0);
+  s.running_memory_factor = env.amount("Extra.RunFactor", 1);
+  s.idempotency_key_kb = env.amount("Extra.KbPerKey", 0);
+  s.fair_concurrent_calls = env.amount("Extra.FairCalls", 0);
   s.calls_period = env.time("Extra.CallsOver");
-  s.call_linger = env.time("Extra.Lingers");
-  s.fresh = env.time("Extra.Fresh");
+  s.abandoned_call_duration = env.time("Extra.Lingers");
+  s.result_freshness = env.time("Extra.Fresh");
   s.answer_slack = env.time("Safety.AnswerSlack");
   s.drain_grace = env.time("Safety.DrainGrace");
-  s.signal_heeded = env.time("Extra.Heeded");
+  s.load_signal_ttl = env.time("Extra.Heeded");
   s.max_retry_after = env.time("Bounds.MaxRetryAfter");
   s.retry_after = env.flag("Bounds.RetryAfter", false);
   s.tick = env.time("Tick");
--- a/src/runtime/link.cpp
+++ b/src/runtime/link.cpp
@@ -58,7 +58,7 @@
   std::erase_if(c.rivals, [&](const auto& r) { return r.first == rival; });
   labels_.erase(rival);
   reactor_.wake();
-  dispatcher_.on_end(rival, run_end::unknown, {}, {});
+  dispatcher_.on_end(rival, run_end::unknown_request, {}, {});
 }
 
 // A write may find that the link is lost, also halfway through a round of commands.
@@ -112,10 +112,10 @@
   dispatcher_.on_end(done.id, how, result, elapsed);
   for (const auto& [id, what] : done.rivals) {
     labels_.erase(id);
-    if (how == run_end::unknown) {
+    if (how == run_end::unknown_request) {
       run(id, what);
     } else {
-      dispatcher_.on_end(id, run_end::unknown, {}, {});
+      dispatcher_.on_end(id, run_end::unknown_request, {}, {});
     }
   }
 }
@@ -280,7 +280,7 @@
     return;
   }
   call& c = at->second;
-  if (std::exchange(c.probing, false) && n.how == run_end::broken_off && !c.stopped) {
+  if (std::exchange(c.probing, false) && n.how == run_end::aborted && !c.stopped) {
     c.start = sent::arrived;  // it runs, and goes on
     c.told_stopped = true;
     if (state_ == state::up) say_stopped(c);
@@ -345,7 +345,7 @@
       c.fence = questions_ + 1;
       say(encode_stop(label));
     } else if (c.start == sent::on_its_way && !c.stopped &&
-               config_.settings.classes[c.request_class].repeats == admission_policy::effect::safe) {
+               config_.settings.classes[c.request_class].effect == admission_policy::request_effect::safe) {
       c.start = sent::no;
     } else if (c.start == sent::on_its_way) {
       doubtful.push_back(label);
@@ -380,7 +380,7 @@
   ++counters_.nacks;
   log("nack", "runtime: %s of %s", n.command.c_str(), n.call.c_str());
   const auto at = calls_.find(n.call);
-  if (n.command == "start" && at != calls_.end()) finish(at, run_end::unknown, {}, {});
+  if (n.command == "start" && at != calls_.end()) finish(at, run_end::unknown_request, {}, {});
 }
 
 void link::on(const info& n) {
--- a/src/runtime/messages.cpp
+++ b/src/runtime/messages.cpp
@@ -46,9 +46,9 @@
 }
 
 run_end how_of(const std::string& word) {
-  if (word == "fine") return run_end::fine;
-  if (word == "fault") return run_end::fault;
-  if (word == "broken_off") return run_end::broken_off;
+  if (word == "fine") return run_end::succeeded;
+  if (word == "fault") return run_end::failed;
+  if (word == "broken_off") return run_end::aborted;
   if (word == "late") return run_end::never_started;
   throw bad_line("an end that is not known: " + word);
 }
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -113,18 +113,18 @@
 event read_arrival(reader& in) {
   arrival a;
   a.id = in.take<std::uint32_t>();
-  a.repeats = in.take<std::uint32_t>();
+  a.duplicate_of = in.take<std::uint32_t>();
   a.key = in.take<std::uint64_t>();
-  a.held_kb = in.take_number();
-  a.patience = in.take_duration();
-  a.work = in.take_duration();
-  a.waited = in.take_duration();
+  a.reserved_kb = in.take_number();
+  a.client_timeout = in.take_duration();
+  a.expected_work = in.take_duration();
+  a.read_delay = in.take_duration();
   a.tenant = in.take<std::uint16_t>();
   const auto flags = in.take<std::uint8_t>();
   a.request_class = in.take<std::uint16_t>();
   a.rank = in.take_number();
   a.caller = in.take<std::uint16_t>();
-  if ((flags & hint_flag) == 0) a.work = duration{};
+  if ((flags & hint_flag) == 0) a.expected_work = duration{};
   a.retry = (flags & retry_flag) != 0;
   a.write = (flags & write_flag) != 0;
   return a;
@@ -143,9 +143,9 @@
       r.content = std::move(o);
       break;
     }
-    case event_code::hangup: r.content = event{departure{in.take<std::uint32_t>()}}; break;
+    case event_code::hangup: r.content = event{client_cancelled{in.take<std::uint32_t>()}}; break;
     case event_code::blocked: r.content = event{call_needed{in.take<std::uint32_t>()}}; break;
-    case event_code::notice: r.content = event{notice{in.take_duration()}}; break;
+    case event_code::notice: r.content = event{shutdown_notice{in.take_duration()}}; break;
     case event_code::returned: {
       call_ended c;
       c.id = in.take<std::uint32_t>();
@@ -214,10 +214,10 @@
 
   void write(instance_id i, const start& a) { about(action_code::start, i, a.id); }
   void write(instance_id i, const stop_run& a) { about(action_code::interrupt, i, a.id); }
-  void write(instance_id i, const refuse& a) {
+  void write(instance_id i, const reject& a) {
     about(action_code::refuse, i, a.id, 9);
-    put<std::uint64_t>(out, raw_time(a.stay_away));
-    put<std::uint8_t>(out, a.not_elsewhere ? 1 : 0);
+    put<std::uint64_t>(out, raw_time(a.retry_after));
+    put<std::uint8_t>(out, a.no_retry_elsewhere ? 1 : 0);
   }
   void write(instance_id i, const admission_policy::fail& a) { about(action_code::give_up, i, a.id); }
   void write(instance_id i, const place_call& a) {
@@ -225,12 +225,12 @@
     put<std::uint64_t>(out, raw_time(a.limit));
   }
   void write(instance_id i, const skip_call& a) { about(action_code::fall_back, i, a.id); }
-  void write(instance_id i, const keep_key& a) {
+  void write(instance_id i, const retain_key& a) {
     about(action_code::retain, i, a.id, 8);
     put<std::uint64_t>(out, raw_time(a.ttl));
   }
   void write(instance_id i, const forget_key& a) { about(action_code::erase, i, a.id); }
-  void write(instance_id i, const share_outcome& a) { about(action_code::share, i, a.id); }
+  void write(instance_id i, const share_result& a) { about(action_code::share, i, a.id); }
   void write(instance_id i, const set_health& a) {
     begin(action_code::status, i, 2);
     put<std::uint8_t>(out, a.good ? 1 : 0);
--- a/src/thrift/front.cpp
+++ b/src/thrift/front.cpp
@@ -129,7 +129,7 @@
     const request_id id = found->second;
     open_.erase(found);
     server_.open_.erase(id);
-    server_.dispatcher_.on_gone(id);
+    server_.dispatcher_.on_client_cancelled(id);
   } else if (std::holds_alternative<check>(m.content)) {
     ++server_.counters_.checks;
     send(encode_health(m.seqid, server_.healthy_ ? server_.healthy_() : server_.dispatcher_.healthy()));
@@ -210,21 +210,21 @@
   if (final.retry_after.count() > 0)
     fields.emplace("later",
                    std::to_string(std::chrono::ceil<std::chrono::milliseconds>(final.retry_after).count()));
-  if (final.not_elsewhere) fields.emplace("giveup", "1");
-  if (final.conflict) fields.emplace("key", "conflict");
-  if (final.in_doubt) fields.emplace("outcome", "unknown");
-  switch (final.how) {
-    case verdict::served: to.from->send(encode_served(to.seqid, final.result)); break;
-    case verdict::refused: to.from->send(encode_overloaded(to.seqid, fields)); break;
-    case verdict::failed: to.from->send(encode_internal(to.seqid, fields)); break;
+  if (final.no_retry_elsewhere) fields.emplace("giveup", "1");
+  if (final.key_conflict) fields.emplace("key", "conflict");
+  if (final.outcome_unknown) fields.emplace("outcome", "unknown");
+  switch (final.status) {
+    case response_status::served: to.from->send(encode_served(to.seqid, final.result)); break;
+    case response_status::rejected: to.from->send(encode_overloaded(to.seqid, fields)); break;
+    case response_status::failed: to.from->send(encode_internal(to.seqid, fields)); break;
   }
-  if (final.unknown) to.from->strike();
+  if (final.unknown_request) to.from->strike();
 }
 
 void server::drop(connection& c) {
   for (const auto& [seqid, id] : c.open_) {
     open_.erase(id);
-    dispatcher_.on_gone(id);
+    dispatcher_.on_client_cancelled(id);
   }
   c.open_.clear();
   connections_.drop(c);
--- a/src/thrift/request.cpp
+++ b/src/thrift/request.cpp
@@ -79,12 +79,12 @@
   if (!door || *door < now_ms - furthest_door_ms || *door > now_ms + furthest_door_ms)
     throw bad_field("door");
   // A door in the future is another clock that runs ahead: as if it had just come.
-  r.waited = std::chrono::milliseconds(std::max<std::int64_t>(now_ms - *door, 0));
+  r.read_delay = std::chrono::milliseconds(std::max<std::int64_t>(now_ms - *door, 0));
   r.caller = known(parsed<unsigned>(field(f, "lb")), "lb");
-  r.work = std::chrono::duration_cast<duration>(
+  r.expected_work = std::chrono::duration_cast<duration>(
       std::chrono::duration<double, std::milli>(number(f, "cpu", 0, most_cpu_ms)));
-  r.held_kb = number(f, "ram", 0, most_ram_kb);
-  if (r.held_kb <= 0) throw bad_field("ram");
+  r.reserved_kb = number(f, "ram", 0, most_ram_kb);
+  if (r.reserved_kb <= 0) throw bad_field("ram");
   r.rank = number(f, "standing", 0, 1);
   if (const auto item = f.find("item"); item != f.end()) r.subject = hex(item->second, "item");
   r.request_class = known(names.class_of(field(f, "verb")), "verb");
--- a/src/transaction/coordinator.cpp
+++ b/src/transaction/coordinator.cpp
@@ -295,7 +295,7 @@
   if (const auto come_back = no_room(*plan, what)) {
     ++turned_away_;
     reactor_.wake();
-    dispatcher_.on_turned_away(id, *come_back);
+    dispatcher_.on_backend_rejected(id, *come_back);
     return;
   }
   char name[write_id_size + 1];
@@ -306,7 +306,8 @@
   w->owner = id;
   choose_endpoints(*w);
   const auto& c = config_.settings.classes[what.request_class];
-  w->decide_by = what.arrived + (c.aim.count() > 0 ? c.aim : c.deadline) - w->plan->reserve;
+  w->decide_by =
+      what.arrived + (c.latency_objective.count() > 0 ? c.latency_objective : c.deadline) - w->plan->reserve;
   w->room = room_of_write(what.payload.size(), config_.bounds.write_buffer);
   reserved_ += w->room;
   share_changed(*w);
@@ -328,7 +329,7 @@
   if (const auto w = open_.find(at->second); w != open_.end()) w->second->owner = 0;
   runs_.erase(at);
   reactor_.wake();
-  dispatcher_.on_end(id, run_end::broken_off, {}, {});
+  dispatcher_.on_end(id, run_end::aborted, {}, {});
 }
 
 void coordinator::resume(request_id id) {
@@ -408,7 +409,7 @@
     runs_.erase(id);
     reactor_.wake();
     const bool whole = how == tx_answer::committed;
-    dispatcher_.on_end(id, whole ? run_end::fine : run_end::never_started,
+    dispatcher_.on_end(id, whole ? run_end::succeeded : run_end::never_started,
                        whole ? compose_result(*w) : std::string(), net::steady_now() - w->begun);
   }
   if (w->machine.where() == transaction::stage::over) finish(w);
--- a/src/upstream/plan.cpp
+++ b/src/upstream/plan.cpp
@@ -29,9 +29,9 @@
       throw bad_plan("has a stale part of no age", which, at);
     ended = s.what == fallback::kind::fixed;
   }
-  if (needed > p.aim - p.reserve)
+  if (needed > p.latency_objective - p.reserve)
     throw bad_plan("needs " + ms(needed) + " one after the other, and the aim less the reserve is " +
-                       ms(p.aim - p.reserve),
+                       ms(p.latency_objective - p.reserve),
                    which, at);
 }
 
--- a/src/upstream/plan.hpp
+++ b/src/upstream/plan.hpp
@@ -46,7 +46,7 @@
 
 struct request_plan {
   std::string request_class;
-  duration aim{};                                    // of the class
+  duration latency_objective{};                      // of the class
   duration reserve = std::chrono::milliseconds(50);  // of it, to compose and send the answer
   std::vector<part_plan> parts;
 };
--- a/src/uwsgi/client.cpp
+++ b/src/uwsgi/client.cpp
@@ -38,7 +38,8 @@
 }
 
 void client::run(request_id id, const request& what) {
-  const bool safe = config_.settings.classes[what.request_class].repeats == admission_policy::effect::safe;
+  const bool safe =
+      config_.settings.classes[what.request_class].effect == admission_policy::request_effect::safe;
   begin(std::make_shared<attempt>(id, what.payload, safe, false));
 }
 
@@ -92,7 +93,7 @@
   switch (how) {
     case exchange_end::whole:
       // What a server says of its own failure is one.
-      finish(*a, head->status < 500 ? run_end::fine : run_end::fault, response, head->status);
+      finish(*a, head->status < 500 ? run_end::succeeded : run_end::failed, response, head->status);
       return;
     case exchange_end::unreadable: finish(*a, run_end::lost, {}, 0); return;
     case exchange_end::unconnected: break;
@@ -122,10 +123,10 @@
   reactor_.retire(self);
   reactor_.wake();
   if (!a.inquiry) {
-    dispatcher_.on_end(a.id, how, how == run_end::fine ? response : std::string_view(), took);
+    dispatcher_.on_end(a.id, how, how == run_end::succeeded ? response : std::string_view(), took);
     return;
   }
-  const bool fine = how == run_end::fine;
+  const bool fine = how == run_end::succeeded;
   const inquiry_end found = fine && status == 404                    ? inquiry_end::never_ran
                             : fine && status >= 200 && status <= 299 ? inquiry_end::result
                                                                      : inquiry_end::unknown;
@@ -134,7 +135,7 @@
 
 void client::pause(request_id id) {
   const auto at = attempts_.find(id);
-  if (at != attempts_.end()) finish(*at->second, run_end::broken_off, {}, 0);
+  if (at != attempts_.end()) finish(*at->second, run_end::aborted, {}, 0);
 }
 
 }  // namespace marblewharf::uwsgi
--- a/src/uwsgi/front.cpp
+++ b/src/uwsgi/front.cpp
@@ -102,23 +102,23 @@
   if (found == open_.end()) return;
   connection& to = *found->second;
   open_.erase(found);
-  switch (final.how) {
-    case verdict::served: to.finish(final.result); break;
-    case verdict::refused: {
+  switch (final.status) {
+    case response_status::served: to.finish(final.result); break;
+    case response_status::rejected: {
       // Whole seconds, as HTTP has it, and at least one: 0 would ask for a retry at once.
       const auto seconds =
           std::max<std::int64_t>(1, std::chrono::ceil<std::chrono::seconds>(final.retry_after).count());
       to.finish(encode_response(503, "Retry-After: " + std::to_string(seconds) + "\r\n"));
       break;
     }
-    case verdict::failed:
-      if (final.conflict) {
+    case response_status::failed:
+      if (final.key_conflict) {
         to.finish(encode_response(422));
-      } else if (final.in_doubt) {
+      } else if (final.outcome_unknown) {
         // It may have run and will not run again. Past its time it may yet end: its key tells then.
-        to.finish(encode_response(final.overdue ? 504 : 409, "Outcome: unknown\r\n"));
+        to.finish(encode_response(final.deadline_exceeded ? 504 : 409, "Outcome: unknown\r\n"));
       } else {
-        to.finish(encode_response(final.overdue ? 504 : 502));
+        to.finish(encode_response(final.deadline_exceeded ? 504 : 502));
       }
       break;
   }
@@ -127,7 +127,7 @@
 void server::drop(connection& c) {
   if (c.id_ != 0) {
     open_.erase(c.id_);
-    dispatcher_.on_gone(std::exchange(c.id_, 0));
+    dispatcher_.on_client_cancelled(std::exchange(c.id_, 0));
   }
   connections_.drop(c);
 }
--- a/src/uwsgi/request.cpp
+++ b/src/uwsgi/request.cpp
@@ -55,8 +55,8 @@
     if (std::from_chars(given->data(), end, cost_ms).ptr != end || !(cost_ms >= 0 && cost_ms < most_cost_ms))
       throw bad_packet(bad_request, "a value of " + mapping.cost.var + " that is no cost");
   }
-  r.work = std::chrono::duration_cast<duration>(std::chrono::duration<double, std::milli>(cost_ms));
-  r.held_kb = mapping.held_kb;
+  r.expected_work = std::chrono::duration_cast<duration>(std::chrono::duration<double, std::milli>(cost_ms));
+  r.reserved_kb = mapping.reserved_kb;
   r.payload = p.whole;
   if (mapping.hash_content) r.content = content_of(p);
   if (keys != nullptr) read_key(p, *keys, r);
--- a/tests/admission_policy/harness.hpp
+++ b/tests/admission_policy/harness.hpp
@@ -13,14 +13,14 @@
 
 inline settings plain_settings() {
   settings s;
-  s.classes.push_back({.name = "read", .aim = 1s, .deadline = 4s});
+  s.classes.push_back({.name = "read", .latency_objective = 1s, .deadline = 4s});
   s.servers = 2;
   s.callers = 2;
   s.cores = 2;
-  s.crowd_factor = 5;
-  s.crowd_period = 2s;
+  s.concurrency_ceiling_per_core = 5;
+  s.concurrency_ceiling_period = 2s;
   s.memory_kb = 100000;
-  s.run_factor = 4;
+  s.running_memory_factor = 4;
   s.tick = 1ms;
   s.halt = halt_mode::drop;
   s.gauges = {"cpu_busy"};
@@ -75,7 +75,7 @@
   a.id = id;
   a.tenant = tenant;
   a.request_class = request_class;
-  a.held_kb = 10;
+  a.reserved_kb = 10;
   return a;
 }
 
--- a/tests/admission_policy/policy_test.cpp
+++ b/tests/admission_policy/policy_test.cpp
@@ -27,9 +27,9 @@
   settings s = plain_settings();
   s.cores = 4;
   rig r(s);
-  r.send({shares{2, {}, 500ms}, request_of(1), request_of(2), request_of(3)});
+  r.send({quota_update{2, {}, 500ms}, request_of(1), request_of(2), request_of(3)});
   EXPECT_EQ(r.ids<start>(), (ids{1, 2}));
-  r.at(10ms, {departure{1}});  // nobody waits for it, and it still runs
+  r.at(10ms, {client_cancelled{1}});  // nobody waits for it, and it still runs
   EXPECT_TRUE(r.ids<start>().empty());
   r.at(20ms, {done(1)});
   EXPECT_EQ(r.ids<start>(), (ids{3}));
@@ -38,12 +38,12 @@
 TEST(Shares, NoneOfRunsRefusesAtOnceAndTellsWhen) {
   rig r(plain_settings());
   r.send({request_of(1), request_of(2), request_of(3), request_of(4)});
-  r.at(10ms, {shares{0, {}, 500ms}, request_of(5)});
-  EXPECT_EQ(r.ids<refuse>(), (ids{3, 4, 5}));  // what was held as well; what runs goes on
-  for (const refuse& f : r.all<refuse>()) EXPECT_GE(f.stay_away, 500ms);
+  r.at(10ms, {quota_update{0, {}, 500ms}, request_of(5)});
+  EXPECT_EQ(r.ids<reject>(), (ids{3, 4, 5}));  // what was held as well; what runs goes on
+  for (const reject& f : r.all<reject>()) EXPECT_GE(f.retry_after, 500ms);
   r.at(20ms, {done(1), done(2), request_of(6)});
-  EXPECT_EQ(r.ids<refuse>(), (ids{6}));
-  r.at(30ms, {shares{}, request_of(7)});
+  EXPECT_EQ(r.ids<reject>(), (ids{6}));
+  r.at(30ms, {quota_update{}, request_of(7)});
   EXPECT_EQ(r.ids<start>(), (ids{7}));
 }
 
@@ -51,18 +51,18 @@
   settings s = plain_settings();
   s.tenants = {{"a", 0}, {"b", 0}};
   rig r(s);
-  r.send({shares{-1, {{0, -1, 10}}, 500ms}, request_of(1, 0), request_of(2, 0), request_of(3, 1),
+  r.send({quota_update{-1, {{0, -1, 10}}, 500ms}, request_of(1, 0), request_of(2, 0), request_of(3, 1),
           request_of(4, 1)});
-  EXPECT_EQ(r.ids<refuse>(), (ids{2}));  // one at once, and the other tenant is not bound
-  EXPECT_GE(r.all<refuse>()[0].stay_away, 100ms);
+  EXPECT_EQ(r.ids<reject>(), (ids{2}));  // one at once, and the other tenant is not bound
+  EXPECT_GE(r.all<reject>()[0].retry_after, 100ms);
   r.at(90ms, {done(1), request_of(5, 0)});
-  EXPECT_EQ(r.ids<refuse>(), (ids{5}));
+  EXPECT_EQ(r.ids<reject>(), (ids{5}));
   r.at(110ms, {request_of(6, 0)});
-  EXPECT_TRUE(r.ids<refuse>().empty());
-  r.at(1110ms, {shares{-1, {{0, -1, 0}}, 500ms}, request_of(7, 0), request_of(8, 0)});
-  EXPECT_TRUE(r.has<refuse>(7) &&
-              r.has<refuse>(8));  // no share: what the rate before would have saved up is gone too
-  EXPECT_GE(r.all<refuse>()[0].stay_away, 500ms);
+  EXPECT_TRUE(r.ids<reject>().empty());
+  r.at(1110ms, {quota_update{-1, {{0, -1, 0}}, 500ms}, request_of(7, 0), request_of(8, 0)});
+  EXPECT_TRUE(r.has<reject>(7) &&
+              r.has<reject>(8));  // no share: what the rate before would have saved up is gone too
+  EXPECT_GE(r.all<reject>()[0].retry_after, 500ms);
 }
 
 TEST(Limit, StartsAtTheCoreCount) {
@@ -97,7 +97,7 @@
 // arrival is over the curve although its start is now, and the one after it is pushed by 1/rho.
 TEST(Tags, TokensMayGoNegative) {
   settings s = plain_settings();
-  s.classes[0].aim = 4s;
+  s.classes[0].latency_objective = 4s;
   s.classes[0].deadline = 20s;
   s.tenants = {{"a", 1}, {"b", 1}};
   s.servers = 1;  // rho = 1, sigma = 4
@@ -115,7 +115,7 @@
 // now, so that it meets tenant 1 as an equal.
 TEST(Resync, ATenantThatUsedSpareCapacityIsNotPunished) {
   settings s = plain_settings();
-  s.classes[0].aim = 1s;
+  s.classes[0].latency_objective = 1s;
   s.tenants = {{"a", 1}, {"b", 1}};
   s.servers = 1;  // rho = 1, sigma = 1
   s.cores = 1;
@@ -161,7 +161,7 @@
 
 TEST(Limit, GrowsOnlyWhileCoresIdleAndWorkWaits) {
   settings s = plain_settings();
-  s.classes[0].aim = 30s;
+  s.classes[0].latency_objective = 30s;
   s.classes[0].deadline = 60s;
   rig r(s);
   r.send({request_of(1), request_of(2), request_of(3), request_of(4)});
@@ -186,7 +186,7 @@
 TEST(Limit, GrowsByWhatTheIdleCoresTake) {
   settings s = plain_settings();
   s.cores = 12;
-  s.classes[0].aim = 30s;
+  s.classes[0].latency_objective = 30s;
   s.classes[0].deadline = 60s;
   rig r(s);
   std::vector<event> many;
@@ -200,11 +200,11 @@
 
 TEST(Limit, StaysUnderTheSurvivableCrowd) {
   settings s = plain_settings();
-  s.classes[0].aim = 100s;
+  s.classes[0].latency_objective = 100s;
   s.classes[0].deadline = 200s;
-  s.cold = true;
-  s.cold_speed = 0.2;
-  s.warm_within = 1000s;
+  s.cold_start = true;
+  s.cold_start_capacity = 0.2;
+  s.slow_start_duration = 1000s;
   rig r(s);
   std::vector<event> many;
   for (request_id id = 1; id <= 50; ++id) many.push_back(request_of(id));
@@ -222,10 +222,10 @@
 TEST(Shedding, AFreeCoreTakesWhatIsMerelyLarge) {
   rig r(plain_settings());
   arrival large = request_of(1);
-  large.work = 3s;
+  large.expected_work = 3s;
   r.send({large});
   EXPECT_EQ(r.ids<start>(), ids{1});
-  EXPECT_TRUE(r.ids<refuse>().empty());
+  EXPECT_TRUE(r.ids<reject>().empty());
 }
 
 // Runs that take three times the hint make the server look slow; it still takes one at a time, and so can
@@ -233,7 +233,7 @@
 TEST(Shedding, ASlowServerKeepsTakingOneAtATime) {
   rig r(plain_settings());
   arrival a = request_of(1);
-  a.work = 200ms;
+  a.expected_work = 200ms;
   r.send({a});
   for (request_id id = 50; id < 62; ++id) {  // what it can do when nothing is wrong
     a.id = id;
@@ -266,8 +266,8 @@
   std::vector<event> flood{request_of(1, 1)};
   for (request_id id = 10; id < 60; ++id) flood.push_back(request_of(id, 0));
   r.send(flood);
-  EXPECT_GT(r.ids<refuse>().size(), 40u);
-  std::size_t left = 50 - r.ids<refuse>().size();
+  EXPECT_GT(r.ids<reject>().size(), 40u);
+  std::size_t left = 50 - r.ids<reject>().size();
   request_id last = 1;
   for (int i = 1; left > 0; ++i, --left) {
     r.at(i * 50ms, {done(last, 50ms)});
@@ -303,14 +303,14 @@
 TEST(Shedding, AFurtherTryWhoseAimHasGoneByIsTurnedAway) {
   rig r(plain_settings());
   arrival first = request_of(1);
-  first.patience = 4s;
+  first.client_timeout = 4s;
   arrival further = request_of(2);
-  further.patience = 2900ms;
+  further.client_timeout = 2900ms;
   further.retry = true;
   r.send({first});
   r.at(10ms, {further});
-  ASSERT_TRUE(r.has<refuse>(2));
-  EXPECT_TRUE(r.all<refuse>().front().not_elsewhere);
+  ASSERT_TRUE(r.has<reject>(2));
+  EXPECT_TRUE(r.all<reject>().front().no_retry_elsewhere);
   further.id = 3;
   further.caller = 1;  // of another caller nothing is known yet
   r.at(20ms, {further});
@@ -322,11 +322,11 @@
 // A cold server of one core at a fifth of its speed survives 1.8 runs in the mean: two would be its end.
 TEST(Limit, AColdServerOfOneCoreRunsOne) {
   settings s = plain_settings();
-  s.classes[0] = {.name = "read", .aim = 9s, .deadline = 20s};
+  s.classes[0] = {.name = "read", .latency_objective = 9s, .deadline = 20s};
   s.cores = 1;
-  s.cold = true;
-  s.cold_speed = 0.2;
-  s.warm_within = 100s;
+  s.cold_start = true;
+  s.cold_start_capacity = 0.2;
+  s.slow_start_duration = 100s;
   rig r(s);
   r.send({request_of(1), request_of(2)});
   for (duration t = 100ms; t < 900ms; t += 100ms) {
@@ -337,7 +337,7 @@
 
 TEST(Limit, IsCutOnlyWhenRunsGrowLateOnBusyCores) {
   settings s = plain_settings();
-  s.classes[0].aim = 60s;
+  s.classes[0].latency_objective = 60s;
   s.classes[0].deadline = 120s;
   rig r(s);
   std::vector<event> many;
@@ -368,9 +368,9 @@
   s.cores = 1;
   rig r(s);
   r.send({request_of(1), request_of(2)});
-  r.at(10ms, {departure{1}, departure{2}, departure{3}});
+  r.at(10ms, {client_cancelled{1}, client_cancelled{2}, client_cancelled{3}});
   EXPECT_TRUE(r.has<stop_run>(1));
-  EXPECT_TRUE(r.ids<refuse>().empty());
+  EXPECT_TRUE(r.ids<reject>().empty());
   EXPECT_TRUE(r.ids<fail>().empty());
   r.at(20ms, {completion{1, outcome::cancelled, 20ms}, completion{2, outcome::moot, 0ms}, call_needed{2},
               call_ended{1, outcome::ok, 1ms}});
@@ -392,7 +392,7 @@
   }
   r.now += 2s;
   r.send({tick_with(1), done(29, 2100ms), request_of(40), request_of(41), request_of(42)});
-  EXPECT_TRUE(r.ids<refuse>().empty());
+  EXPECT_TRUE(r.ids<reject>().empty());
 }
 
 // Runs on the cores and none ends: health turns bad after the tightest aim, and good with the first run that
@@ -401,7 +401,7 @@
 TEST(Health, IsBadWhileFarMoreRunsShouldHaveEndedThanDid) {
   const auto told_after = [](unsigned cores) {
     settings s = plain_settings();
-    s.classes[0].late_worth = 0.5;
+    s.classes[0].late_weight = 0.5;
     s.classes[0].deadline = 20s;
     s.cores = cores;
     rig r(s);
@@ -430,8 +430,8 @@
 TEST(Due, EveryStageIsAnsweredInTime) {
   settings s = plain_settings();
   s.cores = 1;
-  s.classes[0].aim = 3s;
-  s.classes[0].calls = true;
+  s.classes[0].latency_objective = 3s;
+  s.classes[0].calls_dependency = true;
   rig r(s);
   r.send({request_of(1), request_of(2)});
   r.at(10ms, {call_needed{1}});
@@ -440,7 +440,7 @@
   for (int ms = 20; ms <= 4000; ms += 20) {
     r.at(ms * 1ms, {tick_with(1)});
     for (const request_id id : r.ids<fail>()) answered.push_back(id);
-    for (const request_id id : r.ids<refuse>()) answered.push_back(id);
+    for (const request_id id : r.ids<reject>()) answered.push_back(id);
   }
   std::sort(answered.begin(), answered.end());
   EXPECT_EQ(answered, (ids{1, 2}));
@@ -448,20 +448,20 @@
 
 TEST(Keys, ARepeatNeverGetsARunOrARefusal) {
   settings s = plain_settings();
-  s.classes[0].repeats = effect::keyed;
-  s.classes[0].window = 10s;
-  s.key_kb = 1;
+  s.classes[0].effect = request_effect::keyed;
+  s.classes[0].idempotency_window = 10s;
+  s.idempotency_key_kb = 1;
   s.cores = 1;
   rig r(s);
   arrival again = request_of(2);
-  again.repeats = 1;
+  again.duplicate_of = 1;
   r.send({request_of(1), again});
-  EXPECT_TRUE(r.has<keep_key>(1));
+  EXPECT_TRUE(r.has<retain_key>(1));
   EXPECT_EQ(r.ids<start>(), ids{1});
-  EXPECT_TRUE(r.has<share_outcome>(2));
+  EXPECT_TRUE(r.has<share_result>(2));
   for (int ms = 100; ms < 4000; ms += 100) {
     r.at(ms * 1ms, {tick_with(1)});
-    EXPECT_FALSE(r.has<refuse>(2));
+    EXPECT_FALSE(r.has<reject>(2));
     EXPECT_FALSE(r.has<start>(2));
     EXPECT_FALSE(r.has<forget_key>(1));
   }
@@ -473,23 +473,27 @@
 TEST(Keys, ATryThatCameBeforeItsFirstWasReadIsTurnedAway) {
   for (const bool marked : {true, false}) {
     settings s = plain_settings();
-    s.classes[0] = {.name = "write", .aim = 4s, .deadline = 9s, .repeats = effect::keyed, .window = 20s};
+    s.classes[0] = {.name = "write",
+                    .latency_objective = 4s,
+                    .deadline = 9s,
+                    .effect = request_effect::keyed,
+                    .idempotency_window = 20s};
     rig r(s);
     arrival first = request_of(1);
     first.caller = 7;
-    first.waited = 2500ms;
+    first.read_delay = 2500ms;
     r.at(2000ms, {first});
     EXPECT_TRUE(r.has<start>(1));
     arrival again = request_of(2);
     again.caller = 7;
     again.retry = marked;
-    again.waited = 300ms;
+    again.read_delay = 300ms;
     r.at(2010ms, {again});
-    EXPECT_TRUE(r.has<refuse>(2));
+    EXPECT_TRUE(r.has<reject>(2));
     arrival other = request_of(3);
     other.caller = 7;
     other.retry = marked;
-    other.waited = 1ms;
+    other.read_delay = 1ms;
     r.at(2020ms, {other});
     EXPECT_TRUE(r.has<start>(3));
   }
@@ -501,19 +505,19 @@
   s.cores = 1;
   rig r(s);
   r.send({request_of(1), request_of(2), request_of(3)});
-  EXPECT_TRUE(r.ids<refuse>().empty());
+  EXPECT_TRUE(r.ids<reject>().empty());
   std::vector<event> more;
   for (request_id id = 4; id <= 12; ++id) more.push_back(request_of(id));
   r.at(1ms, more);
-  ASSERT_FALSE(r.ids<refuse>().empty());
-  EXPECT_EQ(r.ids<refuse>().front(), 12u);
+  ASSERT_FALSE(r.ids<reject>().empty());
+  EXPECT_EQ(r.ids<reject>().front(), 12u);
 }
 
 // Found in a recorded day: nine runs and no held request left filled the memory.
 TEST(Memory, ARunStartsOnlyWhereItFits) {
   settings s = plain_settings();
   s.memory_kb = 100;
-  s.run_factor = 6;
+  s.running_memory_factor = 6;
   rig r(s);
   r.send({request_of(1), request_of(2)});  // 60 as a run each
   EXPECT_EQ(r.ids<start>(), ids{1});
@@ -523,19 +527,19 @@
 
 TEST(Drain, NothingLaterThanTheGraceIsRun) {
   rig r(plain_settings());
-  r.send({notice{10s}});
+  r.send({shutdown_notice{10s}});
   r.at(900ms, {request_of(1)});
   EXPECT_TRUE(r.has<start>(1));
   r.at(1100ms, {request_of(2)});
   EXPECT_FALSE(r.has<start>(2));
-  EXPECT_TRUE(r.has<refuse>(2));
+  EXPECT_TRUE(r.has<reject>(2));
 }
 
 TEST(Drain, EverythingIsAnsweredBeforeTheStop) {
   settings s = plain_settings();
   s.halt = halt_mode::none;
   rig r(s);
-  r.send({request_of(1), notice{2s}});
+  r.send({request_of(1), shutdown_notice{2s}});
   r.at(1400ms, {tick_with(1)});
   EXPECT_TRUE(r.has<fail>(1));
 }
@@ -543,8 +547,8 @@
 // A call that may have had its effect is not repeated for a keyed request; one that surely never ran is.
 TEST(Calls, OnlyACallThatNeverRanIsRepeated) {
   settings s = plain_settings();
-  s.classes[0].repeats = effect::keyed;
-  s.classes[0].window = 10s;
+  s.classes[0].effect = request_effect::keyed;
+  s.classes[0].idempotency_window = 10s;
   rig r(s);
   r.send({request_of(1), request_of(2)});
   r.at(1ms, {call_needed{1}, call_needed{2}});
@@ -559,7 +563,7 @@
 
 TEST(Calls, OneMayAlwaysBeOutButNotMoreThanTheShare) {
   settings s = plain_settings();
-  s.fair_calls = 0.5;
+  s.fair_concurrent_calls = 0.5;
   s.calls_period = 5s;
   rig r(s);
   r.send({request_of(1), request_of(2)});
@@ -571,7 +575,7 @@
 // would multiply its load.
 TEST(Calls, ARefusedCallIsAskedAgainLaterAndNotForEver) {
   settings s = plain_settings();
-  s.classes[0].calls = true;
+  s.classes[0].calls_dependency = true;
   rig r(s);
   r.send({request_of(1), request_of(2)});
   r.at(1ms, {call_needed{1}, call_needed{2}});
@@ -593,9 +597,9 @@
 
 settings of_scarce_calls() {
   settings s = plain_settings();
-  s.classes[0] = {.name = "calling", .aim = 2s, .deadline = 8s, .calls = true};
-  s.classes.push_back({.name = "plain", .aim = 2s, .deadline = 8s});
-  s.fair_calls = 0.4;
+  s.classes[0] = {.name = "calling", .latency_objective = 2s, .deadline = 8s, .calls_dependency = true};
+  s.classes.push_back({.name = "plain", .latency_objective = 2s, .deadline = 8s});
+  s.fair_concurrent_calls = 0.4;
   s.calls_period = 5s;
   return s;
 }
@@ -622,17 +626,17 @@
   for (int i = 0; i < 6; ++i) batch.emplace_back(request_of(++id, 0, 0));
   for (int i = 0; i < 2; ++i) batch.emplace_back(request_of(++id, 0, 1));
   r.at(t, batch);
-  EXPECT_GE(r.ids<refuse>().size(), 4u);
+  EXPECT_GE(r.ids<reject>().size(), 4u);
   // All servers share the jam: what is turned away for it is not to be tried elsewhere.
-  for (const refuse& f : r.all<refuse>()) EXPECT_TRUE(f.not_elsewhere) << f.id;
-  EXPECT_FALSE(r.has<refuse>(id));
-  EXPECT_FALSE(r.has<refuse>(id - 1));
+  for (const reject& f : r.all<reject>()) EXPECT_TRUE(f.no_retry_elsewhere) << f.id;
+  EXPECT_FALSE(r.has<reject>(id));
+  EXPECT_FALSE(r.has<reject>(id - 1));
 }
 
 TEST(Calls, ACallThatCannotComeInTimeIsLeftOutWhereThatKeepsWorth) {
   for (const double worth : {0.0, 0.5}) {
     settings s = of_scarce_calls();
-    s.classes[0].worth_without = worth;
+    s.classes[0].weight_without_call = worth;
     rig r(s);
     r.send({request_of(1), request_of(2)});
     r.at(1ms, {call_needed{1}, call_needed{2}});
@@ -645,7 +649,7 @@
 // Out at a slow dependency, a request cannot leave its call out any more: the limit leaves time for the rest.
 TEST(Calls, ALimitLeavesTimeToGoOnWithout) {
   settings s = of_scarce_calls();
-  s.classes[0].worth_without = 0.5;
+  s.classes[0].weight_without_call = 0.5;
   rig r(s);
   r.send({request_of(1)});
   r.at(10ms, {call_needed{1}});
@@ -680,10 +684,10 @@
 // hand, abandoned ones included, stay under the share, and each server still gets calls out.
 TEST(Calls, APartOfACallIsKeptOverThePeriod) {
   settings s = plain_settings();
-  s.classes[0] = {.name = "read", .aim = 4s, .deadline = 9s, .calls = true};
-  s.fair_calls = 0.4;
+  s.classes[0] = {.name = "read", .latency_objective = 4s, .deadline = 9s, .calls_dependency = true};
+  s.fair_concurrent_calls = 0.4;
   s.calls_period = 5s;
-  s.call_linger = 200ms;
+  s.abandoned_call_duration = 200ms;
   rig r(s);
   std::vector<double> in_hand;  // a step is 10 ms
   request_id id = 0;
@@ -721,7 +725,7 @@
     if (in_hand.size() < 500) continue;
     double sum = 0;
     for (std::size_t i = in_hand.size() - 500; i < in_hand.size(); ++i) sum += in_hand[i];
-    ASSERT_LE(sum / 500, s.fair_calls) << "at " << t.count();
+    ASSERT_LE(sum / 500, s.fair_concurrent_calls) << "at " << t.count();
   }
   EXPECT_GE(placed, 5u);
 }
@@ -739,7 +743,7 @@
   for (int i = 0; i < 3; ++i) {  // two at a time, stopped after 600 ms
     r.at(t, {request_of(id + 1), request_of(id + 2)});
     for (int k = 1; k <= 6; ++k) r.at(t + k * 100ms, {tick_with(1)});
-    r.at(t += 610ms, {departure{id + 1}, departure{id + 2}});
+    r.at(t += 610ms, {client_cancelled{id + 1}, client_cancelled{id + 2}});
     r.send({completion{id + 1, outcome::cancelled, 600ms}, completion{id + 2, outcome::cancelled, 600ms}});
     id += 2;
   }
@@ -762,7 +766,7 @@
     for (duration t{}; t < 10s; t += 37ms) {  // 27 reads a second
       arrival a = request_of(++id);
       a.retry = marked && id == 1;
-      a.patience = 4s;
+      a.client_timeout = 4s;
       std::vector<event> batch{a, tick_with(1)};
       while (!runs.empty() && runs.front().first <= t) {
         batch.emplace_back(done(runs.front().second, 300ms));
@@ -770,10 +774,10 @@
       }
       r.at(t, batch);
       for (const request_id started : r.ids<start>()) runs.emplace_back(t + 300ms, started);
-      for (const refuse& f : r.all<refuse>()) {
+      for (const reject& f : r.all<reject>()) {
         if (t < 5s) continue;
         ++refused;
-        closed += f.not_elsewhere ? 1 : 0;
+        closed += f.no_retry_elsewhere ? 1 : 0;
       }
     }
     EXPECT_GT(refused, 20u);
@@ -806,10 +810,10 @@
       if (batch.empty()) continue;
       r.at(t, batch);
       for (const request_id started : r.ids<start>()) runs.emplace_back(t + (t < 4s ? 50ms : 400ms), started);
-      for (const refuse& f : r.all<refuse>()) {
+      for (const reject& f : r.all<reject>()) {
         if (t < 9s) continue;
         ++refused;
-        closed += f.not_elsewhere ? 1 : 0;
+        closed += f.no_retry_elsewhere ? 1 : 0;
       }
     }
     EXPECT_GT(refused, 5u);
--- a/tests/admission_policy/rules_test.cpp
+++ b/tests/admission_policy/rules_test.cpp
@@ -82,7 +82,7 @@
     if (i == 1500 && !draining && below(2) == 0) {
       stop_at_ = now_ + 3s;
       notice_at_ = now_;
-      batch.emplace_back(notice{3s});
+      batch.emplace_back(shutdown_notice{3s});
     }
     if (!batch.empty()) {
       before_ = now_;
@@ -97,27 +97,29 @@
     a.request_class = below(static_cast<unsigned>(set_.classes.size()));
     a.tenant = below(4);
     a.caller = below(40);
-    a.held_kb = 5 + below(20);
-    a.waited = set_.tick * below(below(10) == 0 ? 900 : 20);
-    a.work = below(2) == 0 ? duration{0} : 50ms * (1 + below(10));
+    a.reserved_kb = 5 + below(20);
+    a.read_delay = set_.tick * below(below(10) == 0 ? 900 : 20);
+    a.expected_work = below(2) == 0 ? duration{0} : 50ms * (1 + below(10));
     const class_settings& c = set_.classes[a.request_class];
     seen r;
     r.same_as = a.id;
-    if (c.repeats == effect::keyed && !kept_.empty() && below(4) == 0) {  // a further try of a kept one
+    if (c.effect == request_effect::keyed && !kept_.empty() &&
+        below(4) == 0) {  // a further try of a kept one
       const auto k = std::next(kept_.begin(), below(static_cast<unsigned>(kept_.size())));
-      const time_point reached = now_ - a.waited;
+      const time_point reached = now_ - a.read_delay;
       if (k->second.request_class == a.request_class && k->second.from <= reached &&
           reached < k->second.until) {
-        a.repeats = k->second.id;
+        a.duplicate_of = k->second.id;
         a.retry = true;
         r.same_as = k->first;
       }
     }
     // Or one that reached the machine while its first try was still unread there: nothing links the two.
-    if (c.repeats == effect::keyed && a.repeats == 0 && below(3) == 0) {
+    if (c.effect == request_effect::keyed && a.duplicate_of == 0 && below(3) == 0) {
       for (const auto& [first, k] : kept_) {
-        const time_point reached = now_ - a.waited;
-        if (k.request_class != a.request_class || reached >= k.from || reached < k.arrived + c.aim / 2)
+        const time_point reached = now_ - a.read_delay;
+        if (k.request_class != a.request_class || reached >= k.from ||
+            reached < k.arrived + c.latency_objective / 2)
           continue;
         a.retry = true;
         a.caller = k.caller;
@@ -125,15 +127,15 @@
         break;
       }
     }
-    if (below(3) == 0) a.patience = set_.tick * (1 + below(4000));
+    if (below(3) == 0) a.client_timeout = set_.tick * (1 + below(4000));
     r.id = a.id;
     r.request_class = a.request_class;
-    r.arrived = now_ - a.waited;
-    r.due =
-        (a.patience > 0ns ? now_ + a.patience : std::max(now_, r.arrived + c.deadline)) + set_.answer_slack;
-    r.kb = a.held_kb;
+    r.arrived = now_ - a.read_delay;
+    r.due = (a.client_timeout > 0ns ? now_ + a.client_timeout : std::max(now_, r.arrived + c.deadline)) +
+            set_.answer_slack;
+    r.kb = a.reserved_kb;
     r.caller = a.caller;
-    r.calls_left = c.calls ? below(4) : 0;
+    r.calls_left = c.calls_dependency ? below(4) : 0;
     last_due_ = std::max(last_due_, r.due);
     requests_[r.id] = r;
     return a;
@@ -173,7 +175,7 @@
         over.push_back(id);
       } else if (!r.answered && below(400) == 0) {
         r.gone = true;
-        batch.emplace_back(departure{id});
+        batch.emplace_back(client_cancelled{id});
         if (r.at == stage::held || r.at == stage::sharing) over.push_back(id);
       }
     }
@@ -216,10 +218,10 @@
   void on(const start& a) {
     seen* r = known(a.id, "start");
     if (r == nullptr) return;
-    const effect e = set_.classes[r->request_class].repeats;
+    const request_effect e = set_.classes[r->request_class].effect;
     if (r->at != stage::held || r->answered) fail_with("start: it is not held", a.id);
-    if (++r->starts > 1 && e != effect::safe) fail_with("duplicate: a second start", a.id);
-    if (e == effect::keyed && !ran_.insert({r->same_as, 1}).second)
+    if (++r->starts > 1 && e != request_effect::safe) fail_with("duplicate: a second start", a.id);
+    if (e == request_effect::keyed && !ran_.insert({r->same_as, 1}).second)
       fail_with("duplicate: two tries ran", a.id);
     if (notice_at_ > 0ns && r->arrived > notice_at_ + set_.drain_grace)
       fail_with("drain: too late to run", a.id);
@@ -237,10 +239,10 @@
       requests_.erase(a.id);
     }
   }
-  void on(const refuse& a) {
+  void on(const reject& a) {
     seen* r = known(a.id, "refuse");
     if (r == nullptr) return;
-    if (r->starts > 0 && set_.classes[r->request_class].repeats != effect::safe)
+    if (r->starts > 0 && set_.classes[r->request_class].effect != request_effect::safe)
       fail_with("duplicate: refused after it ran", a.id);
     if (r->at == stage::sharing) fail_with("duplicate: a repeat refused", a.id);
     answer(*r, "refuse");
@@ -252,7 +254,7 @@
     seen* r = known(a.id, "call");
     if (r == nullptr) return;
     if (r->at != stage::wants_call) fail_with("a call of what wants none", a.id);
-    if (r->call_may_have_run && set_.classes[r->request_class].repeats != effect::safe)
+    if (r->call_may_have_run && set_.classes[r->request_class].effect != request_effect::safe)
       fail_with("duplicate: a call again that may have had its effect", a.id);
     r->at = stage::at_call;
     const duration takes = set_.tick * (1 + below(below(5) == 0 ? 2000 : 50));
@@ -266,16 +268,17 @@
   void on(const skip_call& a) {
     seen* r = known(a.id, "skip");
     if (r == nullptr) return;
-    if (set_.classes[r->request_class].worth_without <= 0) fail_with("a skip that keeps no worth", a.id);
+    if (set_.classes[r->request_class].weight_without_call <= 0)
+      fail_with("a skip that keeps no worth", a.id);
     if (r->at != stage::wants_call) fail_with("a skip of what wants no call", a.id);
     r->at = stage::running;
     r->run_ends = now_ + set_.tick * (1 + below(100));
   }
-  void on(const keep_key& a) {
+  void on(const retain_key& a) {
     const seen* r = known(a.id, "keep");
     if (r == nullptr) return;
     const class_settings& c = set_.classes[r->request_class];
-    if (c.repeats == effect::keyed && now_ + a.ttl < r->arrived + c.window)
+    if (c.effect == request_effect::keyed && now_ + a.ttl < r->arrived + c.idempotency_window)
       fail_with("keys: kept too short", a.id);
     kept_[r->same_as] = {r->id, r->request_class, r->caller, r->arrived, now_, now_ + a.ttl};
   }
@@ -283,7 +286,7 @@
     for (auto i = kept_.begin(); i != kept_.end();) i = i->second.id == a.id ? kept_.erase(i) : std::next(i);
     if (ran_.contains(a.id)) fail_with("duplicate: the key of a run is forgotten", a.id);
   }
-  void on(const share_outcome& a) {
+  void on(const share_result& a) {
     seen* r = known(a.id, "share");
     if (r == nullptr) return;
     if (r->same_as == r->id) fail_with("a share of no repeat", a.id);
@@ -301,21 +304,23 @@
   void on(const log_line&) {}
 
   void check_after() {
-    double kb = set_.key_kb * static_cast<double>(kept_.size());
+    double kb = set_.idempotency_key_kb * static_cast<double>(kept_.size());
     double calls = 0;
     unsigned running = 0;
     for (const auto& [id, r] : requests_) {
       const bool light = r.at == stage::held || r.at == stage::sharing;
-      kb += r.kb * (light ? 1 : set_.run_factor);
+      kb += r.kb * (light ? 1 : set_.running_memory_factor);
       running += r.at == stage::running ? 1 : 0;
       calls += r.at == stage::at_call ? 1 : 0;
       if (!r.answered && !r.gone && now_ > r.due) fail_with("lost: no answer in time", id);
     }
     if (kb > set_.memory_kb) fail_with("fall-over: memory", 0);
-    const double warm = std::chrono::duration<double>(now_ - rig::start_of_time) / set_.warm_within;
-    const double cold = set_.cold ? std::min(1.0, set_.cold_speed + (1 - set_.cold_speed) * warm) : 1;
-    if (running > (1 + (set_.crowd_factor - 1) * cold) * set_.cores + 1e-9) fail_with("fall-over: crowd", 0);
-    if (set_.fair_calls > 0 && calls > std::max(1.0, set_.fair_calls))
+    const double warm = std::chrono::duration<double>(now_ - rig::start_of_time) / set_.slow_start_duration;
+    const double cold =
+        set_.cold_start ? std::min(1.0, set_.cold_start_capacity + (1 - set_.cold_start_capacity) * warm) : 1;
+    if (running > (1 + (set_.concurrency_ceiling_per_core - 1) * cold) * set_.cores + 1e-9)
+      fail_with("fall-over: crowd", 0);
+    if (set_.fair_concurrent_calls > 0 && calls > std::max(1.0, set_.fair_concurrent_calls))
       fail_with("fall-over: calls in hand", 0);
   }
 
@@ -353,30 +358,30 @@
   for (unsigned i = 0; i < 3; ++i) {
     class_settings c;
     c.name = "class";
-    c.aim = 300ms * (1 + pick(10));
-    c.deadline = c.aim * (1 + pick(4));
-    c.late_worth = pick(2) * 0.2;
-    c.calls = pick(2) == 0;
-    c.repeats = static_cast<effect>(i);
-    c.worth_without = c.calls && pick(2) == 0 ? 0.5 : 0;
-    c.window = 1s * (1 + pick(20));
+    c.latency_objective = 300ms * (1 + pick(10));
+    c.deadline = c.latency_objective * (1 + pick(4));
+    c.late_weight = pick(2) * 0.2;
+    c.calls_dependency = pick(2) == 0;
+    c.effect = static_cast<request_effect>(i);
+    c.weight_without_call = c.calls_dependency && pick(2) == 0 ? 0.5 : 0;
+    c.idempotency_window = 1s * (1 + pick(20));
     s.classes.push_back(c);
   }
   for (unsigned i = pick(4); i > 0; --i) s.tenants.push_back({"t", 10.0 * pick(10)});
   s.servers = 1 + pick(300);
   s.callers = 1 + pick(1000);
   s.cores = 1 + pick(4);
-  s.cold = pick(3) == 0;
-  s.cold_speed = 0.2 + 0.1 * pick(5);
-  s.warm_within = 18s;
-  s.crowd_factor = 5 + 3.0 * pick(2);
-  s.crowd_period = 2s;
-  s.run_factor = 4 << pick(3);
-  s.memory_kb = 25 * s.run_factor * s.cores * (10 + pick(10));
-  s.key_kb = s.memory_kb / (50 + pick(400));
-  s.fair_calls = pick(3) == 0 ? 0 : 0.1 + 0.6 * pick(8);
+  s.cold_start = pick(3) == 0;
+  s.cold_start_capacity = 0.2 + 0.1 * pick(5);
+  s.slow_start_duration = 18s;
+  s.concurrency_ceiling_per_core = 5 + 3.0 * pick(2);
+  s.concurrency_ceiling_period = 2s;
+  s.running_memory_factor = 4 << pick(3);
+  s.memory_kb = 25 * s.running_memory_factor * s.cores * (10 + pick(10));
+  s.idempotency_key_kb = s.memory_kb / (50 + pick(400));
+  s.fair_concurrent_calls = pick(3) == 0 ? 0 : 0.1 + 0.6 * pick(8);
   s.calls_period = 5s;
-  s.call_linger = 200ms;
+  s.abandoned_call_duration = 200ms;
   s.answer_slack = 80ms;
   s.drain_grace = 2s;
   s.max_retry_after = 1s;
--- a/tests/embedding_admission_policy/main.cpp
+++ b/tests/embedding_admission_policy/main.cpp
@@ -31,7 +31,7 @@
   s.drain_grace = 1s;
   s.max_retry_after = 1s;
   s.tick = 1ms;
-  s.classes.push_back({.name = "read", .aim = 1s, .deadline = 4s, .calls = true});
+  s.classes.push_back({.name = "read", .latency_objective = 1s, .deadline = 4s, .calls_dependency = true});
   admission_policy::policy policy(s, 1, 0s);
   policy.handle(0s, {});
 
@@ -45,10 +45,10 @@
          "its call is placed", failures);
   send(40ms, {admission_policy::call_ended{1, admission_policy::outcome::ok, 20ms}});
   send(60ms, {admission_policy::completion{1, admission_policy::outcome::ok, 59ms}});
-  send(70ms, {admission_policy::notice{3s}});
+  send(70ms, {admission_policy::shutdown_notice{3s}});
   admission_policy::arrival late;
   late.id = 2;
-  expect(has<admission_policy::refuse>(send(1500ms, {late}), 2), "what comes after the grace is refused",
+  expect(has<admission_policy::reject>(send(1500ms, {late}), 2), "what comes after the grace is refused",
          failures);
   return failures;
 }
--- a/tests/idempotency/durable_service_test.cpp
+++ b/tests/idempotency/durable_service_test.cpp
@@ -72,10 +72,10 @@
     s.cores = 8;
     s.tick = 1ms;
     s.classes.push_back({.name = "kurs-meldung",
-                         .aim = deadline,
+                         .latency_objective = deadline,
                          .deadline = deadline,
-                         .repeats = admission_policy::effect::keyed,
-                         .window = deadline});
+                         .effect = admission_policy::request_effect::keyed,
+                         .idempotency_window = deadline});
     return s;
   }
   void open() {
@@ -94,7 +94,7 @@
   request_id ask(const std::string& key) {
     request r;
     r.payload = "price";
-    r.held_kb = 1;
+    r.reserved_kb = 1;
     r.key = key;
     return desk.on_arrival(*this, *this, std::move(r));
   }
@@ -127,11 +127,11 @@
     for (const auto last = steady() + d; steady() < last; std::this_thread::sleep_for(1ms)) step();
   }
   bool answered(request_id id) const { return answers.contains(id); }
-  verdict how(request_id id) const { return answers.at(id).how; }
+  response_status how(request_id id) const { return answers.at(id).status; }
   void end(const std::string& result) {
     const request_id id = running.back();
     running.pop_back();
-    desk.on_end(id, run_end::fine, result, 1ms);
+    desk.on_end(id, run_end::succeeded, result, 1ms);
   }
 
   telemetry::counters counters;
@@ -151,19 +151,19 @@
   r.disk.broken = true;
   const request_id first = r.ask("a");
   r.until([&] { return r.answered(first); });
-  CHECK(r.how(first) == verdict::refused && r.ran.empty() && r.answers[first].retry_after > 0s);
+  CHECK(r.how(first) == response_status::rejected && r.ran.empty() && r.answers[first].retry_after > 0s);
   const request_id second = r.ask("a");
   r.until([&] { return r.answered(second); });
-  CHECK(r.how(second) == verdict::refused && r.ran.empty());
+  CHECK(r.how(second) == response_status::rejected && r.ran.empty());
   r.disk.broken = false;
   request_id third = 0;
   r.until([&] {
-    if (third == 0 || (r.answered(third) && r.how(third) == verdict::refused)) third = r.ask("a");
+    if (third == 0 || (r.answered(third) && r.how(third) == response_status::rejected)) third = r.ask("a");
     return r.ran["a"] == 1;
   });
   r.end("done");
   r.until([&] { return r.answered(third); });
-  CHECK(r.how(third) == verdict::served && r.results[third] == "done");
+  CHECK(r.how(third) == response_status::served && r.results[third] == "done");
   // What the disk had refused is no doubt after a restart.
   r.keeper.reset();
   r.open();
@@ -196,15 +196,16 @@
   r.disk.broken = true;
   r.end("done");
   r.until([&] { return r.answered(first); });
-  CHECK(r.how(first) == verdict::failed && r.answers[first].in_doubt && steady() - begin >= 500ms);
+  CHECK(r.how(first) == response_status::failed && r.answers[first].outcome_unknown &&
+        steady() - begin >= 500ms);
   const request_id held_up = r.ask("a");
   r.until([&] { return r.answered(held_up); });
-  CHECK(r.how(held_up) == verdict::failed);  // it joined, and ran out of time
+  CHECK(r.how(held_up) == response_status::failed);  // it joined, and ran out of time
   r.disk.broken = false;
   request_id later = 0;
   r.until([&] {
-    if (later == 0 || (r.answered(later) && r.how(later) != verdict::served)) later = r.ask("a");
-    return r.answered(later) && r.how(later) == verdict::served;
+    if (later == 0 || (r.answered(later) && r.how(later) != response_status::served)) later = r.ask("a");
+    return r.answered(later) && r.how(later) == response_status::served;
   });
   CHECK(r.results[later] == "done" && r.ran["a"] == 1);
   r.keeper.reset();
@@ -235,18 +236,18 @@
   r.step();
   const request_id second = r.ask("a");
   r.step();
-  r.desk.on_gone(first);
+  r.desk.on_client_cancelled(first);
   r.pass(50ms);
   r.disk.held = false;
   r.until([&] { return r.ran["a"] == 1; });
   r.end("done");
   r.until([&] { return r.answered(second); });
-  CHECK(r.how(second) == verdict::served && !r.answered(first));
+  CHECK(r.how(second) == response_status::served && !r.answered(first));
   // All leave before the intent is on disk: it never runs, and its key is free.
   r.disk.held = true;
   const request_id third = r.ask("b");
   r.step();
-  r.desk.on_gone(third);
+  r.desk.on_client_cancelled(third);
   r.disk.held = false;
   r.until([&] { return r.desk.open() == 0; });
   CHECK(r.ran["b"] == 0);
--- a/tests/net/dispatcher_test.cpp
+++ b/tests/net/dispatcher_test.cpp
@@ -36,7 +36,7 @@
     desk.step(now, {});
   }
   void respond(request_id id, const answer& final) override {
-    CHECK(answers.emplace(id, final.how).second);  // one final answer each
+    CHECK(answers.emplace(id, final.status).second);  // one final answer each
     advice[id] = final.retry_after;
   }
   void close_idle(duration) override {}
@@ -47,7 +47,7 @@
   request_id arrive(unsigned request_class = 0) {
     request r;
     r.request_class = request_class;
-    r.held_kb = 10;
+    r.reserved_kb = 10;
     r.caller = ++last_caller;
     return desk.on_arrival(*this, *this, std::move(r));
   }
@@ -58,7 +58,7 @@
   time_point now = 1000s;
   unsigned last_caller = 0;
   telemetry::counters counters;
-  std::map<request_id, verdict> answers;
+  std::map<request_id, response_status> answers;
   std::map<request_id, duration> advice;
   std::set<request_id> runs, paused;
   dispatcher desk;
@@ -67,40 +67,42 @@
 admission_policy::settings usual(unsigned cores = 2) {
   admission_policy::settings s;
   s.cores = cores;
-  s.crowd_factor = 5;
+  s.concurrency_ceiling_per_core = 5;
   s.tick = 1ms;
   s.halt = admission_policy::halt_mode::pause;
   s.max_retry_after = 1s;
   s.drain_grace = 500ms;
-  s.classes.push_back({.name = "read", .aim = 1s, .deadline = 3s});
-  s.classes.push_back(
-      {.name = "write", .aim = 1s, .deadline = 3s, .repeats = admission_policy::effect::unsafe});
+  s.classes.push_back({.name = "read", .latency_objective = 1s, .deadline = 3s});
+  s.classes.push_back({.name = "write",
+                       .latency_objective = 1s,
+                       .deadline = 3s,
+                       .effect = admission_policy::request_effect::unsafe});
   return s;
 }
 
 void ends_count_once() {
   rig r(usual());
   const request_id id = r.arrive(1);
-  r.desk.on_end(id, run_end::fine, "early", 1ms);  // of what never started
+  r.desk.on_end(id, run_end::succeeded, "early", 1ms);  // of what never started
   CHECK(r.answers.empty());
   r.pass(10ms);
   CHECK(r.runs.contains(id));
-  r.desk.on_end(id, run_end::fine, "x", 5ms);
-  r.desk.on_end(id, run_end::fault, "", 5ms);
-  r.desk.on_end(12345, run_end::fine, "", 5ms);
-  r.desk.on_gone(id);
+  r.desk.on_end(id, run_end::succeeded, "x", 5ms);
+  r.desk.on_end(id, run_end::failed, "", 5ms);
+  r.desk.on_end(12345, run_end::succeeded, "", 5ms);
+  r.desk.on_client_cancelled(id);
   r.pass(5s);
-  CHECK(r.answers.at(id) == verdict::served && r.desk.open() == 0 && r.counters.served == 1);
+  CHECK(r.answers.at(id) == response_status::served && r.desk.open() == 0 && r.counters.served == 1);
 }
 
 void what_ran_is_never_refused() {
   rig r(usual());
-  for (const run_end how : {run_end::fault, run_end::broken_off, run_end::never_started}) {
+  for (const run_end how : {run_end::failed, run_end::aborted, run_end::never_started}) {
     const request_id id = r.arrive(1);
     r.pass(10ms);
     r.desk.on_end(id, how, {}, 5ms);
     r.pass(20ms);
-    CHECK(r.answers.at(id) == verdict::failed);
+    CHECK(r.answers.at(id) == response_status::failed);
   }
   CHECK(r.desk.open() == 0);
 }
@@ -110,8 +112,8 @@
   rig r(usual());
   const request_id id = r.arrive(1);
   r.pass(1050ms);
-  CHECK(r.answers.at(id) == verdict::failed && r.paused.contains(id) && r.advice.at(id) > 0ns);
-  r.desk.on_end(id, run_end::broken_off, {}, 1s);
+  CHECK(r.answers.at(id) == response_status::failed && r.paused.contains(id) && r.advice.at(id) > 0ns);
+  r.desk.on_end(id, run_end::aborted, {}, 1s);
   CHECK(r.desk.open() == 0);
 }
 
@@ -121,12 +123,12 @@
   for (int i = 0; i < 8; ++i) ids.push_back(r.arrive());
   r.pass(10ms);
   for (const request_id id : ids) {
-    if (!r.answers.contains(id)) r.desk.on_gone(id);
+    if (!r.answers.contains(id)) r.desk.on_client_cancelled(id);
   }
   const std::size_t answered = r.answers.size();
   r.pass(5s);
   CHECK(r.answers.size() == answered);
-  for (const request_id id : r.runs) r.desk.on_end(id, run_end::broken_off, {}, 1ms);
+  for (const request_id id : r.runs) r.desk.on_end(id, run_end::aborted, {}, 1ms);
   CHECK(r.desk.open() == 0);
 }
 
@@ -137,9 +139,9 @@
   const auto serve = [&](int count) {
     for (int i = 0; i < count; ++i) {
       const request_id runs = r.arrive(0), leaves = r.arrive(0);
-      r.desk.on_gone(leaves);
+      r.desk.on_client_cancelled(leaves);
       r.pass(10ms);
-      r.desk.on_end(runs, run_end::fine, "x", 5ms);
+      r.desk.on_end(runs, run_end::succeeded, "x", 5ms);
       r.answers.clear();
       r.advice.clear();
       r.runs.clear();
@@ -162,7 +164,8 @@
   for (int i = 0; i < 5; ++i) late.push_back(r.arrive());
   r.pass(2300ms);
   for (const request_id id : early) CHECK(r.answers.contains(id));
-  for (const request_id id : late) CHECK(r.answers.at(id) == verdict::refused && !r.runs.contains(id));
+  for (const request_id id : late)
+    CHECK(r.answers.at(id) == response_status::rejected && !r.runs.contains(id));
   CHECK(!r.desk.healthy());
 }
 
--- a/tests/net/settings_test.cpp
+++ b/tests/net/settings_test.cpp
@@ -26,8 +26,8 @@
 config platform() {
   config c;
   c.settings.cores = 1;
-  c.settings.classes.push_back({.name = "kurs-abfrage", .aim = 500ms, .deadline = 2s});
-  c.settings.classes.push_back({.name = "kurs-meldung", .aim = 1s, .deadline = 3s});
+  c.settings.classes.push_back({.name = "kurs-abfrage", .latency_objective = 500ms, .deadline = 2s});
+  c.settings.classes.push_back({.name = "kurs-meldung", .latency_objective = 1s, .deadline = 3s});
   c.settings.tenants.push_back({.name = "isar-invest", .quota = 5});
   return c;
 }
@@ -66,7 +66,7 @@
   CHECK(c.uwsgi && c.uwsgi->servers.size() == 2 && c.uwsgi->servers[1].port == 2);
   CHECK(c.uwsgi->request_class.values.at("/b") == "kurs-meldung" &&
         c.uwsgi->tenant.values.at("i") == "isar-invest");
-  CHECK(c.uwsgi->default_cost[1] == 1500 && c.uwsgi->held_kb == 8);
+  CHECK(c.uwsgi->default_cost[1] == 1500 && c.uwsgi->reserved_kb == 8);
   CHECK(c.keyed && c.keyed->windows[0] == 0s && c.keyed->windows[1] == 90s && c.keyed->space == 64u << 20);
   CHECK(!read("").uwsgi && !read("").keyed && !read("").fleet);  // no fleet named: membership is off
   const config f =
@@ -153,7 +153,7 @@
     for (const char* more : {"kurs-liste", "kurs-auftrag"}) {
       c.settings.classes.push_back(c.settings.classes[0]);
       c.settings.classes.back().name = more;
-      c.settings.classes.back().aim = 2s;
+      c.settings.classes.back().latency_objective = 2s;
     }
     apply_operator_file(c, std::string(DEPLOY) + "/" + name);
     CHECK(c.uwsgi);
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -33,16 +33,16 @@
   EXPECT_EQ(records[0].instance, 3);
   const auto& a = std::get<arrival>(std::get<event>(records[0].content));
   EXPECT_EQ(a.id, 0x5d3a91c4u);
-  EXPECT_EQ(a.repeats, 0x0e6f2b19u);
-  EXPECT_DOUBLE_EQ(a.held_kb, 24.5);
-  EXPECT_EQ(a.patience.count(), 240000000);
-  EXPECT_EQ(a.work.count(), 12000000);
-  EXPECT_EQ(a.waited.count(), 1850000);
+  EXPECT_EQ(a.duplicate_of, 0x0e6f2b19u);
+  EXPECT_DOUBLE_EQ(a.reserved_kb, 24.5);
+  EXPECT_EQ(a.client_timeout.count(), 240000000);
+  EXPECT_EQ(a.expected_work.count(), 12000000);
+  EXPECT_EQ(a.read_delay.count(), 1850000);
   EXPECT_EQ(a.rank, 0.625);
   EXPECT_EQ(a.caller, 17u);
   EXPECT_EQ(std::get<timer_fired>(std::get<event>(records[1].content)).gauges.size(), 4u);
   EXPECT_EQ(records[2].instance, 5);
-  EXPECT_EQ(std::get<departure>(std::get<event>(records[2].content)).id, 0x0e6f2b19u);
+  EXPECT_EQ(std::get<client_cancelled>(std::get<event>(records[2].content)).id, 0x0e6f2b19u);
 }
 
 TEST(Decode, EveryCutFrameIsRefused) {
@@ -61,7 +61,7 @@
   encode(out, 3, start{0x5d3a91c4});
   EXPECT_EQ(out, from_hex("15 06000000 0300 c4913a5d"));
   out.clear();
-  encode(out, 3, refuse{0x0e6f2b19, duration{0x0ee6b280}, true});
+  encode(out, 3, reject{0x0e6f2b19, duration{0x0ee6b280}, true});
   EXPECT_EQ(out, from_hex("10 0f000000 0300 192b6f0e 80b2e60e00000000 01"));
 }
 
@@ -83,7 +83,7 @@
 TEST(Decode, ExtraBytesAndUnknownCodesAreSkipped) {
   const auto records = decode_batch(from_hex("12 08000000 0500 192b6f0e aabb  63 04000000 0300 0102"));
   ASSERT_EQ(records.size(), 2u);
-  EXPECT_EQ(std::get<departure>(std::get<event>(records[0].content)).id, 0x0e6f2b19u);
+  EXPECT_EQ(std::get<client_cancelled>(std::get<event>(records[0].content)).id, 0x0e6f2b19u);
   EXPECT_EQ(std::get<unknown>(records[1].content).code, 0x63u);
 }
 
