--- a/tests/net/node_test.cpp
+++ b/tests/net/node_test.cpp
@@ -418,14 +418,20 @@
   CHECK(r.answer_gauges(r.link.line()));
   CHECK(read_reply(c).seqid == 4);
   std::map<std::string, std::string> said;
-  for (int i = 0; i < 4; ++i) {
+  std::vector<std::string> questions;  // for gauges; the next one may come before the start of request 5
+  while (said.size() < 4) {
     const std::string line = r.link.line();
-    CHECK(said.emplace(member(line, "call"), member(line, "msg")).second);
+    if (member(line, "msg") == "gauges") {
+      questions.push_back(line);
+    } else {
+      CHECK(said.emplace(member(line, "call"), member(line, "msg")).second);
+    }
   }
   CHECK(said[label(5)] == "start");  // never sent before
   CHECK(said[label(1)] == "stop" && said[label(2)] == "stop" && said[label(3)] == "stop");
   r.end(label(1), "broken_off");    // it ran, and is paused
   r.end(label(2), "fine", "YQ==");  // it ended as the stop came
+  for (const std::string& question : questions) CHECK(r.answer_gauges(question));
   CHECK(r.expect("cont") == label(1));
   CHECK(r.expect("start") == label(3));  // nothing ended: it never arrived
   for (const int i : {1, 3, 5}) r.end(label(i), "fine", "YQ==");
