--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -9,8 +9,8 @@
 
 namespace marblewharf::net {
 
-stream::stream(reactor& r, const limits& bounds, owner& o, Poco::Net::StreamSocket socket)
-    : reactor_(r), bounds_(bounds), owner_(o), socket_(std::move(socket)) {
+stream::stream(reactor& r, const limits& bounds, owner& o, const Poco::Net::StreamSocket& socket)
+    : reactor_(r), bounds_(bounds), owner_(o), socket_(socket) {
   socket_.setBlocking(false);
   socket_.setNoDelay(true);
   watch();
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -26,7 +26,7 @@
   };
 
   // An accepted connection.
-  stream(reactor& r, const limits& bounds, owner& o, Poco::Net::StreamSocket socket);
+  stream(reactor& r, const limits& bounds, owner& o, const Poco::Net::StreamSocket& socket);
   // A new connection; on_open() tells when it stands.
   stream(reactor& r, const limits& bounds, owner& o, const Poco::Net::SocketAddress& to);
   ~stream();
--- a/src/store/checkpoint.cpp
+++ b/src/store/checkpoint.cpp
@@ -41,6 +41,7 @@
 
 void checkpoint_writer::add(const std::vector<std::string>& entries) {
   std::vector<record> records;
+  records.reserve(entries.size());
   for (const std::string& e : entries)
     records.push_back({static_cast<std::uint32_t>(table_record::entry), e});
   if (!records.empty()) frame(records);
--- a/src/store/tables.cpp
+++ b/src/store/tables.cpp
@@ -296,6 +296,7 @@
 void tables::append(const std::vector<pending>& all, std::int64_t now) {
   reopen(now);
   std::vector<entry> entries;
+  entries.reserve(all.size());
   for (const pending& p : all) entries.push_back(p.what);
   const std::vector<position> at = log_->append(entries, latest_);
   ++figures_.frames;
@@ -566,14 +567,19 @@
 void restore_tables(file_system& fs, const std::string& backup, const std::string& folder, std::int64_t now) {
   const std::vector<std::string> names = fs.list(backup);
   for (const std::string& name : names)
-    if ("/" + name == unfinished_backup) throw damaged(backup + ": was never finished");
+    if (std::string_view(unfinished_backup).substr(1) == name) throw damaged(backup + ": was never finished");
   const inspected before = inspect_tables(fs, backup, now);
   if (before.log.segments == 0) throw damaged(backup + ": no backup");
   expect_empty(fs, folder);
   for (const std::string& name : names) {
-    const std::string from = backup + "/" + name;
+    std::string from = backup;
+    from += '/';
+    from += name;
+    std::string to = folder;
+    to += '/';
+    to += name;
     if (log::number_of(name) || name.ends_with(".seg.aged"))
-      copy(fs, from, fs.size_of(from), folder + "/" + name);
+      copy(fs, from, fs.size_of(from), to);
   }
   fs.sync_folder(folder);
   if (inspect_tables(fs, folder, now).log.records != before.log.records)
