--- /dev/null
+++ b/tests/admission_policy/golden_record.cpp
@@ -0,0 +1,19 @@
+// Writes the expectations of the golden test, a file for each scenario, into the folder that is named. To be
+// run only when decisions are meant to change; the change of the files then shows in review.
+#include <cstdio>
+#include <fstream>
+
+#include "golden_scenarios.hpp"
+
+int main(int argc, char** argv) {
+  if (argc != 2) {
+    std::fputs("usage: golden_record FOLDER\n", stderr);
+    return 1;
+  }
+  for (const auto& scenario : admission_policy::testing::golden_scenarios()) {
+    std::ofstream file(std::string(argv[1]) + "/" + scenario.name + ".txt");
+    file << admission_policy::testing::summary_of(scenario);
+    if (!file.flush()) return 1;
+  }
+  return 0;
+}
