--- a/src/admission_policy/policy.cpp
+++ b/src/admission_policy/policy.cpp
@@ -9,9 +9,20 @@
 #include <cmath>
 #include <deque>
 #include <map>
+#include <optional>
 #include <set>
 #include <stdexcept>
 
+#include "admission_policy/arrival_curve.hpp"
+#include "admission_policy/drain_state.hpp"
+#include "admission_policy/idle_connection_advisor.hpp"
+#include "admission_policy/latency_objective.hpp"
+#include "admission_policy/progress_watchdog.hpp"
+#include "admission_policy/rate_quota_buckets.hpp"
+#include "admission_policy/retry_age_estimator.hpp"
+#include "admission_policy/slow_start.hpp"
+#include "admission_policy/time_conversion.hpp"
+
 namespace admission_policy {
 namespace {
 
@@ -34,7 +45,6 @@
 constexpr duration assumed_run = 300ms;  // where neither hint nor history tells the time of a run
 constexpr duration answer_early = 10ms;  // before due: the answer's own way through the batch clock
 constexpr double try_least = 0.5;        // of the aim: no caller gives a try up sooner
-constexpr duration stop_early = 700ms;   // before the process stops: a stall may fall into the last moment
 constexpr double admit_cut = 0.85;       // factor a window with shedding: halves what comes in half a second
 constexpr double admit_grow = 0.03;      // a window without: back to all in about three seconds
 constexpr double admit_least = 0.1;      // share: enough comes in to see that the trouble has passed
@@ -64,21 +74,8 @@
 constexpr double far_slower = 2.5;    // times own best: more than a full server's own crowd explains
 constexpr double learn_runs = 5;      // runs a core: from so many on the best time is known
 constexpr double best_creep = 1.001;  // factor a window: forgotten more slowly than troubles last
-constexpr double missed_ends = 20;    // run ends expected and not seen: far beyond a few long runs
-constexpr duration idle_keep = 5s;    // a caller back within this is worth its idle connection
-constexpr duration idle_least = 200ms;  // else: long enough for a further try at once
-constexpr double reuse_memory = 50;     // arrivals over which the returns of callers are averaged
-constexpr double reuse_worth = 0.5;     // share of callers back within idle_keep: under it none is awaited
-constexpr double rate_burst = 0.1;      // s of a rate share that may come at once: arrivals are no clockwork
 constexpr duration limit_window = 250ms;  // between looks at the gauge: less than a burst takes to rise
 
-double to_seconds(duration d) {
-  return std::chrono::duration<double>(d).count();
-}
-duration from_seconds(double s) {
-  return duration{static_cast<std::int64_t>(std::clamp(s, -1e8, 1e8) * 1e9)};
-}
-
 enum class phase { held, sharing, running, call_wanted, at_call, ending };
 
 struct request {
@@ -95,7 +92,7 @@
   phase where = phase::held;
   bool answered = false;  // nothing is owed any longer; it may still run
   bool ran = false;
-  bool chained = false;                        // over the curve: it moved its tenant's MaxS
+  bool spaced = false;                         // beyond the arrival curve of its tenant
   time_point ran_since{};                      // moved on by the time at calls
   time_point left_core{};                      // for a call
   time_point call_after{};                     // no further try of its call before
@@ -103,22 +100,6 @@
   time_point wake{};                           // its entry in wakes_
 };
 
-struct tenant_state {
-  double rate = 0;   // rho, requests a second; 0 = no curve known
-  double burst = 1;  // sigma, requests
-  double tokens = 1;
-  time_point last_arrival{};
-  time_point min_start{};
-  time_point max_start{};
-  unsigned held = 0;  // busy while above 0
-};
-
-struct rate_bucket {
-  rate_quota of;
-  double tokens = 1;
-  time_point filled{};
-};
-
 }  // namespace
 
 class policy::impl {
@@ -138,8 +119,6 @@
   void on(const timer_fired& t);
   void on(const quota_update& s);
 
-  void resync();
-  void tag(request& r);
   void dispatch();
   void shed_hopeless();
   void close_window(const timer_fired& t);
@@ -159,7 +138,6 @@
   void schedule();
 
   void turn_away(request& r, bool no_use = false, duration at_least = {});
-  void refund(const request& r);
   void give_up(request& r);
   void release(request& r);
   void erase(request& r);
@@ -172,10 +150,9 @@
   double weight_kb(const request& r) const {
     return r.reserved_kb * (occupies(r.where) ? set_.running_memory_factor : 1);
   }
-  double speed() const;
+  double speed() const { return slow_start_.speed(now_); }
   double crowd() const;
   double time_per_unit() const;
-  duration age_of(const arrival& a);
   bool slow_here() const;
   bool overloaded_everywhere();
   double wait_ahead() const;
@@ -183,20 +160,24 @@
     return std::min(set_.max_retry_after, std::max(window, from_seconds(wait_ahead() / 2)));
   }
   void watch_progress();
-  void progress();
   bool unlinked_twin(const request& r, const arrival& a);
-  void note_caller(unsigned caller);
-  void steer_idle();
   double free_takes() const;
   bool fits_as_run(const request& r) const;
   double runs_room() const;
-  bool has_share(const request& r);
   template <typename T>
   void act(T a) {
     out_.emplace_back(std::move(a));
   }
 
   settings set_;
+  duration tightest_objective_;
+  slow_start slow_start_;
+  arrival_curves curves_;
+  rate_quota_buckets rate_quotas_;
+  retry_age_estimator retry_ages_;
+  idle_connection_advisor idle_connections_;
+  progress_watchdog watchdog_;
+  drain_state drain_;
   std::vector<action> out_;
   std::map<request_id, request> requests_;
   std::set<hold_key> hold_;                            // by finish tag, ties by arrival
@@ -206,17 +187,11 @@
   std::set<std::pair<time_point, request_id>> keys_;   // kept keys by expiry
   std::map<request_id, time_point> key_expiry_;
   std::multiset<time_point> lingering_;  // abandoned calls, until the dependency drops them
-  std::vector<tenant_state> tenants_;
   time_point now_{};
-  time_point opened_{};
   time_point accounted_{};
   time_point window_end_{};
   time_point timer_at_{duration::max()};
-  duration shift_{};  // of all tags so far
-  duration tightest_aim_{duration::max()};
   quota_update quota_;
-  std::vector<rate_bucket> rates_;
-  duration share_in_{};  // when whoever was found without a share may have one
   double memory_kb_ = 0;
   double limit_ = 1;
   unsigned calls_out_ = 0;
@@ -231,14 +206,7 @@
   double core_seconds_ = 0;         // decayed: time of runs on the cores ...
   double units_done_ = 0;           // ... and the work that they finished
   double best_time_per_unit_ = 0;
-  unsigned runs_done_ = 0;                                              // at full speed
-  std::map<std::pair<unsigned, unsigned>, duration> longest_patience_;  // by caller and class
-  std::map<unsigned, time_point> last_seen_;                            // by caller
-  double reuse_ = 1;  // share of arrivals whose caller was here within idle_keep
-  bool idle_kept_ = true;
-  time_point last_progress_{};  // a run ended well, or the cores were empty
-  double missed_ = 0;           // ends of runs expected since then
-  bool healthy_ = true;
+  unsigned runs_done_ = 0;  // at full speed
   bool hinted_ = false;
   double read_rate_ = 0;  // requests a second
   double admit_ = 1;      // share of the usual traffic that is wanted
@@ -249,29 +217,31 @@
   std::deque<std::pair<time_point, arrival>> late_reads_;  // keyed ones that had waited long, by time of read
   bool marked_ = false;                                    // a further try came with its mark
   double excess_ = 0;                                      // parts of 'not elsewhere' not asked for yet
-  bool draining_ = false;
-  bool greeted_ = false;  // the actions of the constructor went out
-  time_point notice_at_{};
-  time_point stop_at_{duration::max()};
+  bool greeted_ = false;                                   // the actions of the constructor went out
 };
 
-policy::impl::impl(settings given, time_point now)
-    : set_(std::move(given)), now_(now), opened_(now), accounted_(now) {
-  if (set_.cores == 0) throw std::invalid_argument("cores: a server needs at least one");
-  if (set_.classes.empty()) throw std::invalid_argument("classes: at least one is needed");
-  for (const class_settings& c : set_.classes) {
-    if (c.deadline <= 0ns) throw std::invalid_argument("classes: deadline of " + c.name + " is missing");
-    tightest_aim_ = std::min(tightest_aim_, c.latency_objective > 0ns ? c.latency_objective : c.deadline);
-  }
-  if (set_.tenants.empty()) set_.tenants.push_back({});
-  for (const tenant_settings& t : set_.tenants) {
-    tenant_state s;
-    s.rate = std::max(0.0, t.quota) / std::max(1u, set_.servers);
-    s.burst = std::max(1.0, s.rate * to_seconds(tightest_aim_));
-    s.tokens = s.burst;
-    s.last_arrival = now;
-    tenants_.push_back(s);
+namespace {
+
+settings validated(settings given) {
+  if (given.cores == 0) throw std::invalid_argument("cores: a server needs at least one");
+  if (given.classes.empty()) throw std::invalid_argument("classes: at least one is needed");
+  for (const class_settings& one : given.classes) {
+    if (one.deadline <= 0ns) throw std::invalid_argument("classes: deadline of " + one.name + " is missing");
   }
+  return given;
+}
+
+}  // namespace
+
+policy::impl::impl(settings given, time_point now)
+    : set_(validated(std::move(given))),
+      tightest_objective_(tightest_objective(set_)),
+      slow_start_(set_, now),
+      curves_(set_, now),
+      watchdog_(tightest_objective_),
+      drain_(set_.drain_grace),
+      now_(now),
+      accounted_(now) {
   limit_ = set_.cores;
   for (const class_settings& c : set_.classes) calls_each_.push_back(c.calls_dependency ? 1 : 0);
   call_cap_ = calls_least * set_.fair_concurrent_calls;
@@ -305,42 +275,6 @@
 
 // ---- The ordinary path ----------------------------------------------------------------------------------
 
-// When every busy tenant is ahead of now, all were served beyond their curves: shift their tags back by the
-// least gap, so that nobody is punished for having used spare capacity.
-void policy::impl::resync() {
-  duration gap = duration::max();
-  for (const tenant_state& t : tenants_) {
-    if (t.held > 0) gap = std::min(gap, t.min_start - now_);
-  }
-  if (gap == duration::max() || gap <= 0ns) return;
-  for (tenant_state& t : tenants_) {
-    if (t.held == 0) continue;
-    t.min_start -= gap;
-    t.max_start -= gap;
-  }
-  shift_ += gap;
-}
-
-// Start and finish tag by the tenant's arrival curve. Tags are kept in shifted time (real time + all shifts
-// so far), so that a resync moves all held tags at once and keeps their order.
-void policy::impl::tag(request& r) {
-  tenant_state& t = tenants_[r.tenant];
-  t.tokens = std::min(t.burst, t.tokens + t.rate * to_seconds(now_ - t.last_arrival));
-  t.last_arrival = now_;
-  resync();
-  time_point start = now_;
-  if (t.rate > 0 && t.tokens < 1) {
-    start = std::max(t.max_start, now_);
-    t.max_start = start + from_seconds(1 / t.rate);
-    r.chained = true;
-  }
-  if (t.rate > 0) t.tokens -= 1;
-  if (t.held == 0) t.min_start = start;
-  r.start_tag = start + shift_;
-  const class_settings& c = class_of(r);
-  r.finish_tag = r.start_tag + (c.latency_objective > 0ns ? c.latency_objective : c.deadline);
-}
-
 // A slot frees: the smallest finish tag starts, and its tenant's MinS becomes that start tag.
 void policy::impl::dispatch() {
   while (!hold_.empty() && static_cast<double>(running_.size()) < std::min(limit_, crowd()) &&
@@ -348,10 +282,10 @@
          runs_room() >= 1) {
     request& r = requests_.at(hold_.begin()->second);
     if (!fits_as_run(r)) return;
-    tenants_[r.tenant].min_start = r.start_tag - shift_;
+    curves_.started(r.tenant, r.start_tag);
     r.ran = true;
     r.ran_since = now_;
-    if (running_.empty()) progress();
+    if (running_.empty()) watchdog_.note_progress(now_);
     move(r, phase::running);
     act(start{r.id});
     set_wake(r);
@@ -431,24 +365,12 @@
   return speed() < 1 || time_per_unit() > far_slower * best_time_per_unit_ * crowding;
 }
 
-// How long ago the first try of a marked further one was sent, about: what is missing of the longest patience
-// seen from this caller for this class. Guards against work for further tries whose aim has gone by
-// elsewhere. Unmarked ones pass: first tries come with differing patience too.
-duration policy::impl::age_of(const arrival& a) {
-  if (a.client_timeout <= 0ns) return {};
-  duration& longest = longest_patience_[{a.caller, a.request_class}];
-  const duration patience = a.client_timeout + a.read_delay;
-  longest = std::max(longest, patience);
-  return a.retry ? longest - patience : duration{};
-}
-
 // Whether other servers can be expected to be no better off: more is read here than this server's part of all
 // quotas. Where less comes in and is still too much, the trouble is here, and so where this server is slow
 // although it reads no flood, which makes runs slow by itself. Guards against refused work that walks through
 // a fleet which has no room anywhere, read anew at each server.
 bool policy::impl::overloaded_everywhere() {
-  double quota = 0;
-  for (const tenant_state& t : tenants_) quota += t.rate;
+  const double quota = curves_.total_quota();
   if (quota <= 0) return !slow_here() && admit_ < admit_low;
   if (slow_here() && read_rate_ < flooded * quota) return false;
   if (!marked_) return read_rate_ > over_quota * quota;
@@ -485,14 +407,13 @@
   request r;
   r.id = a.id;
   r.request_class = std::min<unsigned>(a.request_class, static_cast<unsigned>(set_.classes.size()) - 1);
-  r.tenant = std::min<unsigned>(a.tenant, static_cast<unsigned>(tenants_.size()) - 1);
+  r.tenant = curves_.tenant_of(a.tenant);
   const class_settings& c = class_of(r);
   r.arrived = now_ - a.read_delay;
   const time_point due =
       a.client_timeout > 0ns ? now_ + a.client_timeout : std::max(now_, r.arrived + c.deadline);
-  r.answer_by = std::min(due - answer_early - 2 * set_.tick, stop_at_ - stop_early);
-  r.useful_until = std::min(
-      r.answer_by, r.arrived - age_of(a) + (c.latency_objective > 0ns ? c.latency_objective : c.deadline));
+  r.answer_by = std::min(due - answer_early - 2 * set_.tick, drain_.answer_by());
+  r.useful_until = std::min(r.answer_by, r.arrived - retry_ages_.age_of(a) + objective_of(c));
   r.reserved_kb = std::max(0.0, a.reserved_kb);
   if (a.expected_work > 0ns && !hinted_) {  // units become seconds of a standard core
     hinted_ = true;
@@ -505,13 +426,16 @@
                                             : 1;
   read_rate_ += 1 / read_memory;
   const bool twin = unlinked_twin(r, a);
-  note_caller(a.caller);
+  idle_connections_.note_arrival(a.caller, now_);
   marked_ = marked_ || a.retry;
   unread_in_window_ = std::max(unread_in_window_, a.read_delay);
   request& held = requests_.emplace(a.id, r).first->second;
   memory_kb_ += held.reserved_kb;
-  tag(held);
-  ++tenants_[held.tenant].held;
+  const request_tags tags = curves_.tag(held.tenant, objective_of(c), now_);
+  held.start_tag = tags.start;
+  held.finish_tag = tags.finish;
+  held.spaced = tags.spaced;
+  curves_.enqueued(held.tenant);
   hold_.emplace(held.finish_tag, held.id);
   set_wake(held);
   if (a.duplicate_of != 0 && c.effect != request_effect::unsafe) {  // a repeat never gets a run of its own
@@ -520,10 +444,13 @@
     move(held, phase::sharing);
     return;
   }
-  if (twin || (draining_ && held.arrived > notice_at_ + set_.drain_grace)) {
+  if (twin || drain_.too_late_to_run(held.arrived)) {
     turn_away(held);
-  } else if (!has_share(held)) {
-    turn_away(held, false, share_in_);
+    return;
+  }
+  const rate_decision rate = rate_quotas_.take(held.tenant, held.request_class, quota_.next_quota_in, now_);
+  if (!rate.admitted) {
+    turn_away(held, false, rate.retry_after);
   } else if (c.effect == request_effect::keyed || (set_.result_freshness > 0ns && a.key != 0 && !a.write)) {
     keep(held);
   }
@@ -537,10 +464,10 @@
     units_done_ += r.work;
     double& each = calls_each_[r.request_class];
     each += (r.calls_made - each) / calls_memory;
-    progress();
+    watchdog_.note_progress(now_);
     if (speed() >= 1) ++runs_done_;
   }
-  if (c.result == outcome::moot) refund(r);  // it had no service
+  if (c.result == outcome::moot) curves_.refund(r.tenant, r.spaced);  // it had no service
   if (c.result == outcome::cancelled && !r.answered) act(fail{r.id, advice()});
   erase(r);
 }
@@ -589,16 +516,13 @@
 }
 
 void policy::impl::on(const shutdown_notice& n) {
-  if (!draining_) {
-    draining_ = true;
-    notice_at_ = now_;
-    healthy_ = false;
+  if (drain_.begin(n.time_left, now_)) {
+    watchdog_.shut_down();
     act(set_health{false, true});
     act(log_line{"drain: notice to leave"});
   }
-  stop_at_ = std::min(stop_at_, now_ + n.time_left);
   for (auto& [id, r] : requests_) {
-    r.answer_by = std::min(r.answer_by, std::max(now_, stop_at_ - stop_early));
+    r.answer_by = std::min(r.answer_by, std::max(now_, drain_.answer_by()));
     r.useful_until = std::min(r.useful_until, r.answer_by);
     if (!r.answered) set_wake(r);
   }
@@ -611,16 +535,7 @@
 
 void policy::impl::on(const quota_update& s) {
   quota_ = s;
-  std::vector<rate_bucket> next;
-  for (const rate_quota& r : s.rates) {
-    const auto known = std::find_if(rates_.begin(), rates_.end(), [&](const rate_bucket& b) {
-      return b.of.tenant == r.tenant && b.of.request_class == r.request_class;
-    });
-    next.push_back(known == rates_.end() ? rate_bucket{r, 1, now_} : *known);
-    next.back().of = r;
-    next.back().tokens = std::min(next.back().tokens, std::max(1.0, r.per_second * rate_burst));
-  }
-  rates_ = std::move(next);
+  rate_quotas_.update(s.rates, now_);
 }
 
 // ---- Rates and steering, once a window ------------------------------------------------------------------
@@ -631,13 +546,13 @@
   duration gap = now - accounted_;
   if (timer_at_ < now && now - timer_at_ > window) {
     gap = std::max(0ns, timer_at_ - accounted_);
-    last_progress_ += now - accounted_ - gap;
+    watchdog_.skip(now - accounted_ - gap);
   }
   read_rate_ *= std::exp(-to_seconds(gap) / read_memory);
   const double worked = to_seconds(gap) * static_cast<double>(running_.size());
   for (const auto& [since, id] : running_) {
     const double crowding = std::max(1.0, static_cast<double>(running_.size()) / set_.cores);
-    missed_ += to_seconds(gap) / (requests_.at(id).work * best_time_per_unit_ * crowding);
+    watchdog_.expect_run_ends(to_seconds(gap) / (requests_.at(id).work * best_time_per_unit_ * crowding));
   }
   const double keep = std::exp(-worked / (evidence * set_.cores));
   core_seconds_ = core_seconds_ * keep + worked;
@@ -665,7 +580,7 @@
   steer_limit(cpu_busy);
   steer_intake();
   watch_progress();
-  steer_idle();
+  if (const auto advice = idle_connections_.evaluate(now_)) act(*advice);
   for (const auto& [since, id] : running_) {  // a stop that fell on frozen cores had no effect
     if (requests_.at(id).answered && set_.halt != halt_mode::none) act(stop_run{id});
   }
@@ -677,17 +592,17 @@
 // The free value, whatever callers read in it, follows one symptom: work is turned away here, or waits long
 // to be read. Guards against reading costs of what will be refused anyway.
 void policy::impl::steer_intake() {
-  const bool pressed = shed_in_window_ > 0 || unread_in_window_ > tightest_aim_ * unread_late;
+  const bool pressed = shed_in_window_ > 0 || unread_in_window_ > tightest_objective_ * unread_late;
   admit_ = pressed ? std::max(admit_least, admit_ * admit_cut) : std::min(1.0, admit_ + admit_grow);
   double value = admit_;
   if (set_.signal == signal_kind::none) return;
   if (set_.signal == signal_kind::level) value = 1 - admit_;
   if (set_.signal == signal_kind::credit) {
     const double run = time_per_unit() * to_seconds(assumed_run);
-    const double useful = limit_ + useful_wait * to_seconds(tightest_aim_) * limit_ / run;
+    const double useful = limit_ + useful_wait * to_seconds(tightest_objective_) * limit_ / run;
     value = admit_ * credit_loose * useful / std::max(1u, set_.callers);
   }
-  if (draining_) value = set_.signal == signal_kind::level ? 1 : 0;
+  if (drain_.active()) value = set_.signal == signal_kind::level ? 1 : 0;
   if (std::abs(value - advertised_) < 1e-3) return;
   advertised_ = value;
   act(advertise{value});
@@ -695,50 +610,14 @@
 
 // ---- Guards ---------------------------------------------------------------------------------------------
 
-// Reports bad health while runs are on the cores, none has ended well for a whole tightest aim, and far more
-// should have ended than chance explains: work is stuck, whatever the cause, and what comes in can only time
-// out. One run that ends, or empty cores, make it good again. Guards against hangs and machines almost at a
-// stand; harms only if every server is stuck at once.
 void policy::impl::watch_progress() {
-  if (running_.empty()) progress();
-  const bool good = !draining_ && (now_ - last_progress_ <= tightest_aim_ || missed_ < missed_ends);
-  if (good == healthy_) return;
-  healthy_ = good;
+  const std::optional<health> changed = watchdog_.evaluate(running_.empty(), drain_.active(), now_);
+  if (!changed) return;
+  const bool good = *changed == health::good;
   act(set_health{good, true});
   act(log_line{good ? "health: runs end again" : "health: no run has ended for a whole aim"});
 }
 
-void policy::impl::progress() {
-  last_progress_ = now_;
-  missed_ = 0;
-}
-
-void policy::impl::note_caller(unsigned caller) {
-  const auto [seen, first] = last_seen_.try_emplace(caller, now_ - idle_keep);
-  const bool back = !first && now_ - seen->second < idle_keep;
-  reuse_ += ((back ? 1 : 0) - reuse_) / reuse_memory;
-  seen->second = now_;
-}
-
-// Closes idle connections soon where callers seldom come back soon. Guards against a table of connections
-// that fills with those of many callers of little traffic each, until new ones find no room; holds for a
-// fleet that grows and for callers that restart. Where most come back within seconds it does not act.
-void policy::impl::steer_idle() {
-  // Guards against a table that grows for ever where callers come with ever new numbers.
-  std::erase_if(last_seen_, [this](const auto& seen) { return now_ - seen.second >= idle_keep; });
-  const bool keep_open = reuse_ >= reuse_worth;
-  if (keep_open == idle_kept_) return;
-  idle_kept_ = keep_open;
-  act(close_idle{keep_open ? 0ns : idle_least});
-}
-
-// Share of full speed that a server which has just started surely has by now.
-double policy::impl::speed() const {
-  if (!set_.cold_start || set_.slow_start_duration <= 0ns) return 1;
-  const double warm = std::min(1.0, to_seconds(now_ - opened_) / to_seconds(set_.slow_start_duration));
-  return std::min(1.0, set_.cold_start_capacity + (1 - set_.cold_start_capacity) * warm);
-}
-
 // The crowd on the cores that is survivable now, with margin: guards against the fall of a crowded server.
 double policy::impl::crowd() const {
   if (set_.concurrency_ceiling_per_core <= 0) return 4.0 * set_.cores;
@@ -763,28 +642,6 @@
   return quota_.max_concurrent_runs - static_cast<double>(out);
 }
 
-// Takes from every rate share that the request falls under, or from none. Guards wholes that no server owns:
-// a tenant's rate over the fleet holds only where each server keeps to its part.
-bool policy::impl::has_share(const request& r) {
-  share_in_ = {};
-  std::vector<rate_bucket*> under;
-  for (rate_bucket& b : rates_) {
-    if (b.of.tenant != r.tenant ||
-        (b.of.request_class >= 0 && b.of.request_class != static_cast<int>(r.request_class)))
-      continue;
-    const double most = std::max(1.0, b.of.per_second * rate_burst);
-    b.tokens = std::min(most, b.tokens + b.of.per_second * to_seconds(now_ - b.filled));
-    b.filled = now_;
-    under.push_back(&b);
-    if (b.tokens >= 1) continue;
-    share_in_ = std::max(share_in_, b.of.per_second > 0 ? from_seconds((1 - b.tokens) / b.of.per_second)
-                                                        : quota_.next_quota_in);
-  }
-  if (share_in_ > 0ns) return false;
-  for (rate_bucket* b : under) b->tokens -= 1;
-  return true;
-}
-
 // Guards the memory after each batch: the largest finish tags go first.
 void policy::impl::guard_memory() {
   if (set_.memory_kb <= 0) return;
@@ -801,8 +658,7 @@
 bool policy::impl::unlinked_twin(const request& r, const arrival& a) {
   const class_settings& c = class_of(r);
   if (c.effect != request_effect::keyed) return false;
-  const duration least =
-      from_seconds(to_seconds(c.latency_objective > 0ns ? c.latency_objective : c.deadline) * try_least);
+  const duration least = from_seconds(to_seconds(objective_of(c)) * try_least);
   while (!late_reads_.empty() && late_reads_.front().first + c.idempotency_window < now_)
     late_reads_.pop_front();
   const bool twin = std::any_of(late_reads_.begin(), late_reads_.end(), [&](const auto& l) {
@@ -959,7 +815,7 @@
 // Turns away a request that never ran, and frees its key.
 void policy::impl::turn_away(request& r, bool no_use, duration at_least) {
   reject a{r.id, 0ns, false};
-  if (draining_) {
+  if (drain_.active()) {
     a.retry_after = set_.max_retry_after;
   } else {
     a.retry_after = std::min(set_.max_retry_after, std::max(advice(), at_least));
@@ -968,23 +824,13 @@
   }
   act(a);
   r.answered = true;
-  refund(r);
+  curves_.refund(r.tenant, r.spaced);
   release(r);
 }
 
-// Exception to 'every arrival spends': what was turned away un-run had no service, so its token and its place
-// in the chain of start tags go back. Guards against retries that spend their tenant's tokens, and against a
-// flooding tenant whose tags run so far ahead that its part inside the curve is starved too.
-void policy::impl::refund(const request& r) {
-  tenant_state& t = tenants_[r.tenant];
-  if (t.rate <= 0) return;
-  t.tokens = std::min(t.burst, t.tokens + 1);
-  if (r.chained) t.max_start -= from_seconds(1 / t.rate);
-}
-
 // Answers with a failure a request that may have run, and stops its run.
 void policy::impl::give_up(request& r) {
-  act(fail{r.id, draining_ ? set_.max_retry_after : advice()});
+  act(fail{r.id, drain_.active() ? set_.max_retry_after : advice()});
   r.answered = true;
   release(r);
 }
@@ -1022,7 +868,7 @@
   switch (r.where) {
     case phase::held:
       hold_.erase({r.finish_tag, r.id});
-      --tenants_[r.tenant].held;
+      curves_.dequeued(r.tenant);
       break;
     case phase::running: running_.erase({r.ran_since, r.id}); break;
     case phase::call_wanted: calls_wanted_.erase({r.finish_tag, r.id}); break;
