--- a/bench/background_bench.cpp
+++ b/bench/background_bench.cpp
@@ -39,14 +39,14 @@
   const std::string bytes(1000, 'x');
   std::vector<store::entry> batch;
   for (std::uint64_t i = 1; i <= results; ++i) {
-    idempotency::kept k;
-    k.what = idempotency::record_type::result;
+    idempotency::key_record k;
+    k.type = idempotency::record_type::result;
     k.key = {i * 0x9e3779b97f4a7c15ull, i};
-    k.content = i;
+    k.fingerprint = i;
     k.expiry = now + hour;
-    k.at = now;
-    k.served = true;
-    k.bytes = bytes;
+    k.written_at = now;
+    k.succeeded = true;
+    k.result = bytes;
     batch.push_back({idempotency::encode(k), k.expiry});
     if (batch.size() == 500) {
       l.append(batch, now);
--- a/bench/keyed_bench.cpp
+++ b/bench/keyed_bench.cpp
@@ -102,20 +102,20 @@
       std::vector<store::entry> all;
       for (std::uint64_t k = i; k < i + batch; ++k) {
         const std::string name = "write-" + std::to_string(k);
-        idempotency::kept e;
-        e.key = idempotency::hash_of("isar-invest", "kurs-meldung", name, 7);
-        e.content = k;
-        e.expiry = 1ll << 61;
-        e.at = 1;
-        e.tenant = "isar-invest";
-        e.request_class = "kurs-meldung";
-        e.name = name;
-        e.what = idempotency::record_type::intent;
-        all.push_back({idempotency::encode(e), e.expiry});
-        e.what = idempotency::record_type::result;
-        e.served = true;
-        e.bytes = result;
-        all.push_back({idempotency::encode(e), e.expiry});
+        idempotency::key_record record;
+        record.key = idempotency::key_id_of("isar-invest", "kurs-meldung", name, 7);
+        record.fingerprint = k;
+        record.expiry = 1ll << 61;
+        record.written_at = 1;
+        record.tenant = "isar-invest";
+        record.request_class = "kurs-meldung";
+        record.client_key = name;
+        record.type = idempotency::record_type::intent;
+        all.push_back({idempotency::encode(record), record.expiry});
+        record.type = idempotency::record_type::result;
+        record.succeeded = true;
+        record.result = result;
+        all.push_back({idempotency::encode(record), record.expiry});
       }
       log.append(all, 1);
     }
@@ -172,10 +172,10 @@
   duration each_;
 };
 
-struct desk_rig : front, backend {
-  explicit desk_rig(const admission_policy::settings& s) : desk(s, 1, steady(), counters) {
-    desk.add(*this);
-    desk.on_server_up(false, steady() - 60s);
+struct dispatcher_fixture : front, backend {
+  explicit dispatcher_fixture(const admission_policy::settings& s) : dispatch(s, 1, steady(), counters) {
+    dispatch.add(*this);
+    dispatch.on_server_up(false, steady() - 60s);
   }
   void respond(request_id, const answer& a) override {
     ++answers;
@@ -186,7 +186,7 @@
   void pause(request_id) override {}
   void resume(request_id) override {}
   telemetry::counters counters;
-  dispatcher desk;
+  dispatcher dispatch;
   std::vector<request_id> running;
   int answers = 0, served = 0;
 };
@@ -202,9 +202,9 @@
                                           : admission_policy::request_effect::unsafe,
                        .idempotency_window = 10s});
   s.tick = 1ms;
-  desk_rig rig(s);
+  dispatcher_fixture rig(s);
   slow_disk disk(sync);
-  std::unique_ptr<idempotency::durable_service> keeper;
+  std::unique_ptr<idempotency::durable_service> service;
   if (keyed_on) {
     idempotency::durable_service_options o;
     o.folder = folder;
@@ -212,9 +212,9 @@
     o.classes = {"kurs-meldung"};
     o.unix_now = 1000s;
     o.steady_now = steady();
-    keeper = std::make_unique<idempotency::durable_service>(disk, o, rig.counters, [] {});
-    keeper->report_to(rig.desk);
-    rig.desk.use(*keeper, 10s);
+    service = std::make_unique<idempotency::durable_service>(disk, o, rig.counters, [] {});
+    service->report_to(rig.dispatch);
+    rig.dispatch.use(*service, 10s);
   }
   std::vector<double> took;
   std::uint64_t n = 0;
@@ -226,12 +226,12 @@
       r.payload = "price";
       r.reserved_kb = 1;
       if (keyed_on) r.key = "k" + std::to_string(++n);
-      rig.desk.on_arrival(rig, rig, std::move(r));
+      rig.dispatch.on_arrival(rig, rig, std::move(r));
     }
     for (const request_id id : std::exchange(rig.running, {}))
-      rig.desk.on_end(id, run_end::succeeded, "done", 1ms);
-    if (keeper) keeper->step(steady());
-    rig.desk.step(steady(), {});
+      rig.dispatch.on_end(id, run_end::succeeded, "done", 1ms);
+    if (service) service->step(steady());
+    rig.dispatch.step(steady(), {});
     took.push_back(seconds(steady() - at) * 1e6);
     std::this_thread::sleep_for(1ms);
   }
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -6,9 +6,12 @@
 namespace marblewharf {
 namespace {
 
-admission_policy::settings started_cold(admission_policy::settings s, bool cold) {
-  s.cold_start = s.cold_start || cold;
-  return s;
+// Before the process is stopped: the policy answers all requests by then, too.
+constexpr duration shutdown_margin = std::chrono::milliseconds(700);
+
+admission_policy::settings with_cold_start(admission_policy::settings settings, bool cold) {
+  settings.cold_start = settings.cold_start || cold;
+  return settings;
 }
 
 }  // namespace
@@ -18,232 +21,225 @@
     : settings_(settings),
       seed_(seed),
       counters_(counters),
-      admission_(started_cold(settings, true), seed, now),
-      now_(now) {
-  counters_.served_by_class.assign(settings.classes.size(), 0);
-  counters_.refused_by_class.assign(settings.classes.size(), 0);
-  counters_.failed_by_class.assign(settings.classes.size(), 0);
+      admission_(with_cold_start(settings, true), seed, now),
+      requests_(settings.classes.size(), counters),
+      coalescer_(requests_, admission_, settings_, counters, now),
+      now_(now) {}
+
+void dispatcher::use(idempotency_store& store, duration finish_within) {
+  coalescer_.use(store, finish_within);
 }
 
+// Once a request has arrived, the policy learns the server's speed from its runs alone.
 void dispatcher::on_server_up(bool cold, time_point since) {
-  if (read_any_ || draining_) return;  // the module learns the rest from runs
-  admission_ = admission(started_cold(settings_, cold), seed_, since);
-  if (quota_) admission_.report(*quota_);  // a module made anew knows of no bound
+  if (any_arrived_ || draining_) return;
+  admission_ = admission(with_cold_start(settings_, cold), seed_, since);
+  if (quota_) admission_.report(*quota_);
 }
 
+// ---- Requests ---------------------------------------------------------------------------------------------
+
 request_id dispatcher::on_arrival(front& from, backend& to, request what) {
-  do {
-    ++last_id_;
-  } while (last_id_ == 0 || table_.contains(last_id_));
-  read_any_ = true;
+  any_arrived_ = true;
   ++counters_.taken_in;
-  entry& e = table_[last_id_];
-  e.what = std::move(what);
-  e.what.arrived = now_ - e.what.read_delay;
-  e.from = &from;
-  e.to = &to;
-  if (watch_) watch_(e.what);
-  if (keys_ != nullptr && !e.what.key.empty()) {
-    arrive_with_key(last_id_, e);
+  request_entry& entry = requests_.add(from, to, std::move(what));
+  const request_id id = entry.id;
+  entry.what.arrived = now_ - entry.what.read_delay;
+  if (arrival_observer_) arrival_observer_(entry.what);
+  if (coalescer_.handles(entry.what)) {
+    coalescer_.on_arrival(entry);
   } else {
-    admission_.report(arrived{last_id_, &e.what});
-  }
-  return last_id_;
-}
-
-std::size_t dispatcher::unanswered() const {
-  std::size_t owed = 0;
-  for (const auto& [id, e] : table_) owed += e.answered ? 0 : 1;
-  return owed;
-}
-
-dispatcher::load dispatcher::in_hand() const {
-  load l;
-  for (const auto& [id, e] : table_) {
-    if (e.started)
-      ++l.running;
-    else if (!e.answered)
-      ++l.waiting;
+    admission_.report(arrived{id, &entry.what});
   }
-  return l;
+  return id;
 }
 
 void dispatcher::on_client_cancelled(request_id id) {
-  const auto at = table_.find(id);
-  if (at == table_.end() || at->second.answered) return;
+  request_entry* entry = requests_.find(id);
+  if (entry == nullptr || entry->answered) return;
   ++counters_.gone;
-  if (at->second.leads || at->second.follows != 0) {
-    gone_with_key(at);
+  if (entry->role == request_role::primary || entry->role == request_role::duplicate) {
+    coalescer_.on_client_cancelled(*entry);
     return;
   }
-  admission_.report(gone{id});
-  at->second.answered = true;
-  if (!at->second.started) table_.erase(at);
+  admission_.report(cancelled{id});
+  entry->answered = true;
+  if (entry->stage == request_stage::queued) requests_.remove(id);
 }
 
 void dispatcher::on_end(request_id id, run_end how, std::string_view result, duration elapsed) {
-  const auto at = table_.find(id);
-  if (at == table_.end() || !at->second.started) return;
-  if (at->second.leads) {
-    end_of_leader(at, how, result, elapsed);
+  request_entry* entry = find_started(id);
+  if (entry == nullptr) return;
+  if (entry->role == request_role::primary) {
+    coalescer_.on_run_ended(*entry, how, result, elapsed);
     return;
   }
   if (how == run_end::succeeded) {
-    conclude(at, {.status = response_status::served, .result = result});
+    requests_.respond(*entry, {.status = response_status::served, .result = result});
   } else if (how != run_end::aborted) {
-    conclude(at, {.status = response_status::failed, .unknown_request = how == run_end::unknown_request});
+    requests_.respond(
+        *entry, {.status = response_status::failed, .unknown_request = how == run_end::unknown_request});
   }
-  admission_.report(ended{id, how, elapsed});
-  if (at->second.answered) {
-    table_.erase(at);
+  admission_.report(completed{id, how, elapsed});
+  if (entry->answered) {
+    requests_.remove(id);
   } else {
-    at->second.to = nullptr;  // broken off unasked: the module fails it, nothing more can run
+    entry->stage = request_stage::aborted;
   }
 }
 
-void dispatcher::on_backend_rejected(request_id id, duration come_back) {
-  const auto at = table_.find(id);
-  if (at == table_.end() || !at->second.started) return;
-  const answer final{.status = response_status::rejected, .retry_after = come_back};
-  if (at->second.leads) {
-    turn_leader_away(at, final);
+void dispatcher::on_backend_rejected(request_id id, duration retry_after) {
+  request_entry* entry = find_started(id);
+  if (entry == nullptr) return;
+  const answer final{.status = response_status::rejected, .retry_after = retry_after};
+  if (entry->role == request_role::primary) {
+    coalescer_.on_backend_rejected(*entry, final);
     return;
   }
-  conclude(at, final);
-  admission_.report(ended{id, run_end::never_started, {}});
-  table_.erase(at);
+  requests_.respond(*entry, final);
+  admission_.report(completed{id, run_end::never_started, {}});
+  requests_.remove(id);
 }
 
 void dispatcher::on_call_needed(request_id id) {
-  const auto at = table_.find(id);
-  if (at != table_.end() && at->second.started) admission_.report(needs_call{id});
+  if (find_started(id) != nullptr) admission_.report(call_needed{id});
 }
 
 void dispatcher::on_call_ended(request_id id, duration elapsed) {
-  const auto at = table_.find(id);
-  if (at != table_.end() && at->second.started) admission_.report(call_over{id, elapsed});
+  if (find_started(id) != nullptr) admission_.report(call_completed{id, elapsed});
+}
+
+void dispatcher::on_inquired(request_id id, inquiry_end how, std::string_view result) {
+  coalescer_.on_inquired(id, how, result);
+}
+
+void dispatcher::on_intent_written(request_id primary, bool durable) {
+  coalescer_.on_intent_written(primary, durable);
+}
+
+void dispatcher::on_result_recorded(request_id primary) {
+  coalescer_.on_result_recorded(primary);
 }
 
-void dispatcher::on_drain(duration left) {
+void dispatcher::on_result_fetched(request_id id, const fetched_result& fetched) {
+  coalescer_.on_result_fetched(id, fetched);
+}
+
+// ---- The node ---------------------------------------------------------------------------------------------
+
+void dispatcher::on_drain(duration time_left) {
   draining_ = true;
-  constexpr duration answer_early = std::chrono::milliseconds(700);  // as the module does
-  answer_all_by_ = now_ + left - answer_early;
-  admission_.report(drain{left});
+  coalescer_.set_response_deadline(now_ + time_left - shutdown_margin);
+  admission_.report(shutdown_notice{time_left});
+}
+
+void dispatcher::on_quota_update(const quota_update& update) {
+  quota_ = update;
+  admission_.report(update);
 }
 
 void dispatcher::step(time_point now, std::span<const double> gauges) {
   now_ = now;
-  if (keys_ != nullptr) step_keys();
+  coalescer_.step(now);
   admission_.tick(now, gauges);
-  while (const auto next = admission_.pick()) {
-    std::visit([this](const auto& d) { apply(d); }, *next);
-  }
+  while (const std::optional<admission_decision> next = admission_.next_decision())
+    std::visit([this](const auto& each) { apply(each); }, *next);
 }
 
 time_point dispatcher::due() const {
-  if (admission_.eager() || !prompt_.empty()) return time_point::min();
-  time_point due = admission_.due();
-  if (!recording_.empty()) due = std::min({due, recording_.begin()->first, answer_all_by_});
-  if (!asks_.empty()) due = std::min(due, asks_.begin()->first);
-  return due;
-}
-
-void dispatcher::apply(const run& d) {
-  const auto at = table_.find(d.id);
-  if (at != table_.end() && at->second.leads && !at->second.started) {
-    at->second.started = true;
-    at->second.leads->where = lead::stage::intending;
-    keys_->intend(d.id, at->second.what);
+  if (admission_.has_pending_facts()) return time_point::min();
+  return std::min(admission_.due(), coalescer_.due());
+}
+
+// ---- Decisions --------------------------------------------------------------------------------------------
+
+// Null: no such request, or it was not handed to a backend. One that its backend aborted counts as started.
+request_entry* dispatcher::find_started(request_id id) {
+  request_entry* entry = requests_.find(id);
+  return entry != nullptr && entry->stage != request_stage::queued ? entry : nullptr;
+}
+
+void dispatcher::apply(const run& decision) {
+  request_entry* entry = requests_.find(decision.id);
+  if (entry == nullptr || entry->stage != request_stage::queued) return;
+  if (entry->role == request_role::primary) {
+    coalescer_.start_primary(*entry);
     return;
   }
-  if (at == table_.end() || at->second.answered || at->second.started) return;
-  at->second.started = true;
+  if (entry->answered) return;
+  entry->stage = request_stage::started;
   ++counters_.sent;
-  at->second.to->run(d.id, at->second.what);
+  entry->target.run(decision.id, entry->what);
 }
 
-void dispatcher::apply(const pause& d) {
-  const auto at = table_.find(d.id);
-  if (at != table_.end() && at->second.leads) {
-    pause_leader(at);
-    return;
+void dispatcher::apply(const pause& decision) {
+  request_entry* entry = requests_.find(decision.id);
+  if (entry == nullptr) return;
+  if (entry->role == request_role::primary) {
+    coalescer_.pause_primary(*entry);
+  } else if (entry->stage == request_stage::started) {
+    entry->target.pause(decision.id);
   }
-  if (at != table_.end() && at->second.started && at->second.to != nullptr) at->second.to->pause(d.id);
 }
 
-void dispatcher::apply(const resume& d) {
-  const auto at = table_.find(d.id);
-  if (at != table_.end() && at->second.started && at->second.to != nullptr) at->second.to->resume(d.id);
+void dispatcher::apply(const resume& decision) {
+  request_entry* entry = requests_.find(decision.id);
+  if (entry != nullptr && entry->stage == request_stage::started) entry->target.resume(decision.id);
 }
 
-void dispatcher::apply(const place& d) {
-  const auto at = table_.find(d.id);
-  if (at != table_.end() && at->second.started && at->second.to != nullptr)
-    at->second.to->place_call(d.id, d.limit);
+void dispatcher::apply(const place_call& decision) {
+  request_entry* entry = requests_.find(decision.id);
+  if (entry != nullptr && entry->stage == request_stage::started)
+    entry->target.place_call(decision.id, decision.limit);
 }
 
-void dispatcher::apply(const skip& d) {
-  const auto at = table_.find(d.id);
-  if (at != table_.end() && at->second.started && at->second.to != nullptr) at->second.to->skip_call(d.id);
+void dispatcher::apply(const skip_call& decision) {
+  request_entry* entry = requests_.find(decision.id);
+  if (entry != nullptr && entry->stage == request_stage::started) entry->target.skip_call(decision.id);
 }
 
-void dispatcher::apply(const refuse& d) {
-  const auto at = table_.find(d.id);
-  if (at == table_.end()) return;
-  if (at->second.started) {  // guards against 'never ran' for what may have run
-    conclude(at, {.status = response_status::failed});
+void dispatcher::apply(const reject& decision) {
+  request_entry* entry = requests_.find(decision.id);
+  if (entry == nullptr) return;
+  if (entry->stage != request_stage::queued) {  // `rejected` would promise that it never ran
+    requests_.respond(*entry, {.status = response_status::failed});
     return;
   }
   const answer final{.status = response_status::rejected,
-                     .retry_after = d.retry_after,
-                     .no_retry_elsewhere = d.no_retry_elsewhere};
-  if (at->second.leads) {
-    at->second.leads->in_module = false;
-    keys_->release(d.id);
-    tell_all(at, final, run_end::never_started);
-    close_leader(at, run_end::never_started);
+                     .retry_after = decision.retry_after,
+                     .no_retry_elsewhere = decision.no_retry_elsewhere};
+  if (entry->role == request_role::primary) {
+    coalescer_.reject_primary(*entry, final);
     return;
   }
-  conclude(at, final);
-  table_.erase(at);
-}
-
-void dispatcher::apply(const fail& d) {
-  const auto at = table_.find(d.id);
-  if (at == table_.end()) return;
-  const bool over = !at->second.started || at->second.to == nullptr;
-  if (!at->second.answered && at->second.to != nullptr) ++counters_.given_up;
-  const answer final{.status = response_status::failed,
-                     .retry_after = d.retry_after,
-                     .deadline_exceeded = at->second.to != nullptr};
-  if (at->second.leads) {
-    fail_leader(at, final);
+  requests_.respond(*entry, final);
+  requests_.remove(decision.id);
+}
+
+void dispatcher::apply(const fail& decision) {
+  request_entry* entry = requests_.find(decision.id);
+  if (entry == nullptr) return;
+  const bool aborted = entry->stage == request_stage::aborted;
+  if (!entry->answered && !aborted) ++counters_.given_up;
+  const answer final{
+      .status = response_status::failed, .retry_after = decision.retry_after, .deadline_exceeded = !aborted};
+  if (entry->role == request_role::primary) {
+    coalescer_.fail_primary(*entry, final);
     return;
   }
-  conclude(at, final);
-  if (at->second.follows != 0) leave_leader(at);
-  if (over) table_.erase(at);
+  const bool still_runs = entry->stage == request_stage::started;
+  requests_.respond(*entry, final);
+  if (entry->role == request_role::duplicate) coalescer_.leave_group(*entry);
+  if (!still_runs) requests_.remove(decision.id);
 }
 
-void dispatcher::apply(const close_idle& d) {
-  for (front* f : fronts_) f->close_idle(d.after);
+void dispatcher::apply(const share_result& decision) {
+  request_entry* entry = requests_.find(decision.id);
+  if (entry != nullptr) coalescer_.share_result(*entry);
 }
 
-void dispatcher::conclude(table::iterator at, const answer& final) {
-  if (std::exchange(at->second.answered, true)) return;
-  switch (final.status) {
-    case response_status::served: ++counters_.served; break;
-    case response_status::rejected: ++counters_.refused; break;
-    case response_status::failed: ++counters_.failed; break;
-  }
-  // The operators' figures by class, counted here and nowhere else, so that each answer counts once.
-  const unsigned k = at->second.what.request_class;
-  std::vector<std::uint64_t>& by_class = final.status == response_status::served ? counters_.served_by_class
-                                         : final.status == response_status::rejected
-                                             ? counters_.refused_by_class
-                                             : counters_.failed_by_class;
-  if (k < by_class.size()) ++by_class[k];
-  at->second.from->respond(at->first, final);
+void dispatcher::apply(const close_idle& decision) {
+  for (front* each : fronts_) each->close_idle(decision.after);
 }
 
 }  // namespace marblewharf
--- a/src/core/dispatcher.hpp
+++ b/src/core/dispatcher.hpp
@@ -1,179 +1,118 @@
-// The table of requests between fronts, the decisions and backends. It holds the invariant whatever any of
-// them does: one final answer for each request, no refusal once it was handed to a backend, and an effect is
-// handed over at most once.
-//
-// Of requests with a key, one leads and those that repeat it follow: one run, one answer to each. The intent
-// is on disk before the run is handed over, the result before anybody hears 'served'; a leader whose caller
-// has left goes on for those that follow, and one that was handed over goes on for those to come.
+// The life of each request between fronts, the admission policy and backends. Whatever any of them does, it
+// holds these invariants: one final answer for each request; never `rejected` for one that was handed to a
+// backend; each request is handed to a backend at most once. Requests with an idempotency key are handled by
+// duplicate_coalescer. Not synchronized: all calls come on one thread, which also calls step().
 #pragma once
 
 #include <functional>
-#include <memory>
 #include <optional>
-#include <set>
 #include <span>
-#include <string>
-#include <unordered_map>
-#include <utility>
 #include <vector>
 
 #include "core/admission.hpp"
+#include "core/backend.hpp"
+#include "core/duplicate_coalescer.hpp"
+#include "core/front.hpp"
 #include "core/idempotency_store.hpp"
 #include "core/request.hpp"
+#include "core/request_table.hpp"
 #include "telemetry/telemetry.hpp"
 
 namespace marblewharf {
 
-// Where requests come from and answers go.
-class front {
- public:
-  virtual ~front() = default;
-  virtual void respond(request_id id, const answer& final) = 0;
-  virtual void close_idle(duration after) = 0;  // 0 = do not
-};
-
-// Where requests run. It reports each end once, to dispatcher::on_end.
-class backend {
- public:
-  virtual ~backend() = default;
-  virtual void run(request_id id, const request& what) = 0;
-  virtual void pause(request_id id) = 0;
-  virtual void resume(request_id id) = 0;
-  // Asks what became of a write whose run nobody heard the end of, once; dispatcher::on_inquired() is told.
-  // False: it cannot be asked.
-  virtual bool inquire(request_id, const request&) { return false; }
-  // A run that asked to call, by dispatcher::on_call_needed: it may, for so long; or it goes on without.
-  virtual void place_call(request_id, duration) {}
-  virtual void skip_call(request_id) {}
-};
-
-enum class inquiry_end { result, never_ran, unknown };
-
 class dispatcher : public idempotency_observer {
  public:
+  // Throws std::invalid_argument, naming the setting, when the settings cannot be used. `counters` outlives
+  // this object.
   dispatcher(const admission_policy::settings& settings, std::uint64_t seed, time_point now,
              telemetry::counters& counters);
+  dispatcher(const dispatcher&) = delete;
+  dispatcher& operator=(const dispatcher&) = delete;
 
-  void add(front& f) { fronts_.push_back(&f); }
+  // A front that is told when idle connections are to be closed; outlives this object.
+  void add(front& added) { fronts_.push_back(&added); }
 
-  // Requests with a key are kept by it; a keyed run that was given up may go on for `finish_within`, as an
-  // effect that is broken off is one that nobody knows the outcome of.
-  void use(idempotency_store& keys, duration finish_within);
+  // From now on requests with a key are coalesced and their results stored. A keyed run that was answered as
+  // failed goes on for `finish_within`: stopped, its outcome would be unknown.
+  void use(idempotency_store& store, duration finish_within);
 
-  // What the server behind says of its own start. Until then it counts as cold, which is the safe guess.
+  // What the server behind says of its own start. Before this it is taken for cold.
   void on_server_up(bool cold, time_point since);
 
+  // ---- What happens to requests ---------------------------------------------------------------------------
   request_id on_arrival(front& from, backend& to, request what);
-  void on_client_cancelled(request_id id);  // no answer is owed any longer
+  void on_client_cancelled(request_id id);
+  // The end of a run; `result` where it succeeded. Ignored for a request that was not started.
   void on_end(request_id id, run_end how, std::string_view result, duration elapsed);
-  // A backend has no room for a run that it was handed, and nothing of it began: refused, with the time to
-  // return.
-  void on_backend_rejected(request_id id, duration come_back);
-  // A run cannot go on before it has called others; it has what it called for, or gave up on it.
+  // The backend did not begin a run for lack of room: answered as rejected.
+  void on_backend_rejected(request_id id, duration retry_after);
+  // A run cannot go on before its dependency call; that call ended, with or without a result.
   void on_call_needed(request_id id);
   void on_call_ended(request_id id, duration elapsed);
-  void on_drain(duration left);
-  // Hears of each request as it is read; none: nobody does.
-  void watch_arrivals(std::function<void(const request&)> watch) { watch_ = std::move(watch); }
-  // What this node may act on of wholes that it shares with others, from the next step on.
-  void on_quota_update(const quota_update& given) {
-    quota_ = given;
-    admission_.report(given);
-  }
+  // The backend's reply to backend::inquire().
   void on_inquired(request_id id, inquiry_end how, std::string_view result);
 
-  // key_events
-  void on_intended(request_id leader, bool durable) override;
-  void on_recorded(request_id leader) override;
-  void on_fetched(request_id id, bool found, bool served, std::string_view result) override;
+  // ---- The node -------------------------------------------------------------------------------------------
+  // The process is stopped after `time_left`.
+  void on_drain(duration time_left);
+  // The limits on this node's part of the cluster's quotas, from the next step on.
+  void on_quota_update(const quota_update& update);
+  // Calls `observer` for each request that arrives.
+  void watch_arrivals(std::function<void(const request&)> observer) {
+    arrival_observer_ = std::move(observer);
+  }
+
+  // ---- idempotency_observer -------------------------------------------------------------------------------
+  void on_intent_written(request_id primary, bool durable) override;
+  void on_result_recorded(request_id primary) override;
+  void on_result_fetched(request_id id, const fetched_result& fetched) override;
 
+  // Lets the policy decide and applies its decisions. Gauges are in the order of the settings.
   void step(time_point now, std::span<const double> gauges);
-  // When step() is wanted next; long ago: at once.
+  // When step() is wanted next; time_point::min(): at once.
   time_point due() const;
 
   bool healthy() const { return healthy_; }
   bool draining() const { return draining_; }
-  std::size_t open() const { return table_.size(); }
-  // Requests read whose caller is still owed an answer; runs that go on after their answer are not among
-  // them. Looks at each entry: for the operators' figures, not for each request.
-  std::size_t unanswered() const;
-  // Requests handed to a backend that have not ended, and those that wait to be, all of them. Looks at each
-  // entry.
+  std::size_t open() const { return requests_.size(); }
+  // Open requests whose client is still owed an answer. Looks at each request.
+  std::size_t unanswered() const { return requests_.unanswered(); }
+
   struct load {
-    std::size_t running = 0, waiting = 0;
+    std::size_t running = 0;  // handed to a backend and not ended, answered or not
+    std::size_t waiting = 0;  // queued, with a client that waits
   };
-  load in_hand() const;
+  // Looks at each request.
+  load in_hand() const { return {requests_.started(), requests_.queued_unanswered()}; }
 
  private:
-  // Of a request that leads for its key.
-  struct lead {
-    enum class stage { held, intending, handed, recording, asking };
-    stage where = stage::held;
-    bool kept = false;               // the module keeps its key
-    bool in_module = true;           // the module waits to hear its end
-    bool served = false;             // while recording
-    std::string result;              // while recording
-    time_point answer_by{};          // while recording: the module thinks it over
-    std::vector<request_id> joined;  // share its outcome
-  };
-  struct entry {
-    request what;
-    front* from = nullptr;
-    backend* to = nullptr;
-    bool started = false;
-    bool answered = false;  // or its caller has gone
-    std::unique_ptr<lead> leads;
-    request_id follows = 0;  // the one whose outcome it shares
-    bool fetches = false;    // gets a kept result
-  };
-  using table = std::unordered_map<request_id, entry>;
-
-  void apply(const run& d);
-  void apply(const pause& d);
-  void apply(const resume& d);
-  void apply(const refuse& d);
-  void apply(const fail& d);
-  void apply(const place& d);
-  void apply(const skip& d);
-  void apply(const keep& d);
-  void apply(const forget& d);
-  void apply(const share& d);
-  void apply(const health& d) { healthy_ = d.good; }
-  void apply(const close_idle& d);
-  void conclude(table::iterator at, const answer& final);
-
-  // Keyed requests (dispatcher_keys.cpp).
-  void arrive_with_key(request_id id, entry& e);
-  void gone_with_key(table::iterator at);
-  void end_of_leader(table::iterator at, run_end how, std::string_view result, duration elapsed);
-  void pause_leader(table::iterator at);
-  void turn_leader_away(table::iterator at, const answer& final);
-  void fail_leader(table::iterator at, const answer& final);
-  void leave_leader(table::iterator at);
-  void ask(table::iterator at);
-  void record(table::iterator at, bool served, std::string_view result);
-  void tell_all(table::iterator at, const answer& final, run_end how);
-  void close_leader(table::iterator at, run_end how);
-  void step_keys();
-
-  std::function<void(const request&)> watch_;
-  std::optional<quota_update> quota_;  // the latest, where any were given
+  request_entry* find_started(request_id id);
+
+  void apply(const run& decision);
+  void apply(const pause& decision);
+  void apply(const resume& decision);
+  void apply(const reject& decision);
+  void apply(const fail& decision);
+  void apply(const place_call& decision);
+  void apply(const skip_call& decision);
+  // The idempotency store retains and forgets keys by its own rules.
+  void apply(const retain_key&) {}
+  void apply(const forget_key&) {}
+  void apply(const share_result& decision);
+  void apply(const set_health& decision) { healthy_ = decision.good; }
+  void apply(const close_idle& decision);
+
+  std::function<void(const request&)> arrival_observer_;
+  std::optional<quota_update> quota_;  // the latest one
   admission_policy::settings settings_;
   std::uint64_t seed_;
   telemetry::counters& counters_;
   admission admission_;
-  table table_;
+  request_table requests_;
+  duplicate_coalescer coalescer_;
   std::vector<front*> fronts_;
-  idempotency_store* keys_ = nullptr;
-  duration finish_within_{};
-  std::vector<std::pair<request_id, answer>> prompt_;  // answered at the next step, unseen by the module
-  std::set<std::pair<time_point, request_id>>
-      recording_;  // by the time when the leader's caller is answered anyhow
-  std::set<std::pair<time_point, request_id>> asks_;  // inquiries to come
   time_point now_{};
-  time_point answer_all_by_ = time_point::max();  // once it drains
-  request_id last_id_ = 0;
-  bool read_any_ = false;
+  bool any_arrived_ = false;
   bool healthy_ = true;
   bool draining_ = false;
 };
--- /dev/null
+++ b/src/core/duplicate_coalescer.cpp
@@ -0,0 +1,337 @@
+#include "core/duplicate_coalescer.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace marblewharf {
+namespace {
+
+using namespace std::chrono_literals;
+
+// Before a client's deadline: time for the answer to reach it, and for the age of the clock's last reading.
+constexpr duration response_margin = 50ms;
+constexpr duration default_retry_after = 1s;
+
+constexpr answer answer_outcome_unknown{.status = response_status::failed, .outcome_unknown = true};
+constexpr answer answer_key_conflict{.status = response_status::failed, .key_conflict = true};
+constexpr answer answer_run_failed{.status = response_status::failed};
+constexpr answer answer_retry_soon{.status = response_status::rejected, .retry_after = default_retry_after};
+
+}  // namespace
+
+duplicate_coalescer::duplicate_coalescer(request_table& requests, admission& policy,
+                                         const admission_policy::settings& settings,
+                                         telemetry::counters& counters, time_point now)
+    : requests_(requests), admission_(policy), settings_(settings), counters_(counters), now_(now) {}
+
+void duplicate_coalescer::use(idempotency_store& store, duration finish_within) {
+  store_ = &store;
+  finish_within_ = finish_within;
+}
+
+request_entry* duplicate_coalescer::find_primary(request_id id, group_stage stage) {
+  request_entry* entry = requests_.find(id);
+  return entry != nullptr && entry->group && entry->group->stage == stage ? entry : nullptr;
+}
+
+// ---- Arrivals ---------------------------------------------------------------------------------------------
+
+void duplicate_coalescer::on_arrival(request_entry& arrival) {
+  const request_id id = arrival.id;
+  const claim_result claim = store_->claim(id, arrival.what);
+  switch (claim.status) {
+    case claim_status::primary:
+    case claim_status::inquiry_primary: {
+      const bool inquires = claim.status == claim_status::inquiry_primary;
+      arrival.role = request_role::primary;
+      arrival.group = std::make_unique<coalesced_group>();
+      arrival.group->stage = inquires ? group_stage::inquiring : group_stage::queued;
+      arrival.group->respond_by = now_ - arrival.what.read_delay +
+                                  settings_.classes[arrival.what.request_class].deadline - response_margin;
+      admission_.report(arrived{id, &arrival.what, inquires ? id : 0});
+      break;
+    }
+    case claim_status::coalesced:
+      arrival.role = request_role::duplicate;
+      arrival.primary_id = claim.primary;
+      requests_.find(claim.primary)->group->duplicates.push_back(id);
+      admission_.report(arrived{id, &arrival.what, claim.primary});
+      break;
+    case claim_status::completed:
+      arrival.role = request_role::stored_result_reader;
+      admission_.report(arrived{id, &arrival.what, id});
+      break;
+    // The front is answered at the next step: it learns the request's id only when this call returns.
+    case claim_status::outcome_unknown: immediate_answers_.push_back({id, answer_outcome_unknown}); break;
+    case claim_status::key_conflict: immediate_answers_.push_back({id, answer_key_conflict}); break;
+    case claim_status::no_capacity:
+      immediate_answers_.push_back(
+          {id, {.status = response_status::rejected, .retry_after = claim.retry_after}});
+      break;
+  }
+}
+
+// ---- The primary's run ------------------------------------------------------------------------------------
+
+void duplicate_coalescer::start_primary(request_entry& primary) {
+  primary.stage = request_stage::started;
+  primary.group->stage = group_stage::writing_intent;
+  store_->write_intent(primary.id, primary.what);
+}
+
+void duplicate_coalescer::on_intent_written(request_id primary_id, bool durable) {
+  request_entry* primary = find_primary(primary_id, group_stage::writing_intent);
+  if (primary == nullptr) return;
+  if (!durable) {
+    close_group(*primary, answer_retry_soon, run_end::never_started);
+    return;
+  }
+  const bool nobody_waits = primary->answered && primary->group->duplicates.empty();
+  if (nobody_waits) {
+    store_->release_key(primary_id);
+    remove_primary(*primary, run_end::never_started);
+    return;
+  }
+  primary->group->stage = group_stage::running;
+  ++counters_.sent;
+  primary->target.run(primary_id, primary->what);
+}
+
+void duplicate_coalescer::on_run_ended(request_entry& primary, run_end how, std::string_view result,
+                                       duration elapsed) {
+  if (primary.group->stage != group_stage::running) return;
+  if (std::exchange(primary.group->policy_awaits_end, false))
+    admission_.report(completed{primary.id, how, elapsed});
+  switch (how) {
+    case run_end::succeeded:
+    case run_end::failed: record_result(primary, how == run_end::succeeded, result); break;
+    case run_end::lost:
+    case run_end::aborted:
+      store_->mark_outcome_unknown(primary.id);
+      close_group(primary, answer_outcome_unknown, how);
+      break;
+    case run_end::never_started:
+    case run_end::unknown_request:
+      store_->release_key(primary.id);
+      close_group(primary,
+                  {.status = response_status::failed, .unknown_request = how == run_end::unknown_request},
+                  run_end::never_started);
+      break;
+  }
+}
+
+// Its intent is durable and is withdrawn. After a crash before the withdrawal is durable, the key's outcome
+// is unknown.
+void duplicate_coalescer::on_backend_rejected(request_entry& primary, const answer& final) {
+  if (primary.group->stage != group_stage::running) return;
+  store_->release_key(primary.id);
+  close_group(primary, final, run_end::never_started);
+}
+
+void duplicate_coalescer::record_result(request_entry& primary, bool succeeded, std::string_view result) {
+  coalesced_group& group = *primary.group;
+  group.stage = group_stage::recording_result;
+  group.succeeded = succeeded;
+  group.result = result;
+  if (succeeded) {
+    recording_deadlines_.emplace(group.respond_by, primary.id);
+  } else {  // a failure promises nothing, so nobody has to wait for its record
+    respond_to_all(primary, answer_run_failed, run_end::failed);
+  }
+  if (!store_->record_result(primary.id, succeeded, result))
+    close_group(primary, answer_outcome_unknown, run_end::failed);
+}
+
+void duplicate_coalescer::on_result_recorded(request_id primary_id) {
+  request_entry* primary = find_primary(primary_id, group_stage::recording_result);
+  if (primary == nullptr) return;
+  const coalesced_group& group = *primary->group;
+  answer final = answer_run_failed;  // to duplicates that arrived after the run had failed
+  if (group.succeeded) final = {.status = response_status::served, .result = group.result};
+  close_group(*primary, final, run_end::succeeded);
+}
+
+// A stop decision follows on a failed answer. A keyed run goes on for some time all the same: stopped, its
+// outcome would be unknown.
+void duplicate_coalescer::pause_primary(request_entry& primary) {
+  const coalesced_group& group = *primary.group;
+  if (group.stage != group_stage::running || now_ < group.respond_by + finish_within_) return;
+  const bool may_never_end = settings_.halt == admission_policy::halt_mode::pause;
+  if (may_never_end) store_->mark_outcome_unknown(primary.id);
+  primary.target.pause(primary.id);
+}
+
+void duplicate_coalescer::reject_primary(request_entry& primary, const answer& final) {
+  primary.group->policy_awaits_end = false;
+  store_->release_key(primary.id);
+  close_group(primary, final, run_end::never_started);
+}
+
+// Before its intent is written, a failed primary frees its key for all of its group. After that it is
+// answered alone, and its run or inquiry goes on for the duplicates.
+void duplicate_coalescer::fail_primary(request_entry& primary, const answer& final) {
+  coalesced_group& group = *primary.group;
+  const bool policy_has_closed_it =
+      group.stage == group_stage::queued || group.stage == group_stage::inquiring;
+  if (policy_has_closed_it) group.policy_awaits_end = false;
+  if (group.stage == group_stage::queued) {
+    store_->release_key(primary.id);
+    close_group(primary, final, run_end::never_started);
+    return;
+  }
+  answer alone = final;
+  alone.outcome_unknown = group.stage != group_stage::writing_intent;
+  requests_.respond(primary, alone);
+}
+
+// ---- Duplicates and stored results ------------------------------------------------------------------------
+
+void duplicate_coalescer::share_result(request_entry& entry) {
+  if (entry.role == request_role::stored_result_reader) {
+    store_->fetch_result(entry.id);
+  } else if (entry.group && entry.group->stage == group_stage::inquiring) {
+    inquire(entry);
+  }  // else a duplicate, which is answered with its group
+}
+
+void duplicate_coalescer::on_result_fetched(request_id id, const fetched_result& fetched) {
+  request_entry* entry = requests_.find(id);
+  if (entry == nullptr || entry->role != request_role::stored_result_reader) return;
+  answer final = answer_run_failed;
+  if (fetched.outcome == fetch_outcome::succeeded)
+    final = {.status = response_status::served, .result = fetched.bytes};
+  requests_.respond(*entry, final);
+  admission_.report(completed{id, run_end::succeeded, {}});
+  requests_.remove(id);
+}
+
+void duplicate_coalescer::on_client_cancelled(request_entry& entry) {
+  if (entry.role == request_role::primary) {
+    cancel_primary(entry);
+    return;
+  }
+  admission_.report(cancelled{entry.id});
+  leave_group(entry);
+  requests_.remove(entry.id);
+}
+
+// A primary that has not been started is only cancelled when no duplicate is left that it would run for.
+void duplicate_coalescer::cancel_primary(request_entry& primary) {
+  primary.answered = true;
+  coalesced_group& group = *primary.group;
+  if (group.stage != group_stage::queued || !group.duplicates.empty()) return;
+  admission_.report(cancelled{primary.id});
+  group.policy_awaits_end = false;
+  store_->release_key(primary.id);
+  remove_primary(primary, run_end::never_started);
+}
+
+void duplicate_coalescer::leave_group(const request_entry& duplicate) {
+  request_entry* primary = requests_.find(duplicate.primary_id);
+  if (primary == nullptr || !primary->group) return;
+  std::erase(primary->group->duplicates, duplicate.id);
+  if (primary->answered && primary->group->stage == group_stage::queued) cancel_primary(*primary);
+}
+
+// Answers the primary and its duplicates. `reported`: the end of the duplicates, as the policy is told.
+void duplicate_coalescer::respond_to_all(request_entry& primary, const answer& final, run_end reported) {
+  requests_.respond(primary, final);
+  for (const request_id id : std::exchange(primary.group->duplicates, {})) {
+    request_entry* duplicate = requests_.find(id);
+    if (duplicate == nullptr) continue;
+    requests_.respond(*duplicate, final);
+    admission_.report(completed{id, reported, {}});
+    requests_.remove(id);
+  }
+}
+
+void duplicate_coalescer::close_group(request_entry& primary, const answer& final, run_end reported) {
+  respond_to_all(primary, final, reported);
+  remove_primary(primary, reported);
+}
+
+void duplicate_coalescer::remove_primary(request_entry& primary, run_end reported) {
+  const request_id id = primary.id;
+  recording_deadlines_.erase({primary.group->respond_by, id});
+  if (primary.group->policy_awaits_end) admission_.report(completed{id, reported, {}});
+  store_->close_primary(id);
+  requests_.remove(id);
+}
+
+// ---- Inquiries --------------------------------------------------------------------------------------------
+
+void duplicate_coalescer::inquire(request_entry& primary) {
+  if (primary.target.inquire(primary.id, primary.what)) return;
+  // The backend cannot be asked: a retry would not change that, so all retries are used up at once.
+  while (store_->schedule_inquiry_retry(primary.id).count() > 0) {
+  }
+  close_group(primary, answer_outcome_unknown, run_end::failed);
+}
+
+void duplicate_coalescer::on_inquired(request_id primary_id, inquiry_end how, std::string_view result) {
+  request_entry* primary = find_primary(primary_id, group_stage::inquiring);
+  if (primary == nullptr) return;
+  switch (how) {
+    case inquiry_end::result: record_result(*primary, true, result); return;
+    case inquiry_end::never_ran:
+      store_->release_key(primary_id);
+      close_group(*primary, answer_retry_soon, run_end::never_started);
+      return;
+    case inquiry_end::unknown: break;
+  }
+  const duration delay = store_->schedule_inquiry_retry(primary_id);
+  if (delay.count() > 0) {
+    inquiry_retries_.emplace(now_ + delay, primary_id);
+  } else {
+    close_group(*primary, answer_outcome_unknown, run_end::failed);
+  }
+}
+
+// ---- Time -------------------------------------------------------------------------------------------------
+
+void duplicate_coalescer::step(time_point now) {
+  now_ = now;
+  send_immediate_answers();
+  answer_overdue_recordings();
+  retry_inquiries();
+}
+
+time_point duplicate_coalescer::due() const {
+  if (!immediate_answers_.empty()) return time_point::min();
+  time_point due = time_point::max();
+  if (!recording_deadlines_.empty()) due = std::min(recording_deadlines_.begin()->first, response_deadline_);
+  if (!inquiry_retries_.empty()) due = std::min(due, inquiry_retries_.begin()->first);
+  return due;
+}
+
+void duplicate_coalescer::send_immediate_answers() {
+  for (const immediate_answer& each : std::exchange(immediate_answers_, {})) {
+    request_entry* entry = requests_.find(each.id);
+    if (entry == nullptr) continue;
+    requests_.respond(*entry, each.final);
+    requests_.remove(each.id);
+  }
+}
+
+// The primary's client is answered that the outcome is unknown; the result is recorded all the same.
+void duplicate_coalescer::answer_overdue_recordings() {
+  while (!recording_deadlines_.empty()) {
+    const timed_request next = *recording_deadlines_.begin();
+    if (next.first > now_ && response_deadline_ > now_) return;
+    recording_deadlines_.erase(recording_deadlines_.begin());
+    request_entry* primary = requests_.find(next.second);
+    if (primary == nullptr) continue;
+    requests_.respond(
+        *primary, {.status = response_status::failed, .deadline_exceeded = true, .outcome_unknown = true});
+  }
+}
+
+void duplicate_coalescer::retry_inquiries() {
+  while (!inquiry_retries_.empty() && inquiry_retries_.begin()->first <= now_) {
+    request_entry* primary = requests_.find(inquiry_retries_.begin()->second);
+    inquiry_retries_.erase(inquiry_retries_.begin());
+    if (primary != nullptr) inquire(*primary);
+  }
+}
+
+}  // namespace marblewharf
--- a/src/core/idempotency_store.hpp
+++ b/src/core/idempotency_store.hpp
@@ -1,55 +1,69 @@
-// What the dispatcher asks of whoever keeps the results of keyed requests, and what it is told later. Nothing
-// here waits for a disk: what takes one is answered through key_events.
+// The interface between the dispatcher and what stores the keys and results of keyed requests. No call here
+// waits for a disk: whatever takes one is answered later, through idempotency_observer. Both sides run on the
+// dispatcher's thread.
 #pragma once
 
 #include <string_view>
 
+#include "core/key_claim.hpp"
 #include "core/request.hpp"
 
 namespace marblewharf {
 
+// What the store says of a keyed request that arrives.
+struct claim_result {
+  claim_status status = claim_status::primary;
+  request_id primary = 0;  // where coalesced: the request whose outcome it shares
+  duration retry_after{};  // where there is no capacity
+};
+
 class idempotency_store {
  public:
-  enum class standing {
-    first,     // unseen before: this request leads
-    joins,     // shares the outcome of `leader`
-    answered,  // fetch() brings the result
-    in_doubt,  // a run began and nobody knows how it ended
-    asks,      // the same, and this request leads the inquiry
-    conflict,  // the key was used with other content
-    no_room,   // nothing new can be recorded for now
-  };
-  struct opinion {
-    standing how = standing::first;
-    request_id leader = 0;
-    duration come_back{};  // where there is no room
-  };
-
   virtual ~idempotency_store() = default;
-  virtual opinion arrive(request_id id, const request& what) = 0;
-
-  // Of a leader. Has the intent written: on_intended() says whether it is on disk.
-  virtual void intend(request_id leader, const request& what) = 0;
-  // Its run ended with this result: on_recorded() says when that is on disk. False: another one was recorded
-  // before.
-  virtual bool record(request_id leader, bool served, std::string_view result) = 0;
-  virtual void doubt(request_id leader) = 0;    // nothing more will be heard of its run
-  virtual void release(request_id leader) = 0;  // proven never to have run
-  // The backend was asked and did not know. Returns when to ask again; 0 = not any more.
-  virtual duration asked_in_vain(request_id leader) = 0;
-  virtual void close(request_id leader) = 0;  // nothing more is asked for it
-
-  // Of one that is answered: on_fetched() brings the result.
-  virtual void fetch(request_id id) = 0;
+
+  // A request arrives with a key. One whose status is `primary` or `inquiry_primary` owns the key from here
+  // on until close_primary().
+  virtual claim_result claim(request_id id, const request& what) = 0;
+
+  // Writes the intent to run a primary; on_intent_written() follows.
+  virtual void write_intent(request_id primary, const request& what) = 0;
+  // Records the result of a primary whose run ended; on_result_recorded() follows. False: the key's state
+  // allows no result, nothing was recorded.
+  virtual bool record_result(request_id primary, bool succeeded, std::string_view result) = 0;
+  // The end of the primary's run will never be reported: its key stays in an unknown outcome.
+  virtual void mark_outcome_unknown(request_id primary) = 0;
+  // The primary is proven never to have run: its key is free again.
+  virtual void release_key(request_id primary) = 0;
+  // An inquiry about the primary's outcome brought nothing. Returns the delay before the next one; 0 = no
+  // further one.
+  virtual duration schedule_inquiry_retry(request_id primary) = 0;
+  // Nothing more will be called for this primary.
+  virtual void close_primary(request_id primary) = 0;
+
+  // Reads the stored result for a request whose status is `completed`; on_result_fetched() follows, unless
+  // the request's claim has expired meanwhile.
+  virtual void fetch_result(request_id id) = 0;
+};
+
+enum class fetch_outcome {
+  succeeded,
+  run_failed,  // stored is that the run had failed
+  unreadable,
+};
+
+struct fetched_result {
+  fetch_outcome outcome = fetch_outcome::unreadable;
+  std::string_view bytes{};  // where it succeeded; valid during the call only
 };
 
+// Told by the store what it was asked for earlier.
 class idempotency_observer {
  public:
   virtual ~idempotency_observer() = default;
-  virtual void on_intended(request_id leader, bool durable) = 0;
-  virtual void on_recorded(request_id leader) = 0;
-  // `found` false: it cannot be read. `served` false: the run had failed.
-  virtual void on_fetched(request_id id, bool found, bool served, std::string_view result) = 0;
+  // `durable` false: the intent could not be written and the key is free again; the primary must not run.
+  virtual void on_intent_written(request_id primary, bool durable) = 0;
+  virtual void on_result_recorded(request_id primary) = 0;
+  virtual void on_result_fetched(request_id id, const fetched_result& fetched) = 0;
 };
 
 }  // namespace marblewharf
--- a/src/idempotency/aging_clock.hpp
+++ b/src/idempotency/aging_clock.hpp
@@ -1,8 +1,8 @@
-// The time by which keys age: Unix time that never goes back. It starts at the system's clock or at the
-// latest time that the folder knows of, whichever is later, and goes on by the steady clock. Guards against a
-// clock that is set back, which would keep keys from ageing or date new ones before old ones; a long stop
-// ages keys as it should. A clock that was far ahead when the folder was written stays ahead for that folder:
-// keys live as long as promised.
+// The time by which keys expire: Unix time that never goes back. It starts at the system's clock or at the
+// latest time that the folder knows of, whichever is later, and goes on with the steady clock. So a system
+// clock that is set back neither keeps keys from expiring nor dates later keys before earlier ones, and a
+// long stop lets keys expire as it should. After a system clock that was far ahead, the time stays ahead for
+// that folder: no key lives shorter than its window.
 #pragma once
 
 #include <algorithm>
@@ -16,13 +16,15 @@
   using nanoseconds = std::chrono::nanoseconds;
 
   aging_clock() = default;
+  // The time now by the system's clock, the latest time in the folder, and the steady time now.
   aging_clock(nanoseconds unix_now, nanoseconds latest_known, nanoseconds steady_now)
-      : ahead_(std::max(unix_now, latest_known) - steady_now) {}
+      : offset_(std::max(unix_now, latest_known) - steady_now) {}
 
-  std::int64_t at(nanoseconds steady_now) const { return (steady_now + ahead_).count(); }
+  // Unix time in ns at a steady time.
+  std::int64_t at(nanoseconds steady_now) const { return (steady_now + offset_).count(); }
 
  private:
-  nanoseconds ahead_{};
+  nanoseconds offset_{};  // of this time over the steady clock
 };
 
 }  // namespace marblewharf::idempotency
--- a/src/idempotency/deferred_service.hpp
+++ b/src/idempotency/deferred_service.hpp
@@ -1,6 +1,6 @@
-// The keeper of keyed results, or, until it can be opened, a stand-in that refuses each keyed request at once
-// with the time to return: nothing new can be recorded, so nothing keyed may run. Owned by the node, on the
-// reactor's thread; the keeper it is given outlives it.
+// An idempotency store that is not open yet: until it is given the durable service, it rejects each keyed
+// request with the time to return. No key can be recorded, so nothing keyed may run. Not synchronized: owned
+// by the dispatcher's thread.
 #pragma once
 
 #include "core/idempotency_store.hpp"
@@ -10,33 +10,37 @@
 
 class deferred_service : public idempotency_store {
  public:
-  deferred_service(duration come_back, telemetry::counters& counters)
-      : come_back_(come_back), counters_(counters) {}
+  // `retry_after`: what rejected requests are advised. `counters` outlives this object.
+  deferred_service(duration retry_after, telemetry::counters& counters)
+      : retry_after_(retry_after), counters_(counters) {}
 
-  // From now on all goes to `keys`.
-  void take(idempotency_store& keys) { keys_ = &keys; }
-  bool open() const { return keys_ != nullptr; }
+  // From now on all calls go to `store`, which outlives this object.
+  void take(idempotency_store& store) { store_ = &store; }
+  bool open() const { return store_ != nullptr; }
 
-  opinion arrive(request_id id, const request& what) override {
-    if (keys_ != nullptr) return keys_->arrive(id, what);
+  claim_result claim(request_id id, const request& what) override {
+    if (store_ != nullptr) return store_->claim(id, what);
     ++counters_.no_room;
-    return {.how = standing::no_room, .come_back = come_back_};
+    return {.status = claim_status::no_capacity, .retry_after = retry_after_};
   }
-  // Only leaders and answered requests come here, and there are none before the keeper.
-  void intend(request_id leader, const request& what) override { keys_->intend(leader, what); }
-  bool record(request_id leader, bool served, std::string_view result) override {
-    return keys_->record(leader, served, result);
+
+  // Called for requests with a claim only, and there are none before the store is open.
+  void write_intent(request_id primary, const request& what) override { store_->write_intent(primary, what); }
+  bool record_result(request_id primary, bool succeeded, std::string_view result) override {
+    return store_->record_result(primary, succeeded, result);
+  }
+  void mark_outcome_unknown(request_id primary) override { store_->mark_outcome_unknown(primary); }
+  void release_key(request_id primary) override { store_->release_key(primary); }
+  duration schedule_inquiry_retry(request_id primary) override {
+    return store_->schedule_inquiry_retry(primary);
   }
-  void doubt(request_id leader) override { keys_->doubt(leader); }
-  void release(request_id leader) override { keys_->release(leader); }
-  duration asked_in_vain(request_id leader) override { return keys_->asked_in_vain(leader); }
-  void close(request_id leader) override { keys_->close(leader); }
-  void fetch(request_id id) override { keys_->fetch(id); }
+  void close_primary(request_id primary) override { store_->close_primary(primary); }
+  void fetch_result(request_id id) override { store_->fetch_result(id); }
 
  private:
-  duration come_back_;
+  duration retry_after_;
   telemetry::counters& counters_;
-  idempotency_store* keys_ = nullptr;
+  idempotency_store* store_ = nullptr;
 };
 
 }  // namespace marblewharf::idempotency
--- a/src/idempotency/durable_service.cpp
+++ b/src/idempotency/durable_service.cpp
@@ -9,255 +9,269 @@
 
 namespace {
 
-constexpr duration age_every = std::chrono::milliseconds(100);
-
 std::size_t longest(const std::vector<std::string>& names) {
   std::size_t most = 0;
-  for (const std::string& n : names) most = std::max(most, n.size());
+  for (const std::string& name : names) most = std::max(most, name.size());
   return most;
 }
 
-idempotency_store::opinion to_core(const idempotency::opinion& o) {
-  using kind = idempotency_store::standing;
-  switch (o.how) {
-    case standing::first: return {kind::first, o.leader, {}};
-    case standing::joins: return {kind::joins, o.leader, {}};
-    case standing::answered: return {kind::answered, 0, {}};
-    case standing::in_doubt: return {kind::in_doubt, 0, {}};
-    case standing::asks: return {kind::asks, o.leader, {}};
-    case standing::conflict: return {kind::conflict, 0, {}};
-    case standing::no_room: return {kind::no_room, 0, o.come_back};
-  }
-  return {kind::no_room, 0, {}};
+key_table_options table_options_of(const durable_service_options& options) {
+  key_table_options table;
+  table.entries = options.entries;
+  table.open = options.open;
+  table.max_intent_bytes =
+      max_intent_bytes(options.longest_key, longest(options.tenants), longest(options.classes));
+  table.max_result_bytes = max_result_bytes(options.largest_result);
+  table.retry_disk = options.retry_disk;
+  table.inquiry_tries = options.inquiry_tries;
+  table.inquiry_pause = options.inquiry_pause;
+  return table;
 }
 
 }  // namespace
 
-durable_service::durable_service(store::file_system& fs, durable_service_options options,
+// ---- Start ------------------------------------------------------------------------------------------------
+
+durable_service::durable_service(store::file_system& files, durable_service_options options,
                                  telemetry::counters& counters, std::function<void()> notify)
-    : options_(std::move(options)), counters_(counters), now_(options_.steady_now) {
-  key_table_options l;
-  l.entries = options_.entries;
-  l.open = options_.open;
-  l.intent_room = intent_room(options_.longest_key, longest(options_.tenants), longest(options_.classes));
-  l.result_room = result_room(options_.largest_result);
-  l.retry_disk = options_.retry_disk;
-  l.inquiry_tries = options_.inquiry_tries;
-  l.inquiry_pause = options_.inquiry_pause;
-  ledger_ = std::make_unique<key_table>(l);
-
-  store::log_options where;
-  where.folder = options_.folder;
-  where.segment = options_.segment;
-  where.space = options_.space;
-  where.salt = options_.salt;
-  // What has aged is only known once the latest time in the folder is: passed over until then is only what
-  // has aged by the system's clock set far back, that is nothing; the rest goes with the first look below.
-  std::int64_t latest = 0;
-  auto kept_log = std::make_unique<store::log>(
-      fs, where,
-      [&latest](std::uint32_t type, std::string_view body) {
-        const auto k = decode(type, body);
-        if (k) latest = std::max(latest, k->at);
-        return k ? k->expiry : 0;
-      },
-      [this](std::uint32_t type, std::string_view body, const store::position& at) {
-        const auto k = decode(type, body);
-        if (!k) return;
-        const moment none = 0;
-        switch (k->what) {
-          case record_type::intent: ledger_->recover_intent(k->key, k->content, k->expiry, none); break;
-          case record_type::result: ledger_->recover_result(k->key, k->content, k->expiry, at, none); break;
-          case record_type::release: ledger_->recover_release(k->key); break;
-        }
-      });
-  found_ = kept_log->counts();
-  salt_ = kept_log->salt();
-  clock_ = aging_clock(options_.unix_now, std::chrono::nanoseconds(std::max(latest, found_.latest)),
-                       options_.steady_now);
-  ledger_->recovered();
-  ledger_->age(now());
-  kept_log->open(now());
-  log("results", "%s: %zu keys known, %zu in doubt, %llu segments", options_.folder.c_str(), ledger_->size(),
-      ledger_->doubtful(), static_cast<unsigned long long>(found_.segments));
+    : key_table_service(table_options_of(options), counters),
+      options_(std::move(options)),
+      now_(options_.steady_now) {
+  std::unique_ptr<store::log> opened = open_log(files);
+  log("results", "%s: %zu keys known, %zu in doubt, %llu segments", options_.folder.c_str(), table_.size(),
+      table_.outcomes_unknown(), static_cast<unsigned long long>(found_.segments));
   if (found_.torn_bytes > 0)
     log("results", "%llu bytes of a commit that a crash cut short were cut off",
         static_cast<unsigned long long>(found_.torn_bytes));
-  store::committer_options c;
-  c.queue = 2 * options_.open + options_.reads;
-  c.batch = options_.commit_records;
-  c.retry = options_.retry_disk;
-  committer_ = std::make_unique<store::committer>(
-      std::move(kept_log), c,
-      [clock = clock_] { return clock.at(std::chrono::steady_clock::now().time_since_epoch()); },
-      std::move(notify));
+  start_committer(std::move(opened), std::move(notify));
   step(now_);
 }
 
 durable_service::~durable_service() = default;
 
-void durable_service::step(time_point steady) {
-  now_ = std::max(now_, steady);
-  std::vector<store::committer::done> done;
-  const store::committer::condition c = committer_->collect(done);
-  ledger_->set_disk({c.writable, c.room, c.next_ageing});
-  counters_.results_bytes = c.used;
-  counters_.results_commits = c.commits;
-  for (const store::committer::done& d : done) {
-    if (d.what == store::committer::kind::write) {
-      on_written(d.ticket, d);
-    } else if (const auto at = reads_.find(d.ticket); at != reads_.end()) {
-      const request_id id = at->second;
-      reads_.erase(at);
-      on_read(id, d);
-    }
-  }
-  if (writable_ != c.writable) {
-    writable_ = c.writable;
-    log("results", "%s", c.writable ? "the disk takes writes again" : c.fault.c_str());
-  }
-  if (c.writable && !unwritten_.empty()) {
-    for (writing& w : std::exchange(unwritten_, {})) submit(std::move(w));
+// The time is known only when all records have been read, since the latest of them may set it. So all of them
+// are recovered, and those that have expired are removed then.
+std::unique_ptr<store::log> durable_service::open_log(store::file_system& files) {
+  store::log_options log_options;
+  log_options.folder = options_.folder;
+  log_options.segment = options_.segment;
+  log_options.space = options_.space;
+  log_options.salt = options_.salt;
+  aging_time latest = 0;
+  const auto expiry_of = [&latest](std::uint32_t type, std::string_view body) {
+    const std::optional<key_record> found = decode(type, body);
+    if (!found) return aging_time{0};
+    latest = std::max(latest, found->written_at);
+    return found->expiry;
+  };
+  const auto recover_each = [this](std::uint32_t type, std::string_view body,
+                                   const store::position& position) {
+    if (const std::optional<key_record> found = decode(type, body)) recover(*found, position);
+  };
+  auto opened = std::make_unique<store::log>(files, log_options, expiry_of, recover_each);
+  found_ = opened->counts();
+  salt_ = opened->salt();
+  clock_ = aging_clock(options_.unix_now, std::chrono::nanoseconds(std::max(latest, found_.latest)),
+                       options_.steady_now);
+  table_.finish_recovery();
+  table_.expire(now());
+  opened->open(now());
+  return opened;
+}
+
+void durable_service::recover(const key_record& found, const store::position& position) {
+  constexpr aging_time nothing_expired = 0;
+  switch (found.type) {
+    case record_type::intent:
+      table_.recover_intent(found.key, found.fingerprint, found.expiry, nothing_expired);
+      break;
+    case record_type::result:
+      table_.recover_result(found.key, found.fingerprint, found.expiry, position, nothing_expired);
+      break;
+    case record_type::release: table_.recover_release(found.key); break;
   }
-  if (now_ >= next_ageing_) {
-    next_ageing_ = now_ + age_every;
-    ledger_->age(now());
+}
+
+void durable_service::start_committer(std::unique_ptr<store::log> log, std::function<void()> notify) {
+  store::committer_options committer_options;
+  committer_options.queue = 2 * options_.open + options_.reads;  // an intent and a result of each open key
+  committer_options.batch = options_.commit_records;
+  committer_options.retry = options_.retry_disk;
+  const auto clock_now = [clock = clock_] {
+    return clock.at(std::chrono::steady_clock::now().time_since_epoch());
+  };
+  committer_ =
+      std::make_unique<store::committer>(std::move(log), committer_options, clock_now, std::move(notify));
+}
+
+// ---- Time -------------------------------------------------------------------------------------------------
+
+void durable_service::step(time_point steady_now) {
+  now_ = std::max(now_, steady_now);
+  std::vector<store::committer::done> all_done;
+  const store::committer::condition disk = committer_->collect(all_done);
+  table_.set_disk({disk.writable, disk.room, disk.next_ageing});
+  counters_.results_bytes = disk.used;
+  counters_.results_commits = disk.commits;
+  for (const store::committer::done& done : all_done) {
+    if (done.what == store::committer::kind::write) {
+      on_written(done.ticket, done);
+    } else {
+      on_read(done.ticket, done);
+    }
   }
-  counters_.results_known = ledger_->size();
-  counters_.results_in_doubt = ledger_->doubtful();
+  update_disk_state(disk);
+  if (expiry_is_due(now_)) table_.expire(now());
+  publish_key_counts();
 }
 
-idempotency_store::opinion durable_service::arrive(request_id id, const request& what) {
-  const auto window = options_.windows.at(what.request_class);
-  const std::string& tenant =
-      what.tenant < options_.tenants.size() ? options_.tenants[what.tenant] : std::string();
-  const key_id key = hash_of(tenant, options_.classes.at(what.request_class), what.key, salt_);
-  const idempotency::opinion o = ledger_->arrive(key, what.content, id, window, now());
-  using idempotency::standing;
-  switch (o.how) {
-    case standing::first:
-    case standing::asks: leaders_[id] = {key, what.content, ledger_->expiry_of(key)}; break;
-    case standing::joins: ++counters_.repeats_joined; break;
-    case standing::answered:
-      ++counters_.repeats_answered;
-      answered_[id] = {key, o.at};
-      break;
-    case standing::in_doubt: ++counters_.repeats_in_doubt; break;
-    case standing::conflict: ++counters_.key_conflicts; break;
-    case standing::no_room: ++counters_.no_room; break;
+void durable_service::update_disk_state(const store::committer::condition& disk) {
+  if (writable_ != disk.writable) {
+    writable_ = disk.writable;
+    log("results", "%s", disk.writable ? "the disk takes writes again" : disk.fault.c_str());
   }
-  return to_core(o);
+  if (!disk.writable) return;
+  for (pending_write& each : std::exchange(failed_results_, {})) submit(std::move(each));
 }
 
-void durable_service::submit(writing w) {
-  const std::uint64_t ticket = ++last_ticket_;
-  const bool taken = committer_->write(ticket, w.entry);
-  writes_.emplace(ticket, std::move(w));
-  if (!taken) on_written(ticket, {});  // not by what the ledger lets in; as if the disk had failed
+// ---- Requests ---------------------------------------------------------------------------------------------
+
+std::string_view durable_service::tenant_name(unsigned tenant) const {
+  return tenant < options_.tenants.size() ? std::string_view(options_.tenants[tenant]) : std::string_view();
 }
 
-kept durable_service::record_of(record_type what, const leading& l) const {
-  kept k;
-  k.what = what;
-  k.key = l.key;
-  k.content = l.content;
-  k.expiry = l.expiry;
-  k.at = now();
-  return k;
+claim_result durable_service::claim(request_id id, const request& what) {
+  const std::chrono::nanoseconds window = options_.windows.at(what.request_class);
+  const key_id key =
+      key_id_of(tenant_name(what.tenant), options_.classes.at(what.request_class), what.key, salt_);
+  const key_claim claim = claim_key(id, key, what.content, window, now());
+  if (claim.status == claim_status::completed) readers_[id] = {key, claim.result_at};
+  return to_result(claim);
 }
 
-void durable_service::intend(request_id id, const request& what) {
-  const leading& l = leaders_.at(id);
-  ledger_->intend(l.key);
-  kept k = record_of(record_type::intent, l);
-  if (what.tenant < options_.tenants.size()) k.tenant = options_.tenants[what.tenant];
-  k.request_class = options_.classes.at(what.request_class);
-  k.name = what.key;
-  submit({k.what, id, l.key, {encode(k), l.expiry}});
+key_record durable_service::record_of(record_type type, const claimed_key& claimed) const {
+  key_record record;
+  record.type = type;
+  record.key = claimed.key;
+  record.fingerprint = claimed.fingerprint;
+  record.expiry = claimed.expiry;
+  record.written_at = now();
+  return record;
 }
 
-bool durable_service::record(request_id id, bool served, std::string_view result) {
-  const leading& l = leaders_.at(id);
-  if (!ledger_->record(l.key)) return false;
-  kept k = record_of(record_type::result, l);
-  k.served = served;
-  k.bytes = result;
-  submit({k.what, id, l.key, {encode(k), l.expiry}});
-  return true;
+void durable_service::write(request_id primary, const claimed_key& claimed, const key_record& record) {
+  submit({record.type, primary, claimed.key, {encode(record), claimed.expiry}});
 }
 
-void durable_service::doubt(request_id id) {
-  ledger_->doubt(leaders_.at(id).key);
+// The committer's queue has room for all that the table admits. Where it has not, the write counts as failed.
+void durable_service::submit(pending_write write) {
+  const std::uint64_t ticket = ++last_ticket_;
+  const bool accepted = committer_->write(ticket, write.entry);
+  writes_.emplace(ticket, std::move(write));
+  if (!accepted) on_written(ticket, {});
+}
+
+void durable_service::write_intent(request_id primary, const request& what) {
+  const claimed_key& claimed = primary_key(primary);
+  table_.begin_intent(claimed.key);
+  key_record record = record_of(record_type::intent, claimed);
+  record.tenant = tenant_name(what.tenant);
+  record.request_class = options_.classes.at(what.request_class);
+  record.client_key = what.key;
+  write(primary, claimed, record);
+}
+
+bool durable_service::record_result(request_id primary, bool succeeded, std::string_view result) {
+  const claimed_key& claimed = primary_key(primary);
+  if (!table_.begin_recording(claimed.key)) return false;
+  key_record record = record_of(record_type::result, claimed);
+  record.succeeded = succeeded;
+  record.result = result;
+  write(primary, claimed, record);
+  return true;
 }
 
-void durable_service::release(request_id id) {
-  const leading& l = leaders_.at(id);
-  if (!ledger_->knows(l.key)) return;
-  const bool intent_on_disk =
-      ledger_->state_of(l.key) != state::held && ledger_->state_of(l.key) != state::intending;
-  if (!ledger_->release(l.key) || !intent_on_disk) return;
-  const kept k = record_of(record_type::release, l);
-  // Not written again where the disk fails: by then the key may run anew, and this must not come behind that.
-  // What is lost then is only that the key is in doubt after a crash.
-  submit({k.what, id, l.key, {encode(k), l.expiry}});
+// A release is not tried again when its write fails: the key may be claimed anew by then, and a late release
+// would free it. Lost with it is only that after a crash the key's outcome is unknown.
+void durable_service::release_key(request_id primary) {
+  const claimed_key& claimed = primary_key(primary);
+  if (!table_.contains(claimed.key)) return;
+  const key_state state = table_.state_of(claimed.key);
+  const bool intent_is_durable = state != key_state::queued && state != key_state::writing_intent;
+  if (!table_.release(claimed.key) || !intent_is_durable) return;
+  write(primary, claimed, record_of(record_type::release, claimed));
 }
 
-duration durable_service::asked_in_vain(request_id id) {
-  return ledger_->asked_in_vain(leaders_.at(id).key, now());
+duration durable_service::schedule_inquiry_retry(request_id primary) {
+  return table_.schedule_inquiry_retry(primary_key(primary).key, now());
 }
 
-void durable_service::fetch(request_id id) {
-  const auto at = answered_.find(id);
-  if (at == answered_.end()) return;
+void durable_service::fetch_result(request_id id) {
+  const auto reader = readers_.find(id);
+  if (reader == readers_.end()) return;
   const std::uint64_t ticket = ++last_ticket_;
   reads_.emplace(ticket, id);
-  if (reads_.size() > options_.reads || !committer_->read(ticket, at->second.second)) {
-    reads_.erase(ticket);
-    answered_.erase(at);
-    log("results", "too many repeats at once: one was failed");
-    events_->on_fetched(id, false, false, {});
-  }
+  const bool accepted = reads_.size() <= options_.reads && committer_->read(ticket, reader->second.result_at);
+  if (accepted) return;
+  reads_.erase(ticket);
+  readers_.erase(reader);
+  log("results", "too many repeats at once: one was failed");
+  reply_unreadable(id);
 }
 
-void durable_service::on_written(std::uint64_t ticket, const store::committer::done& d) {
-  const auto at = writes_.find(ticket);
-  if (at == writes_.end()) return;
-  writing w = std::move(at->second);
-  writes_.erase(at);
-  switch (w.what) {
-    case record_type::intent:
-      if (d.ok) {
-        ledger_->intended(w.key);
-      } else {
-        ledger_->release(w.key);
-        log("results", "an intent could not be written, its request is refused");
-      }
-      events_->on_intended(w.leader, d.ok);
-      break;
+void durable_service::reply_unreadable(request_id id) {
+  observer().on_result_fetched(id, {.outcome = fetch_outcome::unreadable});
+}
+
+// ---- What the disk did ------------------------------------------------------------------------------------
+
+void durable_service::on_written(std::uint64_t ticket, const store::committer::done& done) {
+  const auto found = writes_.find(ticket);
+  if (found == writes_.end()) return;
+  pending_write write = std::move(found->second);
+  writes_.erase(found);
+  switch (write.type) {
+    case record_type::intent: on_intent_done(write, done.ok); break;
     case record_type::result:
-      if (!d.ok) {
-        unwritten_.push_back(std::move(w));
-        return;
+      if (!done.ok) {
+        failed_results_.push_back(std::move(write));
+        break;
       }
-      ledger_->recorded(w.key, d.at, now());
-      events_->on_recorded(w.leader);
+      table_.result_recorded(write.key, done.at, now());
+      observer().on_result_recorded(write.primary);
       break;
     case record_type::release: break;
   }
 }
 
-void durable_service::on_read(request_id id, const store::committer::done& d) {
-  const auto at = answered_.find(id);
-  if (at == answered_.end()) return;
-  const key_id key = at->second.first;
-  answered_.erase(at);
-  const auto k = d.ok ? decode(static_cast<std::uint32_t>(record_type::result), d.body) : std::nullopt;
-  if (!k || !(k->key == key)) {
-    log("results", "a kept result cannot be read: %s", d.ok ? "it is another one's" : d.body.c_str());
-    events_->on_fetched(id, false, false, {});
+void durable_service::on_intent_done(const pending_write& write, bool durable) {
+  if (durable) {
+    table_.intent_written(write.key);
+  } else {
+    table_.release(write.key);
+    log("results", "an intent could not be written, its request is refused");
+  }
+  observer().on_intent_written(write.primary, durable);
+}
+
+void durable_service::on_read(std::uint64_t ticket, const store::committer::done& done) {
+  const auto read = reads_.find(ticket);
+  if (read == reads_.end()) return;
+  const request_id id = read->second;
+  reads_.erase(read);
+  const auto reader = readers_.find(id);
+  if (reader == readers_.end()) return;
+  const key_id key = reader->second.key;
+  readers_.erase(reader);
+  std::optional<key_record> record;
+  if (done.ok) record = decode(static_cast<std::uint32_t>(record_type::result), done.body);
+  if (!record || !(record->key == key)) {
+    log("results", "a kept result cannot be read: %s", done.ok ? "it is another one's" : done.body.c_str());
+    reply_unreadable(id);
     return;
   }
-  events_->on_fetched(id, true, k->served, k->bytes);
+  const fetch_outcome outcome = record->succeeded ? fetch_outcome::succeeded : fetch_outcome::run_failed;
+  observer().on_result_fetched(id, {.outcome = outcome, .bytes = record->result});
 }
 
 }  // namespace marblewharf::idempotency
--- a/src/idempotency/durable_service.hpp
+++ b/src/idempotency/durable_service.hpp
@@ -1,5 +1,6 @@
-// Keeps the results of keyed requests: the ledger decides, the committer's thread writes, and this passes
-// what either says to the other and to the dispatcher. One thread, the one that calls step().
+// Stores the results of keyed requests in a folder, across restarts: the key table decides, the committer's
+// thread writes and reads, and this class passes on what either has to tell the other and the dispatcher. Not
+// synchronized: owned by the dispatcher's thread, which calls step().
 #pragma once
 
 #include <functional>
@@ -9,98 +10,96 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/idempotency_store.hpp"
 #include "idempotency/aging_clock.hpp"
-#include "idempotency/key_table.hpp"
+#include "idempotency/key_table_service.hpp"
 #include "idempotency/records.hpp"
 #include "store/committer.hpp"
-#include "telemetry/telemetry.hpp"
 
 namespace marblewharf::idempotency {
 
 struct durable_service_options {
   std::string folder;
-  std::vector<std::chrono::nanoseconds> windows;  // by class; 0 = not keyed
-  std::vector<std::string> classes,
-      tenants;  // by their numbers: keys are scoped by name, so that both may change
-  std::size_t longest_key = 255;
-  std::size_t largest_result = 4096;
-  std::size_t entries = 1'000'000;
-  std::size_t open = 1024;
-  std::size_t reads = 1024;  // results on their way from disk
-  std::uint64_t segment = std::uint64_t{8} << 20;
-  std::uint64_t space = std::uint64_t{1} << 30;
-  std::chrono::nanoseconds retry_disk = std::chrono::milliseconds(500);
-  std::size_t commit_records = 1024;  // in one commit, at most
-  unsigned inquiry_tries = 0;
-  std::chrono::nanoseconds inquiry_pause{};
-  std::uint64_t salt = 0;  // random; for a folder that is new
-  std::chrono::nanoseconds unix_now{}, steady_now{};
+  std::vector<std::chrono::nanoseconds> windows;  // by class: how long a duplicate may arrive; 0 = not keyed
+  // Names by number. Keys are scoped by name, so that numbers may change between restarts.
+  std::vector<std::string> classes;
+  std::vector<std::string> tenants;
+  std::size_t longest_key = 255;                   // bytes
+  std::size_t largest_result = 4096;               // bytes
+  std::size_t entries = 1'000'000;                 // keys known at once
+  std::size_t open = 1024;                         // keyed requests between their arrival and their result
+  std::size_t reads = 1024;                        // results being read at once
+  std::uint64_t segment = std::uint64_t{8} << 20;  // bytes of a file
+  std::uint64_t space = std::uint64_t{1} << 30;    // bytes of the folder
+  std::chrono::nanoseconds retry_disk = std::chrono::milliseconds(500);  // after a failed write
+  std::size_t commit_records = 1024;                                     // in one commit, at most
+  unsigned inquiry_tries = 0;                // 0 = no backend can be asked for outcomes
+  std::chrono::nanoseconds inquiry_pause{};  // after the first inquiry
+  std::uint64_t salt = 0;                    // random; used for a folder that is new
+  std::chrono::nanoseconds unix_now{};       // the system's clock and the steady clock at the same moment
+  std::chrono::nanoseconds steady_now{};
 };
 
-class durable_service : public idempotency_store {
+class durable_service : public key_table_service {
  public:
-  // Reads what the folder holds. `notify`: step() has something to do; called from another thread. Throws
-  // store::io_error or store::damaged where the folder cannot be used.
-  durable_service(store::file_system& fs, durable_service_options options, telemetry::counters& counters,
+  // Reads what the folder holds. `notify`: step() has something to do; called from the committer's thread.
+  // Throws store::io_error or store::damaged where the folder cannot be used.
+  durable_service(store::file_system& files, durable_service_options options, telemetry::counters& counters,
                   std::function<void()> notify);
   ~durable_service() override;
 
-  void report_to(idempotency_observer& events) { events_ = &events; }
+  // Takes in what the disk did since the last call, gives the dispatcher its replies, and removes what has
+  // expired.
+  void step(time_point steady_now);
 
-  // Takes in what the disk did since the last call and tells the dispatcher.
-  void step(time_point now);
+  // ---- idempotency_store ----------------------------------------------------------------------------------
+  claim_result claim(request_id id, const request& what) override;
+  void write_intent(request_id primary, const request& what) override;
+  bool record_result(request_id primary, bool succeeded, std::string_view result) override;
+  void release_key(request_id primary) override;
+  duration schedule_inquiry_retry(request_id primary) override;
+  void fetch_result(request_id id) override;
 
-  // key_book
-  idempotency_store::opinion arrive(request_id id, const request& what) override;
-  void intend(request_id leader, const request& what) override;
-  bool record(request_id leader, bool served, std::string_view result) override;
-  void doubt(request_id leader) override;
-  void release(request_id leader) override;
-  duration asked_in_vain(request_id leader) override;
-  void fetch(request_id id) override;
-  void close(request_id leader) override { leaders_.erase(leader); }
-
-  const key_table& known() const { return *ledger_; }
+  // What the folder held at the start.
   const store::recovered_counts& found() const { return found_; }
 
  private:
-  struct leading {
+  struct pending_write {
+    record_type type{};
+    request_id primary = 0;
     key_id key;
-    std::uint64_t content = 0;
-    moment expiry = 0;
+    store::entry entry;  // of a result: tried again until it is on disk
   };
-  struct writing {
-    record_type what{};
-    request_id leader = 0;
+  struct result_reader {
     key_id key;
-    store::entry entry;  // of a result: kept until it is on disk
+    store::position result_at;
   };
 
-  moment now() const { return clock_.at(now_); }
-  kept record_of(record_type what, const leading& l) const;
-  void submit(writing w);
-  void on_written(std::uint64_t ticket, const store::committer::done& d);
-  void on_read(request_id id, const store::committer::done& d);
+  std::unique_ptr<store::log> open_log(store::file_system& files);
+  void recover(const key_record& found, const store::position& position);
+  void start_committer(std::unique_ptr<store::log> log, std::function<void()> notify);
+  aging_time now() const { return clock_.at(now_); }
+  std::string_view tenant_name(unsigned tenant) const;
+  key_record record_of(record_type type, const claimed_key& claimed) const;
+  void write(request_id primary, const claimed_key& claimed, const key_record& record);
+  void submit(pending_write write);
+  void update_disk_state(const store::committer::condition& disk);
+  void on_written(std::uint64_t ticket, const store::committer::done& done);
+  void on_intent_done(const pending_write& write, bool durable);
+  void on_read(std::uint64_t ticket, const store::committer::done& done);
+  void reply_unreadable(request_id id);
 
   const durable_service_options options_;
-  telemetry::counters& counters_;
-  idempotency_observer* events_ = nullptr;
   aging_clock clock_;
-  time_point now_;
+  time_point now_;  // steady
   store::recovered_counts found_;
   std::uint64_t salt_ = 0;
-  std::unique_ptr<key_table> ledger_;
-  std::unordered_map<request_id, leading> leaders_;
-  std::unordered_map<request_id, std::pair<key_id, store::position>>
-      answered_;                             // repeats that want their result
-  std::map<std::uint64_t, writing> writes_;  // by ticket
-  std::vector<writing> unwritten_;           // results that the disk did not take
-  std::unordered_map<std::uint64_t, request_id> reads_;
+  std::unordered_map<request_id, result_reader> readers_;  // of stored results
+  std::map<std::uint64_t, pending_write> writes_;          // by ticket
+  std::unordered_map<std::uint64_t, request_id> reads_;    // by ticket
+  std::vector<pending_write> failed_results_;              // to be written once the disk takes writes again
   std::uint64_t last_ticket_ = 0;
-  time_point next_ageing_{};
   bool writable_ = true;
-  std::unique_ptr<store::committer> committer_;  // last: its thread goes first
+  std::unique_ptr<store::committer> committer_;  // the last member: its thread ends first
 };
 
 }  // namespace marblewharf::idempotency
--- a/src/idempotency/key_table.cpp
+++ b/src/idempotency/key_table.cpp
@@ -9,205 +9,217 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::int64_t found_on_disk = 0;  // the queue of those whose window is not known
-constexpr std::chrono::nanoseconds least_advice = 1s;
-constexpr unsigned most_doublings = 10;
+constexpr std::int64_t unknown_window = 0;  // the expiry queue of recovered keys
+constexpr std::chrono::nanoseconds min_retry_after = 1s;
+constexpr unsigned max_pause_doublings = 10;
 
 }  // namespace
 
 // ---- Recovery ---------------------------------------------------------------------------------------------
 
-void key_table::recover_intent(const key_id& key, std::uint64_t content, moment expiry, moment now) {
+// A key may have expired or been released, and have come again within one folder: the later record holds.
+void key_table::recover_intent(const key_id& key, std::uint64_t fingerprint, aging_time expiry,
+                               aging_time now) {
   if (expiry <= now) return;
-  entry& e = table_[key];
-  // A key that was answered or set free, aged out and came again within one folder: the later record holds.
-  e = entry{};
-  e.content = content;
-  e.expiry = expiry;
-  e.where = state::in_doubt;
+  entry& recovered = entries_[key];
+  recovered = entry{};
+  recovered.fingerprint = fingerprint;
+  recovered.expiry = expiry;
+  recovered.state = key_state::outcome_unknown;
 }
 
-void key_table::recover_result(const key_id& key, std::uint64_t content, moment expiry,
-                               const store::position& at, moment now) {
+void key_table::recover_result(const key_id& key, std::uint64_t fingerprint, aging_time expiry,
+                               const store::position& result_at, aging_time now) {
   if (expiry <= now) return;
-  entry& e = table_[key];
-  e = entry{};
-  e.content = content;
-  e.expiry = expiry;
-  e.at = at;
-  e.where = state::answered;
+  entry& recovered = entries_[key];
+  recovered = entry{};
+  recovered.fingerprint = fingerprint;
+  recovered.expiry = expiry;
+  recovered.result_at = result_at;
+  recovered.state = key_state::completed;
 }
 
 void key_table::recover_release(const key_id& key) {
-  table_.erase(key);
+  entries_.erase(key);
 }
 
-void key_table::recovered() {
-  std::vector<due> all;
-  all.reserve(table_.size());
-  doubtful_ = 0;
-  for (const auto& [key, e] : table_) {
-    all.push_back({e.expiry, key});
-    doubtful_ += e.where == state::in_doubt;
+void key_table::finish_recovery() {
+  std::vector<expiring_key> recovered;
+  recovered.reserve(entries_.size());
+  outcomes_unknown_ = 0;
+  for (const auto& [key, known] : entries_) {
+    recovered.push_back({known.expiry, key});
+    if (known.state == key_state::outcome_unknown) ++outcomes_unknown_;
   }
-  std::sort(all.begin(), all.end(), [](const due& a, const due& b) { return a.expiry < b.expiry; });
-  ageing_[found_on_disk].assign(all.begin(), all.end());
+  std::sort(recovered.begin(), recovered.end(),
+            [](const expiring_key& a, const expiring_key& b) { return a.expiry < b.expiry; });
+  expiry_queues_[unknown_window].assign(recovered.begin(), recovered.end());
 }
 
 // ---- Requests ---------------------------------------------------------------------------------------------
 
-opinion key_table::arrive(const key_id& key, std::uint64_t content, owner id, std::chrono::nanoseconds window,
-                          moment now) {
-  if (const auto at = table_.find(key); at != table_.end()) {
-    entry& e = at->second;
-    if (e.expiry <= now && !is_open(e.where)) {
-      erase(at);  // aged out, and about to be forgotten anyway
-    } else if (e.content != content) {
-      return {standing::conflict, 0, {}, {}};
-    } else if (is_open(e.where)) {
-      return {standing::joins, e.leader, {}, {}};
-    } else if (e.where == state::answered) {
-      return {standing::answered, 0, e.at, {}};
-    } else if (options_.inquiry_tries == 0 || now < e.ask_after) {
-      return {standing::in_doubt, 0, {}, {}};
-    } else if (!disk_.writable || reserved_ + options_.result_room > disk_.room || open_ >= options_.open) {
-      return {standing::in_doubt, 0, {}, {}};  // what is learned could not be kept
-    } else {
-      enter(e, state::asking);
-      e.leader = id;
-      return {standing::asks, id, {}, {}};
-    }
-  }
-  const std::uint64_t needed = options_.intent_room + options_.result_room;
-  if (!disk_.writable || reserved_ + needed > disk_.room || table_.size() >= options_.entries ||
-      open_ >= options_.open)
-    return no_room(now);
-  entry e;
-  e.content = content;
-  e.expiry = now + window.count();
-  e.leader = id;
-  e.where = state::held;
+key_claim key_table::claim(const key_id& key, std::uint64_t fingerprint, request_id id,
+                           std::chrono::nanoseconds window, aging_time now) {
+  const auto found = entries_.find(key);
+  if (found == entries_.end()) return claim_new(key, fingerprint, id, window, now);
+  const bool expired = found->second.expiry <= now && !is_open(found->second.state);
+  if (!expired) return claim_known(found->second, fingerprint, id, now);
+  erase(found);
+  return claim_new(key, fingerprint, id, window, now);
+}
+
+key_claim key_table::claim_known(entry& known, std::uint64_t fingerprint, request_id id, aging_time now) {
+  if (known.fingerprint != fingerprint) return {.status = claim_status::key_conflict};
+  if (is_open(known.state)) return {.status = claim_status::coalesced, .primary = known.primary};
+  if (known.state == key_state::completed)
+    return {.status = claim_status::completed, .result_at = known.result_at};
+  const bool may_inquire = options_.inquiry_tries > 0 && now >= known.inquire_after;
+  const bool can_record_result = can_reserve(options_.max_result_bytes) && open_ < options_.open;
+  if (!may_inquire || !can_record_result) return {.status = claim_status::outcome_unknown};
+  enter(known, key_state::inquiring);
+  known.primary = id;
+  return {.status = claim_status::inquiry_primary, .primary = id};
+}
+
+key_claim key_table::claim_new(const key_id& key, std::uint64_t fingerprint, request_id id,
+                               std::chrono::nanoseconds window, aging_time now) {
+  const bool has_capacity = can_reserve(bytes_to_reserve(key_state::queued)) &&
+                            entries_.size() < options_.entries && open_ < options_.open;
+  if (!has_capacity) return no_capacity(now);
+  entry added;
+  added.fingerprint = fingerprint;
+  added.expiry = now + window.count();
+  added.primary = id;
+  added.state = key_state::queued;
   ++open_;
-  reserved_ += set_aside(e.where);
-  table_.emplace(key, e);
-  ageing_[window.count()].push_back({e.expiry, key});
-  return {standing::first, id, {}, {}};
+  reserved_bytes_ += bytes_to_reserve(added.state);
+  entries_.emplace(key, added);
+  expiry_queues_[window.count()].push_back({added.expiry, key});
+  return {.status = claim_status::primary, .primary = id};
+}
+
+bool key_table::can_reserve(std::uint64_t bytes) const {
+  return disk_.writable && reserved_bytes_ + bytes <= disk_.room;
 }
 
-// When it is worth coming back: the disk is tried again, a segment goes, or some of those open have ended.
-opinion key_table::no_room(moment now) const {
-  std::chrono::nanoseconds wait = least_advice;
+// The advice is when capacity may be back: the disk is tried again, a segment frees its room, or some of the
+// open keys have completed.
+key_claim key_table::no_capacity(aging_time now) const {
+  std::chrono::nanoseconds wait = min_retry_after;
   if (!disk_.writable) {
     wait = std::max(wait, options_.retry_disk);
   } else if (open_ < options_.open && disk_.next_ageing > now) {
     wait = std::max(wait, std::chrono::nanoseconds(disk_.next_ageing - now));
   }
-  return {standing::no_room, 0, {}, wait};
+  return {.status = claim_status::no_capacity, .retry_after = wait};
 }
 
 // ---- Steps ------------------------------------------------------------------------------------------------
 
-std::uint64_t key_table::set_aside(state s) const {
-  switch (s) {
-    case state::held:
-    case state::intending: return options_.intent_room + options_.result_room;
-    case state::running:
-    case state::recording:
-    case state::asking: return options_.result_room;
-    case state::in_doubt:
-    case state::answered: return 0;
+std::uint64_t key_table::bytes_to_reserve(key_state state) const {
+  switch (state) {
+    case key_state::queued:
+    case key_state::writing_intent: return options_.max_intent_bytes + options_.max_result_bytes;
+    case key_state::running:
+    case key_state::recording_result:
+    case key_state::inquiring: return options_.max_result_bytes;
+    case key_state::outcome_unknown:
+    case key_state::completed: return 0;
   }
   return 0;
 }
 
-void key_table::enter(entry& e, state to) {
-  reserved_ -= set_aside(e.where);
-  reserved_ += set_aside(to);
-  open_ -= is_open(e.where);
+void key_table::enter(entry& changed, key_state to) {
+  reserved_bytes_ -= bytes_to_reserve(changed.state);
+  reserved_bytes_ += bytes_to_reserve(to);
+  open_ -= is_open(changed.state);
   open_ += is_open(to);
-  doubtful_ -= e.where == state::in_doubt;
-  doubtful_ += to == state::in_doubt;
-  e.where = to;
-  if (!is_open(to)) e.leader = 0;
+  outcomes_unknown_ -= changed.state == key_state::outcome_unknown;
+  outcomes_unknown_ += to == key_state::outcome_unknown;
+  changed.state = to;
+  if (!is_open(to)) changed.primary = 0;
 }
 
-bool key_table::move(const key_id& key, state from, state to) {
-  const auto at = table_.find(key);
-  if (at == table_.end() || at->second.where != from) return false;
-  enter(at->second, to);
+bool key_table::transition(const key_id& key, key_state from, key_state to) {
+  const auto found = entries_.find(key);
+  if (found == entries_.end() || found->second.state != from) return false;
+  enter(found->second, to);
   return true;
 }
 
-bool key_table::intend(const key_id& key) {
-  return move(key, state::held, state::intending);
+bool key_table::begin_intent(const key_id& key) {
+  return transition(key, key_state::queued, key_state::writing_intent);
 }
 
-bool key_table::intended(const key_id& key) {
-  return move(key, state::intending, state::running);
+bool key_table::intent_written(const key_id& key) {
+  return transition(key, key_state::writing_intent, key_state::running);
 }
 
-// Also of one in doubt whose run ends after all: what is known is kept.
-bool key_table::record(const key_id& key) {
-  return move(key, state::running, state::recording) || move(key, state::asking, state::recording) ||
-         move(key, state::in_doubt, state::recording);
+bool key_table::begin_recording(const key_id& key) {
+  return transition(key, key_state::running, key_state::recording_result) ||
+         transition(key, key_state::inquiring, key_state::recording_result) ||
+         transition(key, key_state::outcome_unknown, key_state::recording_result);
 }
 
-bool key_table::recorded(const key_id& key, const store::position& at, moment now) {
-  const auto found = table_.find(key);
-  if (found == table_.end() || found->second.where != state::recording) return false;
-  found->second.at = at;
-  enter(found->second, state::answered);
-  if (found->second.expiry <= now) erase(found);  // it was kept for its run alone
+bool key_table::result_recorded(const key_id& key, const store::position& result_at, aging_time now) {
+  const auto found = entries_.find(key);
+  if (found == entries_.end() || found->second.state != key_state::recording_result) return false;
+  found->second.result_at = result_at;
+  enter(found->second, key_state::completed);
+  if (found->second.expiry <= now) erase(found);  // it expired while it was open
   return true;
 }
 
-bool key_table::doubt(const key_id& key) {
-  return move(key, state::running, state::in_doubt);
+bool key_table::mark_outcome_unknown(const key_id& key) {
+  return transition(key, key_state::running, key_state::outcome_unknown);
 }
 
 bool key_table::release(const key_id& key) {
-  const auto at = table_.find(key);
-  if (at == table_.end() || at->second.where == state::answered || at->second.where == state::recording)
-    return false;
-  erase(at);
+  const auto found = entries_.find(key);
+  if (found == entries_.end()) return false;
+  const key_state state = found->second.state;
+  if (state == key_state::completed || state == key_state::recording_result) return false;
+  erase(found);
   return true;
 }
 
-std::chrono::nanoseconds key_table::asked_in_vain(const key_id& key, moment now) {
-  const auto at = table_.find(key);
-  if (at == table_.end() || at->second.where != state::asking) return 0ns;
-  entry& e = at->second;
-  const std::chrono::nanoseconds pause =
-      options_.inquiry_pause * (1u << std::min<unsigned>(e.tries, most_doublings));
-  if (++e.tries < options_.inquiry_tries) return pause;
-  // The next repeat asks anew, though not before a pause that goes on growing.
-  e.tries =
-      static_cast<std::uint8_t>(std::min<unsigned>(e.tries, std::numeric_limits<std::uint8_t>::max() - 1));
-  e.ask_after = now + pause.count();
-  enter(e, state::in_doubt);
+// After the last try, the next duplicate begins anew, though not before a pause that goes on growing.
+std::chrono::nanoseconds key_table::schedule_inquiry_retry(const key_id& key, aging_time now) {
+  const auto found = entries_.find(key);
+  if (found == entries_.end() || found->second.state != key_state::inquiring) return 0ns;
+  entry& inquired = found->second;
+  const unsigned doublings = std::min<unsigned>(inquired.inquiries_failed, max_pause_doublings);
+  const std::chrono::nanoseconds pause = options_.inquiry_pause * (1u << doublings);
+  if (++inquired.inquiries_failed < options_.inquiry_tries) return pause;
+  constexpr unsigned max_failed = std::numeric_limits<std::uint8_t>::max() - 1;  // one more still fits
+  inquired.inquiries_failed =
+      static_cast<std::uint8_t>(std::min<unsigned>(inquired.inquiries_failed, max_failed));
+  inquired.inquire_after = now + pause.count();
+  enter(inquired, key_state::outcome_unknown);
   return 0ns;
 }
 
-// ---- Ageing -----------------------------------------------------------------------------------------------
+// ---- Expiry -----------------------------------------------------------------------------------------------
 
-void key_table::age(moment now) {
-  for (auto& [window, queue] : ageing_) {
+void key_table::expire(aging_time now) {
+  for (auto& [window, queue] : expiry_queues_) {
     while (!queue.empty() && queue.front().expiry <= now) {
-      const due next = queue.front();
+      const expiring_key next = queue.front();
       queue.pop_front();
-      const auto at = table_.find(next.key);
-      // Not one that came anew since, nor one that is open: that is let go when it ends.
-      if (at != table_.end() && at->second.expiry == next.expiry && !is_open(at->second.where)) erase(at);
+      const auto found = entries_.find(next.key);
+      if (found == entries_.end()) continue;
+      const bool claimed_anew = found->second.expiry != next.expiry;
+      if (!claimed_anew && !is_open(found->second.state)) erase(found);
     }
   }
 }
 
-void key_table::erase(table::iterator at) {
-  const state last = at->second.where;
-  reserved_ -= set_aside(last);
+void key_table::erase(entry_map::iterator erased) {
+  const key_state last = erased->second.state;
+  reserved_bytes_ -= bytes_to_reserve(last);
   open_ -= is_open(last);
-  doubtful_ -= last == state::in_doubt;
-  table_.erase(at);
+  outcomes_unknown_ -= last == key_state::outcome_unknown;
+  entries_.erase(erased);
 }
 
 }  // namespace marblewharf::idempotency
--- a/src/idempotency/records.cpp
+++ b/src/idempotency/records.cpp
@@ -7,85 +7,103 @@
 namespace marblewharf::idempotency {
 namespace {
 
-constexpr std::size_t fixed_size = 48;
+using text_size = std::uint16_t;
+
+constexpr std::size_t fixed_size = 48;  // bytes before the texts of an intent, or the result
+constexpr std::size_t intent_texts = 3;
 
 template <typename T>
-void put(std::string& out, T value) {
+void append_value(std::string& out, T value) {
   out.append(reinterpret_cast<const char*>(&value), sizeof value);
 }
+
 template <typename T>
-T take(std::string_view& bytes) {
+T take_value(std::string_view& bytes) {
   T value{};
   std::memcpy(&value, bytes.data(), sizeof value);
   bytes.remove_prefix(sizeof value);
   return value;
 }
 
-void put_text(std::string& out, std::string_view text) {
-  put(out, static_cast<std::uint16_t>(text.size()));
+void append_text(std::string& out, std::string_view text) {
+  append_value(out, static_cast<text_size>(text.size()));
   out += text;
 }
-bool take_text(std::string_view& bytes, std::string_view& text) {
-  if (bytes.size() < 2) return false;
-  const auto size = take<std::uint16_t>(bytes);
-  if (size > bytes.size()) return false;
-  text = bytes.substr(0, size);
+
+std::optional<std::string_view> take_text(std::string_view& bytes) {
+  if (bytes.size() < sizeof(text_size)) return std::nullopt;
+  const auto size = take_value<text_size>(bytes);
+  if (size > bytes.size()) return std::nullopt;
+  const std::string_view text = bytes.substr(0, size);
   bytes.remove_prefix(size);
-  return true;
+  return text;
+}
+
+bool is_record_type(std::uint32_t type) {
+  return type >= static_cast<std::uint32_t>(record_type::intent) &&
+         type <= static_cast<std::uint32_t>(record_type::release);
 }
 
 }  // namespace
 
-store::record encode(const kept& k) {
-  store::record r;
-  r.type = static_cast<std::uint32_t>(k.what);
-  put(r.body, k.key.low);
-  put(r.body, k.key.high);
-  put(r.body, k.content);
-  put(r.body, k.expiry);
-  put(r.body, k.at);
-  put(r.body, std::uint64_t{k.served});
-  if (k.what == record_type::intent) {
-    put_text(r.body, k.tenant);
-    put_text(r.body, k.request_class);
-    put_text(r.body, k.name);
+store::record encode(const key_record& written) {
+  store::record encoded;
+  encoded.type = static_cast<std::uint32_t>(written.type);
+  append_value(encoded.body, written.key.low);
+  append_value(encoded.body, written.key.high);
+  append_value(encoded.body, written.fingerprint);
+  append_value(encoded.body, written.expiry);
+  append_value(encoded.body, written.written_at);
+  append_value(encoded.body, std::uint64_t{written.succeeded});
+  if (written.type == record_type::intent) {
+    append_text(encoded.body, written.tenant);
+    append_text(encoded.body, written.request_class);
+    append_text(encoded.body, written.client_key);
   }
-  if (k.what == record_type::result) r.body += k.bytes;
-  return r;
+  if (written.type == record_type::result) encoded.body += written.result;
+  return encoded;
 }
 
-std::optional<kept> decode(std::uint32_t type, std::string_view body) {
-  if (type < 1 || type > 3 || body.size() < fixed_size) return std::nullopt;
-  kept k;
-  k.what = static_cast<record_type>(type);
-  k.key.low = take<std::uint64_t>(body);
-  k.key.high = take<std::uint64_t>(body);
-  k.content = take<std::uint64_t>(body);
-  k.expiry = take<moment>(body);
-  k.at = take<moment>(body);
-  k.served = take<std::uint64_t>(body) != 0;
-  if (k.what == record_type::intent &&
-      !(take_text(body, k.tenant) && take_text(body, k.request_class) && take_text(body, k.name)))
-    return std::nullopt;
-  if (k.what == record_type::result) k.bytes = body;
-  return k;
+std::optional<key_record> decode(std::uint32_t type, std::string_view body) {
+  if (!is_record_type(type) || body.size() < fixed_size) return std::nullopt;
+  key_record read;
+  read.type = static_cast<record_type>(type);
+  read.key.low = take_value<std::uint64_t>(body);
+  read.key.high = take_value<std::uint64_t>(body);
+  read.fingerprint = take_value<std::uint64_t>(body);
+  read.expiry = take_value<aging_time>(body);
+  read.written_at = take_value<aging_time>(body);
+  read.succeeded = take_value<std::uint64_t>(body) != 0;
+  if (read.type == record_type::intent) {
+    const auto tenant = take_text(body);
+    const auto request_class = tenant ? take_text(body) : std::nullopt;
+    const auto client_key = request_class ? take_text(body) : std::nullopt;
+    if (!client_key) return std::nullopt;
+    read.tenant = *tenant;
+    read.request_class = *request_class;
+    read.client_key = *client_key;
+  }
+  if (read.type == record_type::result) read.result = body;
+  return read;
 }
 
-key_id hash_of(std::string_view tenant, std::string_view request_class, std::string_view name,
-               std::uint64_t salt) {
+key_id key_id_of(std::string_view tenant, std::string_view request_class, std::string_view client_key,
+                 std::uint64_t salt) {
   std::string scoped;
-  put_text(scoped, tenant);
-  put_text(scoped, request_class);
-  put_text(scoped, name);
-  const XXH128_hash_t h = XXH3_128bits_withSeed(scoped.data(), scoped.size(), salt);
-  return {h.low64, h.high64};
+  append_text(scoped, tenant);
+  append_text(scoped, request_class);
+  append_text(scoped, client_key);
+  const XXH128_hash_t hash = XXH3_128bits_withSeed(scoped.data(), scoped.size(), salt);
+  return {hash.low64, hash.high64};
 }
 
-std::uint64_t intent_room(std::size_t longest_key, std::size_t longest_tenant, std::size_t longest_class) {
-  return store::room_for(fixed_size + 6 + longest_key + longest_tenant + longest_class);
+std::uint64_t max_intent_bytes(std::size_t longest_key, std::size_t longest_tenant,
+                               std::size_t longest_class) {
+  return store::room_for(fixed_size + intent_texts * sizeof(text_size) + longest_key + longest_tenant +
+                         longest_class);
 }
 
-std::uint64_t result_room(std::size_t largest_result) {
+std::uint64_t max_result_bytes(std::size_t largest_result) {
   return store::room_for(fixed_size + largest_result);
 }
 
--- a/src/idempotency/records.hpp
+++ b/src/idempotency/records.hpp
@@ -1,5 +1,5 @@
-// The records of a key on disk: typed values to bytes and back. Each says all that recovery needs, so that a
-// segment may go whatever stands in others.
+// The records of idempotency keys on disk: typed values to bytes and back. Each record has all that recovery
+// needs of it, so that a segment may be removed whatever other segments hold.
 #pragma once
 
 #include <cstdint>
@@ -12,29 +12,33 @@
 
 namespace marblewharf::idempotency {
 
+// The values are on disk.
 enum class record_type : std::uint32_t { intent = 1, result = 2, release = 3 };
 
-struct kept {
-  record_type what{};
+struct key_record {
+  record_type type{};
   key_id key;
-  std::uint64_t content = 0;
-  moment expiry = 0;
-  moment at = 0;                                       // when it was written
-  bool served = false;                                 // of a result; else the run failed
-  std::string_view tenant{}, request_class{}, name{};  // of an intent: the key as it came, and its scope
-  std::string_view bytes{};                            // of a result
+  std::uint64_t fingerprint = 0;
+  aging_time expiry = 0;
+  aging_time written_at = 0;
+  bool succeeded = false;  // of a result; else the run failed
+  // Of an intent: the key as the client sent it, and its scope.
+  std::string_view tenant{}, request_class{}, client_key{};
+  std::string_view result{};  // of a result
 };
 
-store::record encode(const kept& k);
-// None where it is no record of ours: its checksums were right, so its writer was another program.
-std::optional<kept> decode(std::uint32_t type, std::string_view body);
+store::record encode(const key_record& written);
+// None: the bytes are not a record of this type. Their checksums were right, so another program wrote them.
+// The views point into `body`.
+std::optional<key_record> decode(std::uint32_t type, std::string_view body);
 
-// The hash by which a key is known.
-key_id hash_of(std::string_view tenant, std::string_view request_class, std::string_view name,
-               std::uint64_t salt);
+// The hash by which a key is known in its scope.
+key_id key_id_of(std::string_view tenant, std::string_view request_class, std::string_view client_key,
+                 std::uint64_t salt);
 
-// Room on disk that the largest record takes.
-std::uint64_t intent_room(std::size_t longest_key, std::size_t longest_tenant, std::size_t longest_class);
-std::uint64_t result_room(std::size_t largest_result);
+// Bytes on disk of the largest record.
+std::uint64_t max_intent_bytes(std::size_t longest_key, std::size_t longest_tenant,
+                               std::size_t longest_class);
+std::uint64_t max_result_bytes(std::size_t largest_result);
 
 }  // namespace marblewharf::idempotency
--- a/src/idempotency/results_command.cpp
+++ b/src/idempotency/results_command.cpp
@@ -12,108 +12,133 @@
 namespace marblewharf::idempotency {
 namespace {
 
-struct known {
-  std::string tenant, request_class, name;
-  moment expiry = 0;
-  bool answered = false, served = false;
-  std::uint64_t size = 0;
-  store::position at;
+constexpr aging_time ns_per_second = 1'000'000'000;
+
+// A key as its records in the folder tell it.
+struct recorded_key {
+  std::string tenant, request_class, client_key;
+  aging_time expiry = 0;
+  bool completed = false;
+  bool succeeded = false;
+  std::uint64_t result_size = 0;
+  store::position result_at;
 };
 
-struct less {
+struct key_order {
   bool operator()(const key_id& a, const key_id& b) const {
     return a.high != b.high ? a.high < b.high : a.low < b.low;
   }
 };
 
-std::int64_t expiry_of(std::uint32_t type, std::string_view body) {
-  const auto k = decode(type, body);
-  return k ? k->expiry : 0;
+using recorded_keys = std::map<key_id, recorded_key, key_order>;
+
+struct folder_content {
+  recorded_keys keys;
+  store::recovered_counts counts;
+};
+
+aging_time expiry_of(std::uint32_t type, std::string_view body) {
+  const std::optional<key_record> record = decode(type, body);
+  return record ? record->expiry : 0;
+}
+
+void apply(const key_record& record, const store::position& position, recorded_keys& keys) {
+  if (record.type == record_type::release) {
+    keys.erase(record.key);
+    return;
+  }
+  recorded_key& key = keys[record.key];
+  key.expiry = record.expiry;
+  key.completed = record.type == record_type::result;
+  key.succeeded = record.succeeded;
+  key.result_size = record.result.size();
+  key.result_at = position;
+  if (record.type != record_type::intent) return;
+  key.tenant = record.tenant;
+  key.request_class = record.request_class;
+  key.client_key = record.client_key;
 }
 
-std::map<key_id, known, less> read_all(const std::string& folder, store::recovered_counts& counts) {
-  store::posix_file_system fs;
-  std::map<key_id, known, less> all;
-  counts = store::log::inspect(fs, folder, expiry_of,
-                               [&](std::uint32_t type, std::string_view body, const store::position& at) {
-                                 const auto k = decode(type, body);
-                                 if (!k) return;
-                                 if (k->what == record_type::release) {
-                                   all.erase(k->key);
-                                   return;
-                                 }
-                                 known& one = all[k->key];
-                                 one.expiry = k->expiry;
-                                 one.answered = k->what == record_type::result;
-                                 one.served = k->served;
-                                 one.size = k->bytes.size();
-                                 one.at = at;
-                                 if (k->what != record_type::intent) return;
-                                 one.tenant = k->tenant;
-                                 one.request_class = k->request_class;
-                                 one.name = k->name;
-                               });
-  return all;
+folder_content read_folder(const std::string& folder) {
+  store::posix_file_system files;
+  folder_content content;
+  const auto apply_each = [&](std::uint32_t type, std::string_view body, const store::position& position) {
+    if (const std::optional<key_record> record = decode(type, body)) apply(*record, position, content.keys);
+  };
+  content.counts = store::log::inspect(files, folder, expiry_of, apply_each);
+  return content;
 }
 
-const char* state_of(const known& k) {
-  return !k.answered ? "in-doubt" : k.served ? "served" : "failed";
+const char* status_of(const recorded_key& key) {
+  if (!key.completed) return "in-doubt";
+  return key.succeeded ? "served" : "failed";
+}
+
+std::string utc_text(aging_time time) {
+  const std::time_t seconds = static_cast<std::time_t>(time / ns_per_second);
+  char text[32];
+  std::tm utc{};
+  ::gmtime_r(&seconds, &utc);
+  std::strftime(text, sizeof text, "%Y-%m-%dT%H:%M:%SZ", &utc);
+  return text;
+}
+
+// Writes a stored result to standard output.
+void print_result(const std::string& folder, const store::position& result_at) {
+  store::posix_file_system files;
+  const std::string path = folder + "/" + store::log::file_name(result_at.segment);
+  std::uint32_t type = 0;
+  const std::string bytes = files.read(path, result_at.offset, result_at.size);
+  const std::optional<key_record> record =
+      decode(static_cast<std::uint32_t>(record_type::result), store::decode_record(bytes, type, path));
+  std::fwrite(record->result.data(), 1, record->result.size(), stdout);
 }
 
 }  // namespace
 
-void list_results(const results_query& q) {
-  store::recovered_counts counts;
-  for (const auto& [key, k] : read_all(q.folder, counts)) {
-    const std::time_t until = static_cast<std::time_t>(k.expiry / 1'000'000'000);
-    char text[32];
-    std::tm utc{};
-    ::gmtime_r(&until, &utc);
-    std::strftime(text, sizeof text, "%Y-%m-%dT%H:%M:%SZ", &utc);
-    std::printf("%s until=%s tenant=%s class=%s key=%s bytes=%" PRIu64 "\n", state_of(k), text,
-                store::printable(k.tenant).c_str(), store::printable(k.request_class).c_str(),
-                store::printable(k.name).c_str(), k.size);
+void list_results(const results_query& query) {
+  for (const auto& [id, key] : read_folder(query.folder).keys) {
+    std::printf("%s until=%s tenant=%s class=%s key=%s bytes=%" PRIu64 "\n", status_of(key),
+                utc_text(key.expiry).c_str(), store::printable(key.tenant).c_str(),
+                store::printable(key.request_class).c_str(), store::printable(key.client_key).c_str(),
+                key.result_size);
   }
 }
 
-bool show_result(const results_query& q) {
-  store::recovered_counts counts;
-  for (const auto& [key, k] : read_all(q.folder, counts)) {
-    if (k.name != q.key || k.tenant != q.tenant || k.request_class != q.request_class) continue;
-    if (!k.answered) {
+bool show_result(const results_query& query) {
+  for (const auto& [id, key] : read_folder(query.folder).keys) {
+    const bool matches =
+        key.client_key == query.key && key.tenant == query.tenant && key.request_class == query.request_class;
+    if (!matches) continue;
+    if (!key.completed) {
       std::fprintf(stderr, "in doubt: a run began and its end was not recorded\n");
       return false;
     }
-    store::posix_file_system fs;
-    const std::string path = q.folder + "/" + store::log::file_name(k.at.segment);
-    std::uint32_t type = 0;
-    const std::string bytes = fs.read(path, k.at.offset, k.at.size);
-    const auto result =
-        decode(static_cast<std::uint32_t>(record_type::result), store::decode_record(bytes, type, path));
-    std::fwrite(result->bytes.data(), 1, result->bytes.size(), stdout);
+    print_result(query.folder, key.result_at);
     return true;
   }
   std::fprintf(stderr, "no such key\n");
   return false;
 }
 
-void verify_results(const results_query& q) {
-  store::recovered_counts counts;
-  const auto all = read_all(q.folder, counts);
-  std::uint64_t doubtful = 0;
-  for (const auto& [key, k] : all) doubtful += !k.answered;
+void verify_results(const results_query& query) {
+  const folder_content content = read_folder(query.folder);
+  std::uint64_t unknown = 0;
+  for (const auto& [id, key] : content.keys) unknown += key.completed ? 0 : 1;
+  const store::recovered_counts& counts = content.counts;
   std::printf("segments=%" PRIu64 " commits=%" PRIu64 " records=%" PRIu64 " keys=%zu in_doubt=%" PRIu64
               " torn_bytes=%" PRIu64 "\n",
-              counts.segments, counts.frames, counts.records, all.size(), doubtful, counts.torn_bytes);
+              counts.segments, counts.frames, counts.records, content.keys.size(), unknown,
+              counts.torn_bytes);
 }
 
-void set_segment_aside(const results_query& q) {
-  store::posix_file_system fs;
-  const auto held = fs.lock(q.folder + "/lock");
-  const std::string path = q.folder + "/" + q.segment;
-  if (!q.segment.ends_with(".seg")) throw store::io_error(path + ": no segment");
-  fs.rename(path, path + ".aside");
-  fs.sync_folder(q.folder);
+void set_segment_aside(const results_query& query) {
+  store::posix_file_system files;
+  const auto lock = files.lock(query.folder + "/lock");
+  const std::string path = query.folder + "/" + query.segment;
+  if (!query.segment.ends_with(".seg")) throw store::io_error(path + ": no segment");
+  files.rename(path, path + ".aside");
+  files.sync_folder(query.folder);
   std::printf("%s is set aside: its keys are forgotten and may run again\n", path.c_str());
 }
 
--- a/src/transaction/log_records.cpp
+++ b/src/transaction/log_records.cpp
@@ -145,7 +145,7 @@
 }
 
 outcome_cache::key hash_of_key(std::string_view key, std::uint64_t salt) {
-  const idempotency::key_id h = idempotency::hash_of({}, {}, key, salt);
+  const idempotency::key_id h = idempotency::key_id_of({}, {}, key, salt);
   return {h.low, h.high};
 }
 
--- a/tests/idempotency/durable_service_test.cpp
+++ b/tests/idempotency/durable_service_test.cpp
@@ -1,4 +1,4 @@
-// Dispatcher, keeper and the store's thread together, over a disk that stops and comes back.
+// Dispatcher, durable service and the store's thread together, over a disk that stops and comes back.
 #include "idempotency/durable_service.hpp"
 
 #include <atomic>
@@ -53,18 +53,18 @@
   }
 };
 
-struct rig : front, backend {
-  explicit rig(duration deadline = 20s) : desk(settings_of(deadline), 1, steady(), counters) {
-    char name[] = "/tmp/marblewharf-keeper-XXXXXX";
+struct fixture : front, backend {
+  explicit fixture(duration deadline = 20s) : dispatch(settings_of(deadline), 1, steady(), counters) {
+    char name[] = "/tmp/marblewharf-durable-XXXXXX";
     CHECK(::mkdtemp(name) != nullptr);
     folder = name;
-    desk.add(*this);
-    desk.on_server_up(false, steady() - 60s);
+    dispatch.add(*this);
+    dispatch.on_server_up(false, steady() - 60s);
     open();
   }
-  ~rig() override {
+  ~fixture() override {
     disk.held = false;
-    keeper.reset();
+    service.reset();
     std::filesystem::remove_all(folder);
   }
   static admission_policy::settings settings_of(duration deadline) {
@@ -87,16 +87,16 @@
     o.retry_disk = 20ms;
     o.unix_now = 1000s;
     o.steady_now = steady();
-    keeper = std::make_unique<idempotency::durable_service>(disk, o, counters, [] {});
-    keeper->report_to(desk);
-    desk.use(*keeper, 10s);
+    service = std::make_unique<idempotency::durable_service>(disk, o, counters, [] {});
+    service->report_to(dispatch);
+    dispatch.use(*service, 10s);
   }
   request_id ask(const std::string& key) {
     request r;
     r.payload = "price";
     r.reserved_kb = 1;
     r.key = key;
-    return desk.on_arrival(*this, *this, std::move(r));
+    return dispatch.on_arrival(*this, *this, std::move(r));
   }
   void respond(request_id id, const answer& final) override {
     CHECK(!answers.contains(id));  // one final answer each
@@ -112,8 +112,8 @@
   void resume(request_id) override {}
 
   void step() {
-    keeper->step(steady());
-    desk.step(steady(), {});
+    service->step(steady());
+    dispatch.step(steady(), {});
   }
   void until(const std::function<bool()>& what) {
     const auto last = steady() + 15s;
@@ -131,14 +131,14 @@
   void end(const std::string& result) {
     const request_id id = running.back();
     running.pop_back();
-    desk.on_end(id, run_end::succeeded, result, 1ms);
+    dispatch.on_end(id, run_end::succeeded, result, 1ms);
   }
 
   telemetry::counters counters;
-  dispatcher desk;
+  dispatcher dispatch;
   switched_disk disk;
   std::string folder;
-  std::unique_ptr<idempotency::durable_service> keeper;
+  std::unique_ptr<idempotency::durable_service> service;
   std::map<request_id, answer> answers;
   std::map<request_id, std::string> results;
   std::map<std::string, int> ran;
@@ -147,7 +147,7 @@
 
 // Nothing is on disk, so nothing runs and nobody hears 'served'; what comes later is served again, by itself.
 void a_disk_that_is_out() {
-  rig r;
+  fixture r;
   r.disk.broken = true;
   const request_id first = r.ask("a");
   r.until([&] { return r.answered(first); });
@@ -165,15 +165,15 @@
   r.until([&] { return r.answered(third); });
   CHECK(r.how(third) == response_status::served && r.results[third] == "done");
   // What the disk had refused is no doubt after a restart.
-  r.keeper.reset();
+  r.service.reset();
   r.open();
-  CHECK(r.keeper->known().size() == 1 && r.keeper->known().doubtful() == 0);
+  CHECK(r.service->known().size() == 1 && r.service->known().outcomes_unknown() == 0);
 }
 
 // The run has ended and its record waits: nobody hears 'served', a repeat joins, and both hear once it is on
 // disk.
 void a_repeat_between_end_and_record() {
-  rig r;
+  fixture r;
   const request_id first = r.ask("a");
   r.until([&] { return r.ran["a"] == 1; });
   r.disk.held = true;
@@ -189,7 +189,7 @@
 // The disk fails between run and record, past the caller's deadline: it hears that the outcome is unknown to
 // it, in time; the record comes with the disk, and a later repeat has its result.
 void a_record_that_comes_too_late() {
-  rig r(700ms);
+  fixture r(700ms);
   const auto begin = steady();
   const request_id first = r.ask("a");
   r.until([&] { return r.ran["a"] == 1; });
@@ -208,14 +208,14 @@
     return r.answered(later) && r.how(later) == response_status::served;
   });
   CHECK(r.results[later] == "done" && r.ran["a"] == 1);
-  r.keeper.reset();
+  r.service.reset();
   r.open();
-  CHECK(r.keeper->known().size() == 1 && r.keeper->known().doubtful() == 0);
+  CHECK(r.service->known().size() == 1 && r.service->known().outcomes_unknown() == 0);
 }
 
 // Each commit takes what came meanwhile: many writes, few syncs.
 void one_sync_for_many() {
-  rig r;
+  fixture r;
   const int before = r.disk.syncs;
   r.disk.held = true;
   std::vector<request_id> all;
@@ -228,15 +228,16 @@
   CHECK(r.disk.syncs - before < 60);
 }
 
-// While its leader is held or intends, a key stays with it: leaving does not set it free under others.
+// While its primary is queued or writes its intent, a key stays with it: leaving does not set it free under
+// others.
 void leavers_and_joiners() {
-  rig r;
+  fixture r;
   r.disk.held = true;
   const request_id first = r.ask("a");
   r.step();
   const request_id second = r.ask("a");
   r.step();
-  r.desk.on_client_cancelled(first);
+  r.dispatch.on_client_cancelled(first);
   r.pass(50ms);
   r.disk.held = false;
   r.until([&] { return r.ran["a"] == 1; });
@@ -247,15 +248,15 @@
   r.disk.held = true;
   const request_id third = r.ask("b");
   r.step();
-  r.desk.on_client_cancelled(third);
+  r.dispatch.on_client_cancelled(third);
   r.disk.held = false;
-  r.until([&] { return r.desk.open() == 0; });
+  r.until([&] { return r.dispatch.open() == 0; });
   CHECK(r.ran["b"] == 0);
   const request_id fourth = r.ask("b");
   r.until([&] { return r.ran["b"] == 1; });
   r.end("done");
   r.until([&] { return r.answered(fourth); });
-  CHECK(r.desk.open() == 0 && r.keeper->known().open() == 0);
+  CHECK(r.dispatch.open() == 0 && r.service->known().open() == 0);
 }
 
 }  // namespace
--- a/tests/idempotency/store_test.cpp
+++ b/tests/idempotency/store_test.cpp
@@ -1,4 +1,4 @@
-// The store and the ledger over a file system that fails: every call in turn, every byte cut, every byte
+// The store and the key table over a file system that fails: every call in turn, every byte cut, every byte
 // changed.
 #include <cstdio>
 #include <cstdlib>
@@ -20,22 +20,22 @@
 
 namespace {
 
-constexpr moment far_off = 1'000'000'000;
+constexpr aging_time far_off = 1'000'000'000;
 
-// A node without its sockets: the ledger over a log, and a backend that counts what ran.
+// A node without its sockets: the key table over a log, and a backend that counts what ran.
 struct small_node {
-  explicit small_node(crash::fs& f, std::map<std::uint64_t, int>& runs, moment at)
-      : now(at), ran(runs), book(key_table_options{100000, 100000, 200, 600, 1s, 0, 0s}) {
+  explicit small_node(crash::fs& f, std::map<std::uint64_t, int>& runs, aging_time at)
+      : now(at), ran(runs), table(key_table_options{100000, 100000, 200, 600, 1s, 0, 0s}) {
     store::log_options o{"d", 4096, 40960, 7};
     disk = std::make_unique<store::log>(
         f, o, [](std::uint32_t type, std::string_view body) { return decode(type, body)->expiry; },
         [this](std::uint32_t type, std::string_view body, const store::position& p) {
           const auto k = *decode(type, body);
-          if (k.what == record_type::intent) book.recover_intent(k.key, k.content, k.expiry, now);
-          if (k.what == record_type::result) book.recover_result(k.key, k.content, k.expiry, p, now);
-          if (k.what == record_type::release) book.recover_release(k.key);
+          if (k.type == record_type::intent) table.recover_intent(k.key, k.fingerprint, k.expiry, now);
+          if (k.type == record_type::result) table.recover_result(k.key, k.fingerprint, k.expiry, p, now);
+          if (k.type == record_type::release) table.recover_release(k.key);
         });
-    book.recovered();
+    table.finish_recovery();
     open();
   }
   void open() {
@@ -44,7 +44,7 @@
     } catch (const store::io_error&) {  // tried again at the next request
     }
   }
-  std::optional<store::position> append(const kept& k) {
+  std::optional<store::position> append(const key_record& k) {
     try {
       return disk->append(std::vector<store::entry>{{encode(k), k.expiry}}, now).front();
     } catch (const store::io_error&) {
@@ -52,7 +52,7 @@
     }
   }
 
-  enum class told { served, refused, failed, in_doubt };
+  enum class told { served, rejected, failed, outcome_unknown };
   // A write of its own key; what its caller hears, and the result.
   std::pair<told, std::string> write(std::uint64_t n, bool release_it = false) {
     now += 1000;
@@ -61,64 +61,65 @@
       disk->tidy(now);
     } catch (const store::io_error&) {
     }
-    book.set_disk({disk->is_open(), disk->room(), disk->next_ageing()});
+    table.set_disk({disk->is_open(), disk->room(), disk->next_ageing()});
     const key_id key{n, n};
-    const opinion o = book.arrive(key, n, 1, std::chrono::nanoseconds(far_off), now);
-    if (o.how == standing::no_room) return {told::refused, ""};
-    if (o.how == standing::in_doubt) return {told::in_doubt, ""};
-    if (o.how == standing::joins) {  // its result waits for the disk
+    const key_claim claim = table.claim(key, n, 1, std::chrono::nanoseconds(far_off), now);
+    if (claim.status == claim_status::no_capacity) return {told::rejected, ""};
+    if (claim.status == claim_status::outcome_unknown) return {told::outcome_unknown, ""};
+    if (claim.status == claim_status::coalesced) {  // its result waits for the disk
       const std::string result = waiting.at(n);
       return record(n, result) ? std::pair{told::served, result} : std::pair{told::failed, std::string()};
     }
-    if (o.how == standing::answered) return {told::served, std::string(decode(2, disk->read(o.at))->bytes)};
-    CHECK(o.how == standing::first);
-    kept k;
+    if (claim.status == claim_status::completed)
+      return {told::served, std::string(decode(2, disk->read(claim.result_at))->result)};
+    CHECK(claim.status == claim_status::primary);
+    key_record k;
     k.key = key;
-    k.content = n;
-    k.expiry = book.expiry_of(key);
-    k.at = now;
-    k.name = "key";
-    k.what = record_type::intent;
-    CHECK(book.intend(key));
+    k.fingerprint = n;
+    k.expiry = table.expiry_of(key);
+    k.written_at = now;
+    k.client_key = "key";
+    k.type = record_type::intent;
+    CHECK(table.begin_intent(key));
     if (!append(k)) {
-      CHECK(book.release(key));
-      return {told::refused, ""};
+      CHECK(table.release(key));
+      return {told::rejected, ""};
     }
-    CHECK(book.intended(key));
+    CHECK(table.intent_written(key));
     if (release_it) {  // the backend proves that it never ran
-      k.what = record_type::release;
-      CHECK(book.release(key));
+      k.type = record_type::release;
+      CHECK(table.release(key));
       append(k);
-      return {told::refused, ""};
+      return {told::rejected, ""};
     }
     ++ran[n];
     const std::string result = "result " + std::to_string(n) + std::string(n % 7 * 40, 'x');
-    CHECK(book.record(key));
+    CHECK(table.begin_recording(key));
     waiting[n] = result;
     if (!record(n, result)) return {told::failed, ""};
     return {told::served, result};
   }
   bool record(std::uint64_t n, const std::string& result) {
-    kept k;
-    k.what = record_type::result;
+    key_record k;
+    k.type = record_type::result;
     k.key = {n, n};
-    k.content = n;
-    k.expiry = book.expiry_of(k.key);
-    k.at = now;
-    k.served = true;
-    k.bytes = result;
+    k.fingerprint = n;
+    k.expiry = table.expiry_of(k.key);
+    k.written_at = now;
+    k.succeeded = true;
+    k.result = result;
     if (!disk->is_open()) open();
     const auto at = append(k);
     if (!at) return false;
     waiting.erase(n);
-    CHECK(book.recorded(k.key, *at, now));
+    CHECK(table.result_recorded(k.key, *at, now));
     return true;
   }
 
-  moment now;
+  aging_time now;
   std::map<std::uint64_t, int>& ran;
   std::map<std::uint64_t, std::string> waiting;  // results that the disk did not take
-  key_table book;
+  key_table table;
   std::unique_ptr<store::log> disk;
 };
 
@@ -134,7 +135,7 @@
   std::map<std::uint64_t, int> ran;
   std::map<std::uint64_t, std::string> served;
   std::set<std::uint64_t> refused;
-  moment now = 5000;
+  aging_time now = 5000;
   std::unique_ptr<small_node> node;
   const auto play = [&] {
     if (!node) node = std::make_unique<small_node>(fs, ran, now);
@@ -144,7 +145,7 @@
       if (told == small_node::told::served) {
         const auto [at, added] = served.emplace(n, result);
         CHECK(at->second == result);
-      } else if (told == small_node::told::refused) {
+      } else if (told == small_node::told::rejected) {
         CHECK(!ran.contains(n) || ran[n] == 0);  // never 'refused' for what ran
       }
     }
@@ -195,10 +196,10 @@
         fs, "d", [](std::uint32_t type, std::string_view body) { return decode(type, body)->expiry; },
         [&](std::uint32_t type, std::string_view body, const store::position&) {
           const auto k = *decode(type, body);
-          if (k.what == record_type::release) {
+          if (k.type == record_type::release) {
             found.erase(k.key.low);
           } else {
-            found[k.key.low] = k.what == record_type::intent ? 0 : k.bytes.size();
+            found[k.key.low] = k.type == record_type::intent ? 0 : k.result.size();
           }
         });
   } catch (const store::damaged&) {
@@ -292,8 +293,8 @@
   CHECK(node.write(1).first == small_node::told::served && ran[1] == 1);  // repeats go on
   const std::uint64_t first = n;
   node.now += 2 * far_off;
-  node.book.age(node.now);
-  CHECK(node.book.size() == 0);
+  node.table.expire(node.now);
+  CHECK(node.table.size() == 0);
   CHECK(node.write(n + 1).first == small_node::told::served);
   CHECK(node.disk->used() <= 40960);
   while (node.write(n + 1).first == small_node::told::served) CHECK(++n < 10000);
@@ -310,7 +311,7 @@
     fs.how = how;
     std::mt19937 random(seed);
     std::map<std::uint64_t, int> ran;
-    moment now = 5000;
+    aging_time now = 5000;
     std::set<std::uint64_t> served;  // and have not aged
     const auto segments = [&] {
       std::size_t n = 0;
@@ -326,7 +327,7 @@
         now = node->now;
       }
       now = node->now += 2 * far_off;
-      node->book.age(now);
+      node->table.expire(now);
       before = segments();
       try {
         node->disk->tidy(now);
@@ -351,7 +352,7 @@
     // Room comes back, and the names go.
     for (int round = 0; round < 4; ++round) {
       now = node->now += 2 * far_off;
-      node->book.age(now);
+      node->table.expire(now);
       for (int i = 0; i < 40; ++i) node->write(++n);
     }
     CHECK(node->disk->used() <= 40960);
@@ -382,98 +383,106 @@
 void only_the_steps_of_the_table() {
   const key_table_options o{4, 4, 100, 200, 1s, 2, 10ms};
   const key_id key{1, 1};
-  const auto in = [&](state s) {
-    key_table l(o);
-    l.set_disk({true, 100000, 0});
-    CHECK(l.arrive(key, 5, 9, 10s, 0).how == standing::first);
-    if (s == state::held) return l;
-    CHECK(l.intend(key));
-    if (s == state::intending) return l;
-    CHECK(l.intended(key));
-    if (s == state::running) return l;
-    if (s == state::in_doubt || s == state::asking) {
-      CHECK(l.doubt(key));
-      if (s == state::asking) CHECK(l.arrive(key, 5, 10, 10s, 1).how == standing::asks);
-      return l;
+  const auto in = [&](key_state s) {
+    key_table table(o);
+    table.set_disk({true, 100000, 0});
+    CHECK(table.claim(key, 5, 9, 10s, 0).status == claim_status::primary);
+    if (s == key_state::queued) return table;
+    CHECK(table.begin_intent(key));
+    if (s == key_state::writing_intent) return table;
+    CHECK(table.intent_written(key));
+    if (s == key_state::running) return table;
+    if (s == key_state::outcome_unknown || s == key_state::inquiring) {
+      CHECK(table.mark_outcome_unknown(key));
+      if (s == key_state::inquiring)
+        CHECK(table.claim(key, 5, 10, 10s, 1).status == claim_status::inquiry_primary);
+      return table;
     }
-    CHECK(l.record(key));
-    if (s == state::recording) return l;
-    CHECK(l.recorded(key, {1, 2, 3}, 1));
-    return l;
+    CHECK(table.begin_recording(key));
+    if (s == key_state::recording_result) return table;
+    CHECK(table.result_recorded(key, {1, 2, 3}, 1));
+    return table;
   };
   using step = std::function<bool(key_table&)>;
-  const std::vector<std::pair<step, std::set<state>>> steps = {
-      {[&](key_table& l) { return l.intend(key); }, {state::held}},
-      {[&](key_table& l) { return l.intended(key); }, {state::intending}},
-      {[&](key_table& l) { return l.record(key); }, {state::running, state::asking, state::in_doubt}},
-      {[&](key_table& l) { return l.recorded(key, {}, 1); }, {state::recording}},
-      {[&](key_table& l) { return l.doubt(key); }, {state::running}},
-      {[&](key_table& l) { return l.release(key); },
-       {state::held, state::intending, state::running, state::in_doubt, state::asking}},
+  const std::vector<std::pair<step, std::set<key_state>>> steps = {
+      {[&](key_table& table) { return table.begin_intent(key); }, {key_state::queued}},
+      {[&](key_table& table) { return table.intent_written(key); }, {key_state::writing_intent}},
+      {[&](key_table& table) { return table.begin_recording(key); },
+       {key_state::running, key_state::inquiring, key_state::outcome_unknown}},
+      {[&](key_table& table) { return table.result_recorded(key, {}, 1); }, {key_state::recording_result}},
+      {[&](key_table& table) { return table.mark_outcome_unknown(key); }, {key_state::running}},
+      {[&](key_table& table) { return table.release(key); },
+       {key_state::queued, key_state::writing_intent, key_state::running, key_state::outcome_unknown,
+        key_state::inquiring}},
   };
-  const std::vector<state> states = {state::held,     state::intending, state::running, state::recording,
-                                     state::in_doubt, state::asking,    state::answered};
-  for (const state s : states) {
+  const std::vector<key_state> states = {
+      key_state::queued,          key_state::writing_intent, key_state::running,  key_state::recording_result,
+      key_state::outcome_unknown, key_state::inquiring,      key_state::completed};
+  for (const key_state s : states) {
     for (const auto& [take, from] : steps) {
-      key_table l = in(s);
-      CHECK(take(l) == from.contains(s));
-      if (!from.contains(s)) CHECK(l.state_of(key) == s);
+      key_table table = in(s);
+      CHECK(take(table) == from.contains(s));
+      if (!from.contains(s)) CHECK(table.state_of(key) == s);
     }
-    key_table l = in(s);
-    CHECK(l.arrive(key, 6, 11, 10s, 1).how == standing::conflict && l.state_of(key) == s);
-    const standing again = l.arrive(key, 5, 11, 10s, 1).how;
-    CHECK(again == (s == state::answered   ? standing::answered
-                    : s == state::in_doubt ? standing::asks
-                                           : standing::joins));
+    key_table known = in(s);
+    CHECK(known.claim(key, 6, 11, 10s, 1).status == claim_status::key_conflict && known.state_of(key) == s);
+    const claim_status again = known.claim(key, 5, 11, 10s, 1).status;
+    CHECK(again == (s == key_state::completed         ? claim_status::completed
+                    : s == key_state::outcome_unknown ? claim_status::inquiry_primary
+                                                      : claim_status::coalesced));
     // Room is set aside for what is still to be written, and for nothing else.
-    CHECK(l.reserved() <= 300 && (s != state::answered || l.reserved() == 0));
+    CHECK(known.reserved_bytes() <= 300 && (s != key_state::completed || known.reserved_bytes() == 0));
     // Open ones do not age; what is known does.
     key_table old = in(s);
-    old.age(std::chrono::nanoseconds(20s).count());
-    CHECK(old.knows(key) == (s != state::answered && s != state::in_doubt));
+    old.expire(std::chrono::nanoseconds(20s).count());
+    CHECK(old.contains(key) == (s != key_state::completed && s != key_state::outcome_unknown));
   }
 }
 
 // Inquiries are bounded and back off; the next one is not at once.
 void inquiries_are_bounded() {
-  key_table l({4, 4, 100, 200, 1s, 3, 10ms});
-  l.set_disk({true, 100000, 0});
+  key_table table({4, 4, 100, 200, 1s, 3, 10ms});
+  table.set_disk({true, 100000, 0});
   const key_id key{1, 1};
-  l.recover_intent(key, 5, std::chrono::nanoseconds(100s).count(), 0);
-  l.recovered();
-  CHECK(l.doubtful() == 1);
-  CHECK(l.arrive(key, 5, 2, 10s, 0).how == standing::asks);
-  CHECK(l.arrive(key, 5, 3, 10s, 0).how == standing::joins);
-  CHECK(l.asked_in_vain(key, 0) == 10ms && l.asked_in_vain(key, 0) == 20ms && l.asked_in_vain(key, 0) == 0ms);
-  CHECK(l.arrive(key, 5, 2, 10s, 0).how == standing::in_doubt);
-  CHECK(l.arrive(key, 5, 2, 10s, std::chrono::nanoseconds(1s).count()).how == standing::asks);
-  CHECK(l.record(key) && l.recorded(key, {}, 1));
-  CHECK(l.arrive(key, 5, 2, 10s, 0).how == standing::answered);
+  table.recover_intent(key, 5, std::chrono::nanoseconds(100s).count(), 0);
+  table.finish_recovery();
+  CHECK(table.outcomes_unknown() == 1);
+  CHECK(table.claim(key, 5, 2, 10s, 0).status == claim_status::inquiry_primary);
+  CHECK(table.claim(key, 5, 3, 10s, 0).status == claim_status::coalesced);
+  CHECK(table.schedule_inquiry_retry(key, 0) == 10ms && table.schedule_inquiry_retry(key, 0) == 20ms &&
+        table.schedule_inquiry_retry(key, 0) == 0ms);
+  CHECK(table.claim(key, 5, 2, 10s, 0).status == claim_status::outcome_unknown);
+  CHECK(table.claim(key, 5, 2, 10s, std::chrono::nanoseconds(1s).count()).status ==
+        claim_status::inquiry_primary);
+  CHECK(table.begin_recording(key) && table.result_recorded(key, {}, 1));
+  CHECK(table.claim(key, 5, 2, 10s, 0).status == claim_status::completed);
 }
 
 // Bounds are kept by refusing what is new, never by dropping what is known.
 void bounds_refuse_the_new() {
-  key_table l({3, 2, 100, 200, 500ms, 0, 0ms});
-  CHECK(l.arrive({1, 1}, 5, 1, 10s, 0).how == standing::no_room);  // the disk has not said anything yet
-  l.set_disk({true, 650, 4'000'000'000});
-  CHECK(l.arrive({1, 1}, 5, 1, 10s, 0).how == standing::first);
-  CHECK(l.arrive({2, 2}, 5, 2, 10s, 0).how == standing::first);
-  const opinion full = l.arrive({3, 3}, 5, 3, 10s, 0);
-  CHECK(full.how == standing::no_room && full.come_back >= 1s);
-  CHECK(l.arrive({1, 1}, 5, 4, 10s, 0).how == standing::joins);
+  key_table table({3, 2, 100, 200, 500ms, 0, 0ms});
+  CHECK(table.claim({1, 1}, 5, 1, 10s, 0).status ==
+        claim_status::no_capacity);  // the disk has not said anything yet
+  table.set_disk({true, 650, 4'000'000'000});
+  CHECK(table.claim({1, 1}, 5, 1, 10s, 0).status == claim_status::primary);
+  CHECK(table.claim({2, 2}, 5, 2, 10s, 0).status == claim_status::primary);
+  const key_claim full = table.claim({3, 3}, 5, 3, 10s, 0);
+  CHECK(full.status == claim_status::no_capacity && full.retry_after >= 1s);
+  CHECK(table.claim({1, 1}, 5, 4, 10s, 0).status == claim_status::coalesced);
   for (const std::uint64_t n : {1u, 2u}) {
     const key_id key{n, n};
-    CHECK(l.intend(key) && l.intended(key) && l.record(key) && l.recorded(key, {}, 1));
+    CHECK(table.begin_intent(key) && table.intent_written(key) && table.begin_recording(key) &&
+          table.result_recorded(key, {}, 1));
   }
-  l.set_disk({true, 250, 4'000'000'000});
-  const opinion filled = l.arrive({3, 3}, 5, 3, 10s, 0);
-  CHECK(filled.how == standing::no_room && filled.come_back == 4s);  // when the next segment goes
-  l.set_disk({true, 5000, 0});
-  CHECK(l.arrive({3, 3}, 5, 3, 10s, 0).how == standing::first);
-  CHECK(l.arrive({4, 4}, 5, 4, 10s, 0).how == standing::no_room);  // three entries are known
-  CHECK(l.arrive({1, 1}, 5, 4, 10s, 0).how == standing::answered);
-  l.set_disk({false, 5000, 0});
-  CHECK(l.arrive({5, 5}, 5, 4, 10s, 0).how == standing::no_room);
+  table.set_disk({true, 250, 4'000'000'000});
+  const key_claim filled = table.claim({3, 3}, 5, 3, 10s, 0);
+  CHECK(filled.status == claim_status::no_capacity && filled.retry_after == 4s);  // when the next segment goes
+  table.set_disk({true, 5000, 0});
+  CHECK(table.claim({3, 3}, 5, 3, 10s, 0).status == claim_status::primary);
+  CHECK(table.claim({4, 4}, 5, 4, 10s, 0).status == claim_status::no_capacity);  // three entries are known
+  CHECK(table.claim({1, 1}, 5, 4, 10s, 0).status == claim_status::completed);
+  table.set_disk({false, 5000, 0});
+  CHECK(table.claim({5, 5}, 5, 4, 10s, 0).status == claim_status::no_capacity);
 }
 
 }  // namespace
--- a/tests/net/dispatcher_test.cpp
+++ b/tests/net/dispatcher_test.cpp
@@ -29,11 +29,11 @@
 
 namespace {
 
-struct rig : front, backend {
-  explicit rig(admission_policy::settings s) : desk(s, 1, now, counters) {
-    desk.add(*this);
-    desk.on_server_up(false, now);
-    desk.step(now, {});
+struct fixture : front, backend {
+  explicit fixture(admission_policy::settings s) : dispatch(s, 1, now, counters) {
+    dispatch.add(*this);
+    dispatch.on_server_up(false, now);
+    dispatch.step(now, {});
   }
   void respond(request_id id, const answer& final) override {
     CHECK(answers.emplace(id, final.status).second);  // one final answer each
@@ -49,10 +49,10 @@
     r.request_class = request_class;
     r.reserved_kb = 10;
     r.caller = ++last_caller;
-    return desk.on_arrival(*this, *this, std::move(r));
+    return dispatch.on_arrival(*this, *this, std::move(r));
   }
   void pass(duration d) {
-    for (const time_point until = now + d; now < until; now += 10ms) desk.step(now, {});
+    for (const time_point until = now + d; now < until; now += 10ms) dispatch.step(now, {});
   }
 
   time_point now = 1000s;
@@ -61,7 +61,7 @@
   std::map<request_id, response_status> answers;
   std::map<request_id, duration> advice;
   std::set<request_id> runs, paused;
-  dispatcher desk;
+  dispatcher dispatch;
 };
 
 admission_policy::settings usual(unsigned cores = 2) {
@@ -81,67 +81,67 @@
 }
 
 void ends_count_once() {
-  rig r(usual());
+  fixture r(usual());
   const request_id id = r.arrive(1);
-  r.desk.on_end(id, run_end::succeeded, "early", 1ms);  // of what never started
+  r.dispatch.on_end(id, run_end::succeeded, "early", 1ms);  // of what never started
   CHECK(r.answers.empty());
   r.pass(10ms);
   CHECK(r.runs.contains(id));
-  r.desk.on_end(id, run_end::succeeded, "x", 5ms);
-  r.desk.on_end(id, run_end::failed, "", 5ms);
-  r.desk.on_end(12345, run_end::succeeded, "", 5ms);
-  r.desk.on_client_cancelled(id);
+  r.dispatch.on_end(id, run_end::succeeded, "x", 5ms);
+  r.dispatch.on_end(id, run_end::failed, "", 5ms);
+  r.dispatch.on_end(12345, run_end::succeeded, "", 5ms);
+  r.dispatch.on_client_cancelled(id);
   r.pass(5s);
-  CHECK(r.answers.at(id) == response_status::served && r.desk.open() == 0 && r.counters.served == 1);
+  CHECK(r.answers.at(id) == response_status::served && r.dispatch.open() == 0 && r.counters.served == 1);
 }
 
 void what_ran_is_never_refused() {
-  rig r(usual());
+  fixture r(usual());
   for (const run_end how : {run_end::failed, run_end::aborted, run_end::never_started}) {
     const request_id id = r.arrive(1);
     r.pass(10ms);
-    r.desk.on_end(id, how, {}, 5ms);
+    r.dispatch.on_end(id, how, {}, 5ms);
     r.pass(20ms);
     CHECK(r.answers.at(id) == response_status::failed);
   }
-  CHECK(r.desk.open() == 0);
+  CHECK(r.dispatch.open() == 0);
 }
 
 // Guards against answers held back: a run past its aim is failed then, with advice, and stopped.
 void the_given_up_are_told_when_to_come_back() {
-  rig r(usual());
+  fixture r(usual());
   const request_id id = r.arrive(1);
   r.pass(1050ms);
   CHECK(r.answers.at(id) == response_status::failed && r.paused.contains(id) && r.advice.at(id) > 0ns);
-  r.desk.on_end(id, run_end::aborted, {}, 1s);
-  CHECK(r.desk.open() == 0);
+  r.dispatch.on_end(id, run_end::aborted, {}, 1s);
+  CHECK(r.dispatch.open() == 0);
 }
 
 void the_gone_get_no_answer() {
-  rig r(usual(1));
+  fixture r(usual(1));
   std::vector<request_id> ids;
   for (int i = 0; i < 8; ++i) ids.push_back(r.arrive());
   r.pass(10ms);
   for (const request_id id : ids) {
-    if (!r.answers.contains(id)) r.desk.on_client_cancelled(id);
+    if (!r.answers.contains(id)) r.dispatch.on_client_cancelled(id);
   }
   const std::size_t answered = r.answers.size();
   r.pass(5s);
   CHECK(r.answers.size() == answered);
-  for (const request_id id : r.runs) r.desk.on_end(id, run_end::aborted, {}, 1ms);
-  CHECK(r.desk.open() == 0);
+  for (const request_id id : r.runs) r.dispatch.on_end(id, run_end::aborted, {}, 1ms);
+  CHECK(r.dispatch.open() == 0);
 }
 
 // Guards against tables that grow on a long day: callers' numbers are ever new, and some leave before they
 // run.
 void nothing_is_kept_of_what_is_over() {
-  rig r(usual());
+  fixture r(usual());
   const auto serve = [&](int count) {
     for (int i = 0; i < count; ++i) {
       const request_id runs = r.arrive(0), leaves = r.arrive(0);
-      r.desk.on_client_cancelled(leaves);
+      r.dispatch.on_client_cancelled(leaves);
       r.pass(10ms);
-      r.desk.on_end(runs, run_end::succeeded, "x", 5ms);
+      r.dispatch.on_end(runs, run_end::succeeded, "x", 5ms);
       r.answers.clear();
       r.advice.clear();
       r.runs.clear();
@@ -155,18 +155,18 @@
 
 // Every request that comes in a drain is answered before the stop, and none starts that came after the grace.
 void a_drain_leaves_nothing_open() {
-  rig r(usual(1));
+  fixture r(usual(1));
   std::vector<request_id> early, late;
   early.push_back(r.arrive(1));
   r.pass(10ms);
-  r.desk.on_drain(3s);
+  r.dispatch.on_drain(3s);
   r.pass(600ms);
   for (int i = 0; i < 5; ++i) late.push_back(r.arrive());
   r.pass(2300ms);
   for (const request_id id : early) CHECK(r.answers.contains(id));
   for (const request_id id : late)
     CHECK(r.answers.at(id) == response_status::rejected && !r.runs.contains(id));
-  CHECK(!r.desk.healthy());
+  CHECK(!r.dispatch.healthy());
 }
 
 }  // namespace
