--- a/src/middleware/exchange.cpp
+++ b/src/middleware/exchange.cpp
@@ -5,20 +5,27 @@
 #include <algorithm>
 #include <fstream>
 #include <set>
+#include <string_view>
 
 namespace marblewharf::middleware {
+namespace {
+
+constexpr std::size_t read_chunk_bytes = 4096;
+constexpr std::string_view end_of_head = "\r\n\r\n";
+
+}  // namespace
 
 using Poco::Net::HTTPServerRequest;
 using Poco::Net::HTTPServerResponse;
 
-std::optional<std::string> read_body(HTTPServerRequest& request, std::size_t most) {
+std::optional<std::string> read_body(HTTPServerRequest& request, std::size_t max_bytes) {
   if (request.getExpectContinue()) request.response().sendContinue();
   std::string body;
-  char chunk[4096];
+  char chunk[read_chunk_bytes];
   std::istream& in = request.stream();
   while (in.read(chunk, sizeof chunk) || in.gcount() > 0) {
     body.append(chunk, static_cast<std::size_t>(in.gcount()));
-    if (body.size() > most) return std::nullopt;
+    if (body.size() > max_bytes) return std::nullopt;
   }
   return body;
 }
@@ -70,18 +77,18 @@
 
 void replay(const std::string& whole, HTTPServerResponse& to) {
   std::istringstream in(whole);
-  Poco::Net::HTTPResponse kept;
-  kept.read(in);
-  const std::size_t head = whole.find("\r\n\r\n");
-  if (head == std::string::npos) throw Poco::DataFormatException("a kept response without a head");
-  to.setStatus(kept.getStatus());
-  to.setReason(kept.getReason());
-  std::set<std::string> seen;
-  for (const auto& [name, value] : kept) {  // one name may come several times
-    if (seen.insert(name).second) to.erase(name);
+  Poco::Net::HTTPResponse stored;
+  stored.read(in);
+  const std::size_t head_size = whole.find(end_of_head);
+  if (head_size == std::string::npos) throw Poco::DataFormatException("a kept response without a head");
+  to.setStatus(stored.getStatus());
+  to.setReason(stored.getReason());
+  std::set<std::string> replaced;
+  for (const auto& [name, value] : stored) {  // a header may occur several times
+    if (replaced.insert(name).second) to.erase(name);
     to.add(name, value);
   }
-  const std::string body = whole.substr(head + 4);
+  const std::string body = whole.substr(head_size + end_of_head.size());
   to.setContentLength(static_cast<std::streamsize>(body.size()));
   to.send() << body;
 }
--- a/src/middleware/exchange.hpp
+++ b/src/middleware/exchange.hpp
@@ -1,5 +1,6 @@
-// A keyed request and its response in memory: the request's body is read before its handler runs, so that its
-// content is known; the response is kept before any byte of it is sent.
+// A keyed HTTP request and its response in memory: the body is read before the handler runs, so that the
+// request has a fingerprint, and the response is stored before any byte of it is sent. Each object belongs to
+// the server's thread that handles its request.
 #pragma once
 
 #include <Poco/Net/HTTPServerRequest.h>
@@ -11,10 +12,10 @@
 
 namespace marblewharf::middleware {
 
-// The whole body; none where it has more bytes than that.
-std::optional<std::string> read_body(Poco::Net::HTTPServerRequest& request, std::size_t most);
+// The whole body; none where it has more than `max_bytes`.
+std::optional<std::string> read_body(Poco::Net::HTTPServerRequest& request, std::size_t max_bytes);
 
-// The request again, with its body in memory. The original must outlive it.
+// A request whose body is in memory. `original` and `response` outlive it.
 class buffered_request : public Poco::Net::HTTPServerRequest {
  public:
   buffered_request(Poco::Net::HTTPServerRequest& original, std::string body,
@@ -33,7 +34,7 @@
   std::istringstream body_;
 };
 
-// Takes what a handler answers, and sends nothing.
+// A response that a handler writes into memory. Nothing is sent.
 class captured_response : public Poco::Net::HTTPServerResponse {
  public:
   void sendContinue() override {}  // the body was read before the handler began
@@ -44,7 +45,7 @@
   void requireAuthentication(const std::string& realm) override;
   bool sent() const override { return sent_; }
 
-  // Head and body, as they are kept.
+  // Head and body, in the form in which they are stored.
   std::string whole();
 
  private:
@@ -52,8 +53,8 @@
   bool sent_ = false;
 };
 
-// Sends a kept response over the connection at hand, whose own headers stay. Throws Poco::Exception where it
-// is none.
+// Sends a stored response. Headers that the connection set stay unless the stored response has them, too.
+// Throws Poco::Exception where `whole` is no stored response.
 void replay(const std::string& whole, Poco::Net::HTTPServerResponse& to);
 
 }  // namespace marblewharf::middleware
--- a/src/middleware/gate.cpp
+++ b/src/middleware/gate.cpp
@@ -6,39 +6,62 @@
 namespace marblewharf::middleware::detail {
 namespace {
 
+using namespace std::chrono_literals;
+
+constexpr duration cpu_measuring_period = 250ms;
+constexpr duration min_timer_wait = 1ms;
+constexpr duration max_timer_wait = 100ms;
+constexpr std::uint64_t min_segment_bytes = std::uint64_t{1} << 20;
+constexpr std::uint64_t results_per_segment = 16;  // of the largest
+constexpr std::uint64_t min_segments = 4;          // that the folder's space allows
+
 time_point steady_now() {
   return std::chrono::steady_clock::now().time_since_epoch();
 }
 
-// A handler cannot be stopped from outside: the module must not count on it.
-admission_policy::settings adapted(admission_policy::settings s, const std::optional<keyed_settings>& keys) {
-  s.halt = admission_policy::halt_mode::none;
-  for (std::size_t i = 0; keys && i < std::min(keys->windows.size(), s.classes.size()); ++i) {
+// Handlers cannot be stopped from outside, and a keyed class has its window from the folder's settings.
+admission_policy::settings policy_settings_of(admission_policy::settings settings,
+                                              const std::optional<keyed_settings>& keys) {
+  settings.halt = admission_policy::halt_mode::none;
+  if (!keys) return settings;
+  const std::size_t classes = std::min(keys->windows.size(), settings.classes.size());
+  for (std::size_t i = 0; i < classes; ++i) {
     if (keys->windows[i].count() == 0) continue;
-    s.classes[i].effect = admission_policy::request_effect::keyed;
-    s.classes[i].idempotency_window = s.classes[i].deadline;
+    settings.classes[i].effect = admission_policy::request_effect::keyed;
+    settings.classes[i].idempotency_window = settings.classes[i].deadline;
   }
-  return s;
-}
-
-idempotency::durable_service_options to_options(const keyed_settings& k,
-                                                const admission_policy::settings& s) {
-  idempotency::durable_service_options o;
-  o.folder = k.folder;
-  o.windows = k.windows;
-  o.windows.resize(s.classes.size());
-  for (const auto& c : s.classes) o.classes.push_back(c.name);
-  for (const auto& t : s.tenants) o.tenants.push_back(t.name);
-  o.longest_key = k.longest_key;
-  o.largest_result = k.largest_response;
-  o.entries = k.entries;
-  o.space = k.space;
-  o.segment = std::clamp<std::uint64_t>(16 * k.largest_response, std::uint64_t{1} << 20, k.space / 4);
+  return settings;
+}
+
+std::uint64_t random_salt() {
   std::random_device random;
-  o.salt = std::uint64_t{random()} << 32 | random();
-  o.unix_now = std::chrono::system_clock::now().time_since_epoch();
-  o.steady_now = steady_now();
-  return o;
+  return std::uint64_t{random()} << 32 | random();
+}
+
+idempotency::durable_service_options store_options_of(const keyed_settings& keys,
+                                                      const admission_policy::settings& settings) {
+  idempotency::durable_service_options options;
+  options.folder = keys.folder;
+  options.windows = keys.windows;
+  options.windows.resize(settings.classes.size());
+  for (const auto& each : settings.classes) options.classes.push_back(each.name);
+  for (const auto& each : settings.tenants) options.tenants.push_back(each.name);
+  options.longest_key = keys.longest_key;
+  options.largest_result = keys.largest_response;
+  options.entries = keys.entries;
+  options.space = keys.space;
+  options.segment = std::clamp<std::uint64_t>(results_per_segment * keys.largest_response, min_segment_bytes,
+                                              keys.space / min_segments);
+  options.salt = random_salt();
+  options.unix_now = std::chrono::system_clock::now().time_since_epoch();
+  options.steady_now = steady_now();
+  return options;
+}
+
+failure_cause cause_of(const answer& final) {
+  if (final.key_conflict) return failure_cause::key_conflict;
+  if (final.outcome_unknown) return failure_cause::outcome_unknown;
+  return failure_cause::deadline_exceeded;
 }
 
 }  // namespace
@@ -48,29 +71,32 @@
     : cores_(settings.cores),
       gauges_(settings.gauges),
       keys_(std::move(keys)),
-      dispatcher_(adapted(settings, keys_), seed, steady_now(), counters_),
+      dispatcher_(policy_settings_of(settings, keys_), seed, steady_now(), counters_),
       measured_at_(steady_now()) {
   dispatcher_.add(*this);
-  if (keys_) {
-    keeper_ = std::make_unique<idempotency::durable_service>(
-        disk_, to_options(*keys_, settings), counters_, [this] {
-          const std::lock_guard lock(guard_);  // else the ticker may look and miss it before it waits
-          changed_.notify_all();
-        });
-    keeper_->report_to(dispatcher_);
-    dispatcher_.use(*keeper_, {});
-  }
+  if (keys_) open_store(settings);
   dispatcher_.on_server_up(settings.cold_start, steady_now());
-  ticker_ = std::thread([this] { let_time_pass(); });
+  timer_thread_ = std::thread([this] { drive_timers(); });
 }
 
 gate_impl::~gate_impl() {
   {
-    const std::lock_guard lock(guard_);
+    const std::lock_guard lock(mutex_);
     stopping_ = true;
   }
   changed_.notify_all();
-  ticker_.join();
+  timer_thread_.join();
+}
+
+void gate_impl::open_store(const admission_policy::settings& settings) {
+  const auto notify = [this] {
+    const std::lock_guard lock(mutex_);  // the timer thread may be between its step and its wait
+    changed_.notify_all();
+  };
+  store_ = std::make_unique<idempotency::durable_service>(files_, store_options_of(*keys_, settings),
+                                                          counters_, notify);
+  store_->report_to(dispatcher_);
+  dispatcher_.use(*store_, {});
 }
 
 const keyed_settings* gate_impl::keys_of(unsigned request_class) const {
@@ -79,130 +105,136 @@
   return keyed ? &*keys_ : nullptr;
 }
 
-gate_impl::visit gate_impl::enter(const traits& t, std::string key, std::uint64_t content) {
-  request r;
-  r.request_class = t.request_class;
-  r.tenant = t.tenant;
-  r.reserved_kb = t.held_kb;
-  r.expected_work = t.work;
-  r.key = std::move(key);
-  r.content = content;
-  std::unique_lock lock(guard_);
-  visit v;
-  v.id = dispatcher_.on_arrival(*this, *this, std::move(r));
-  visits_.emplace(v.id, &v);
-  step();
-  changed_.notify_all();  // the ticker may have something sooner to wait for
-  changed_.wait(lock, [&v] { return v.where != state::waiting; });
-  visits_.erase(v.id);
-  v.begun = steady_now();
-  return v;
+// ---- The server's threads ---------------------------------------------------------------------------------
+
+attempt gate_impl::admit(const traits& request_traits, std::string key, std::uint64_t fingerprint) {
+  request what;
+  what.request_class = request_traits.request_class;
+  what.tenant = request_traits.tenant;
+  what.reserved_kb = request_traits.held_kb;
+  what.expected_work = request_traits.work;
+  what.key = std::move(key);
+  what.content = fingerprint;
+  std::unique_lock lock(mutex_);
+  attempt admitted;
+  admitted.id = dispatcher_.on_arrival(*this, *this, std::move(what));
+  waiting_.emplace(admitted.id, &admitted);
+  step_and_notify();
+  wait_for_answer(lock, admitted);
+  admitted.started_at = steady_now();
+  return admitted;
+}
+
+bool gate_impl::finish(const attempt& running, bool succeeded) {
+  const std::lock_guard lock(mutex_);
+  const bool failed_before = take_failed_while_running(running.id);
+  dispatcher_.on_end(running.id, succeeded ? run_end::succeeded : run_end::failed, {},
+                     steady_now() - running.started_at);
+  step_and_notify();
+  return !failed_before;
+}
+
+attempt gate_impl::finish_keyed(const attempt& running, const std::optional<std::string>& response) {
+  std::unique_lock lock(mutex_);
+  attempt finished;
+  finished.id = running.id;
+  const bool failed_before = take_failed_while_running(running.id);
+  if (!failed_before) waiting_.emplace(finished.id, &finished);
+  const run_end how = response ? run_end::succeeded : run_end::lost;
+  dispatcher_.on_end(running.id, how, response ? std::string_view(*response) : std::string_view(),
+                     steady_now() - running.started_at);
+  step_and_notify();
+  if (failed_before) {
+    finished.state = attempt_state::failed;
+    finished.cause = failure_cause::deadline_exceeded;
+    return finished;
+  }
+  wait_for_answer(lock, finished);
+  return finished;
 }
 
-bool gate_impl::leave(const visit& v, bool well) {
-  const std::lock_guard lock(guard_);
-  const bool owed = given_up_.erase(v.id) == 0;
-  dispatcher_.on_end(v.id, well ? run_end::succeeded : run_end::failed, {}, steady_now() - v.begun);
-  step();
-  changed_.notify_all();
-  return owed;
-}
-
-gate_impl::visit gate_impl::leave_keyed(const visit& v, const std::optional<std::string>& response) {
-  std::unique_lock lock(guard_);
-  visit end;
-  end.id = v.id;
-  const bool owed = given_up_.erase(v.id) == 0;
-  if (owed) visits_.emplace(end.id, &end);
-  if (response) {
-    dispatcher_.on_end(v.id, run_end::succeeded, *response, steady_now() - v.begun);
-  } else {
-    dispatcher_.on_end(v.id, run_end::lost, {}, steady_now() - v.begun);
-  }
-  step();
-  changed_.notify_all();
-  if (!owed) {
-    end.where = state::failed;
-    end.overdue = true;
-    return end;
-  }
-  changed_.wait(lock, [&end] { return end.where != state::waiting; });
-  visits_.erase(end.id);
-  return end;
+void gate_impl::wait_for_answer(std::unique_lock<std::mutex>& lock, const attempt& waiting) {
+  changed_.wait(lock, [&waiting] { return waiting.state != attempt_state::waiting; });
+  waiting_.erase(waiting.id);
 }
 
-void gate_impl::drain(duration left) {
-  const std::lock_guard lock(guard_);
-  dispatcher_.on_drain(left);
-  step();
-  changed_.notify_all();
+void gate_impl::drain(duration time_left) {
+  const std::lock_guard lock(mutex_);
+  dispatcher_.on_drain(time_left);
+  step_and_notify();
 }
 
 bool gate_impl::healthy() {
-  const std::lock_guard lock(guard_);
+  const std::lock_guard lock(mutex_);
   return dispatcher_.healthy();
 }
 
 tally gate_impl::counts() {
-  const std::lock_guard lock(guard_);
+  const std::lock_guard lock(mutex_);
   return {counters_.taken_in, counters_.sent, counters_.served, counters_.refused, counters_.failed};
 }
 
+// ---- The dispatcher's front and backend -------------------------------------------------------------------
+
 void gate_impl::respond(request_id id, const answer& final) {
-  const auto at = visits_.find(id);
-  if (at == visits_.end() || at->second->where != state::waiting) {
-    if (final.status == response_status::failed && final.deadline_exceeded)
-      given_up_.insert_or_assign(id, true);
+  const auto found = waiting_.find(id);
+  const bool somebody_waits = found != waiting_.end() && found->second->state == attempt_state::waiting;
+  if (!somebody_waits) {
+    if (final.status == response_status::failed && final.deadline_exceeded) failed_while_running_.insert(id);
     return;
   }
-  visit& v = *at->second;
-  v.retry_after = final.retry_after;
-  v.overdue = final.deadline_exceeded;
-  v.in_doubt = final.outcome_unknown;
-  v.conflict = final.key_conflict;
+  attempt& answered = *found->second;
+  answered.retry_after = final.retry_after;
+  answered.cause = cause_of(final);
   switch (final.status) {
     case response_status::served:
-      v.result = final.result;
-      v.where = state::answered;
+      answered.result = final.result;
+      answered.state = attempt_state::answered;
       break;
-    case response_status::rejected: v.where = state::refused; break;
-    case response_status::failed: v.where = state::failed; break;
+    case response_status::rejected: answered.state = attempt_state::rejected; break;
+    case response_status::failed: answered.state = attempt_state::failed; break;
   }
 }
 
 void gate_impl::run(request_id id, const request&) {
-  if (const auto at = visits_.find(id); at != visits_.end()) at->second->where = state::running;
+  const auto found = waiting_.find(id);
+  if (found != waiting_.end()) found->second->state = attempt_state::running;
 }
 
+// ---- Time -------------------------------------------------------------------------------------------------
+
 void gate_impl::step() {
   const time_point now = steady_now();
-  measure(now);
+  measure_cpu(now);
   std::vector<double> values;
-  for (const std::string& name : gauges_) values.push_back(name == "cpu_busy" ? busy_ : 0);
-  if (keeper_) keeper_->step(now);
+  for (const std::string& name : gauges_) values.push_back(name == "cpu_busy" ? cpu_busy_ : 0);
+  if (store_) store_->step(now);
   dispatcher_.step(now, values);
 }
 
-// How busy this process kept the cores of late: what else runs on them is not seen.
-void gate_impl::measure(time_point now) {
-  constexpr duration span = std::chrono::milliseconds(250);
-  if (now - measured_at_ < span) return;
+// Wakes the threads whose attempts have changed, and the timer thread, whose next timer may be sooner now.
+void gate_impl::step_and_notify() {
+  step();
+  changed_.notify_all();
+}
+
+// The share of the cores that this process used; other processes are not seen.
+void gate_impl::measure_cpu(time_point now) {
+  if (now - measured_at_ < cpu_measuring_period) return;
   const std::clock_t used = std::clock();
-  const double wall = std::chrono::duration<double>(now - measured_at_).count();
-  const double cpu = static_cast<double>(used - measured_) / CLOCKS_PER_SEC;
-  busy_ = std::clamp(cpu / (wall * cores_), 0.0, 1.0);
-  measured_ = used;
+  const double wall_seconds = std::chrono::duration<double>(now - measured_at_).count();
+  const double cpu_seconds = static_cast<double>(used - cpu_used_) / CLOCKS_PER_SEC;
+  cpu_busy_ = std::clamp(cpu_seconds / (wall_seconds * cores_), 0.0, 1.0);
+  cpu_used_ = used;
   measured_at_ = now;
 }
 
-void gate_impl::let_time_pass() {
-  std::unique_lock lock(guard_);
+void gate_impl::drive_timers() {
+  std::unique_lock lock(mutex_);
   while (!stopping_) {
-    step();
-    changed_.notify_all();
-    const duration wait = std::clamp<duration>(dispatcher_.due() - steady_now(), std::chrono::milliseconds(1),
-                                               std::chrono::milliseconds(100));
-    changed_.wait_for(lock, wait);
+    step_and_notify();
+    const duration until_due = dispatcher_.due() - steady_now();
+    changed_.wait_for(lock, std::clamp<duration>(until_due, min_timer_wait, max_timer_wait));
   }
 }
 
--- a/src/middleware/middleware.cpp
+++ b/src/middleware/middleware.cpp
@@ -13,116 +13,162 @@
 namespace marblewharf::middleware {
 
 using Poco::Net::HTTPResponse;
+using Poco::Net::HTTPServerRequest;
+using Poco::Net::HTTPServerResponse;
+
+// ---- gate -------------------------------------------------------------------------------------------------
 
 gate::gate(admission_policy::settings settings, std::uint64_t seed)
     : impl_(std::make_unique<detail::gate_impl>(std::move(settings), std::nullopt, seed)) {}
 gate::gate(admission_policy::settings settings, keyed_settings keys, std::uint64_t seed)
     : impl_(std::make_unique<detail::gate_impl>(std::move(settings), std::move(keys), seed)) {}
 gate::~gate() = default;
+
 void gate::drain(std::chrono::nanoseconds left) {
   impl_->drain(left);
 }
+
 bool gate::healthy() const {
   return impl_->healthy();
 }
+
 tally gate::counts() const {
   return impl_->counts();
 }
 
 namespace {
 
-using state = detail::gate_impl::state;
+using detail::attempt;
+using detail::attempt_state;
+using detail::failure_cause;
 
-void respond(Poco::Net::HTTPServerResponse& response, HTTPResponse::HTTPStatus status,
-             duration retry_after = {}) {
+constexpr std::int64_t min_retry_after_seconds = 1;  // 0 would ask for a retry at once
+constexpr std::string_view fingerprint_protocol = "http";
+
+// ---- Responses that no handler wrote ----------------------------------------------------------------------
+
+void set_status(HTTPServerResponse& response, HTTPResponse::HTTPStatus status) {
   response.setStatusAndReason(status);
   response.setContentType("text/plain");
-  // Whole seconds, as HTTP has it, and at least one: 0 would ask for a retry at once.
-  if (status == HTTPResponse::HTTP_SERVICE_UNAVAILABLE)
-    response.set("Retry-After", std::to_string(std::max<std::int64_t>(
-                                    1, std::chrono::ceil<std::chrono::seconds>(retry_after).count())));
+}
+
+void send_reason(HTTPServerResponse& response) {
   const std::string text = response.getReason() + "\n";
   response.setContentLength(static_cast<std::streamsize>(text.size()));
   response.send() << text;
 }
 
-// What was not let run, or is not known to have ended.
-void respond(Poco::Net::HTTPServerResponse& response, const detail::gate_impl::visit& v) {
-  if (v.where == state::refused) {
-    respond(response, HTTPResponse::HTTP_SERVICE_UNAVAILABLE, v.retry_after);
-  } else if (v.conflict) {
-    respond(response, HTTPResponse::HTTP_UNPROCESSABLE_ENTITY);
-  } else if (v.in_doubt) {
-    response.set("Outcome", "unknown");
-    respond(response, HTTPResponse::HTTP_CONFLICT);
+void send_status(HTTPServerResponse& response, HTTPResponse::HTTPStatus status) {
+  set_status(response, status);
+  send_reason(response);
+}
+
+void send_unavailable(HTTPServerResponse& response, duration retry_after) {
+  const std::int64_t seconds = std::chrono::ceil<std::chrono::seconds>(retry_after).count();
+  set_status(response, HTTPResponse::HTTP_SERVICE_UNAVAILABLE);
+  response.set("Retry-After", std::to_string(std::max(min_retry_after_seconds, seconds)));
+  send_reason(response);
+}
+
+void send_failure(HTTPServerResponse& response, failure_cause cause) {
+  switch (cause) {
+    case failure_cause::key_conflict: send_status(response, HTTPResponse::HTTP_UNPROCESSABLE_ENTITY); break;
+    case failure_cause::outcome_unknown:
+      response.set("Outcome", "unknown");
+      send_status(response, HTTPResponse::HTTP_CONFLICT);
+      break;
+    case failure_cause::deadline_exceeded: send_status(response, HTTPResponse::HTTP_GATEWAY_TIMEOUT); break;
+  }
+}
+
+// An attempt whose handler did not run, or is not known to have ended.
+void send_without_result(HTTPServerResponse& response, const attempt& ended) {
+  if (ended.state == attempt_state::rejected) {
+    send_unavailable(response, ended.retry_after);
   } else {
-    respond(response, HTTPResponse::HTTP_GATEWAY_TIMEOUT);
+    send_failure(response, ended.cause);
   }
 }
 
-class guarded : public Poco::Net::HTTPRequestHandler {
+// ---- Handlers ---------------------------------------------------------------------------------------------
+
+// Runs the wrapped handler when the gate admits the request. Lives for one request, on its thread.
+class admitted_handler : public Poco::Net::HTTPRequestHandler {
  public:
-  guarded(std::unique_ptr<Poco::Net::HTTPRequestHandler> wrapped, detail::gate_impl& g, const traits& t)
-      : wrapped_(std::move(wrapped)), gate_(g), traits_(t) {}
+  admitted_handler(std::unique_ptr<Poco::Net::HTTPRequestHandler> wrapped, detail::gate_impl& gate,
+                   const traits& request_traits)
+      : wrapped_(std::move(wrapped)), gate_(gate), traits_(request_traits) {}
 
-  void handleRequest(Poco::Net::HTTPServerRequest& request,
-                     Poco::Net::HTTPServerResponse& response) override {
+  void handleRequest(HTTPServerRequest& request, HTTPServerResponse& response) override {
     if (const keyed_settings* keys = gate_.keys_of(traits_.request_class)) {
       handle_keyed(*keys, request, response);
-      return;
+    } else {
+      handle_unkeyed(request, response);
     }
-    const detail::gate_impl::visit v = gate_.enter(traits_);
-    if (v.where != state::running) {
-      respond(response, v);
+  }
+
+ private:
+  void handle_unkeyed(HTTPServerRequest& request, HTTPServerResponse& response) {
+    const attempt admitted = gate_.admit(traits_);
+    if (admitted.state != attempt_state::running) {
+      send_without_result(response, admitted);
       return;
     }
     try {
       wrapped_->handleRequest(request, response);
     } catch (...) {
-      gate_.leave(v, false);
-      throw;  // the server answers as it does without us
+      gate_.finish(admitted, false);
+      throw;  // the server answers as it does without the middleware
     }
-    const bool owed = gate_.leave(v, response.getStatus() < HTTPResponse::HTTP_INTERNAL_SERVER_ERROR);
-    if (!owed && !response.sent()) respond(response, HTTPResponse::HTTP_GATEWAY_TIMEOUT);
+    const bool succeeded = response.getStatus() < HTTPResponse::HTTP_INTERNAL_SERVER_ERROR;
+    const bool in_time = gate_.finish(admitted, succeeded);
+    if (!in_time && !response.sent()) send_status(response, HTTPResponse::HTTP_GATEWAY_TIMEOUT);
   }
 
- private:
-  // The handler runs at most once for a key, and nothing of its response is sent before that is on disk.
-  void handle_keyed(const keyed_settings& keys, Poco::Net::HTTPServerRequest& request,
-                    Poco::Net::HTTPServerResponse& response) {
-    const std::string key =
-        !traits_.key.empty() || keys.header.empty() ? traits_.key : request.get(keys.header, std::string());
+  // The handler runs at most once for a key, and nothing of its response is sent before it is stored.
+  void handle_keyed(const keyed_settings& keys, HTTPServerRequest& request, HTTPServerResponse& response) {
+    const std::string key = key_of(keys, request);
     if (idempotency::fault_of_key(key, keys.longest_key) != nullptr) {
-      respond(response, HTTPResponse::HTTP_BAD_REQUEST);
+      send_status(response, HTTPResponse::HTTP_BAD_REQUEST);
       return;
     }
     std::optional<std::string> body = read_body(request, keys.largest_body);
     if (!body) {
-      response.setKeepAlive(false);  // the rest of it is not read
-      respond(response, HTTPResponse::HTTP_REQUEST_ENTITY_TOO_LARGE);
+      response.setKeepAlive(false);  // the rest of the body is not read
+      send_status(response, HTTPResponse::HTTP_REQUEST_ENTITY_TOO_LARGE);
       return;
     }
-    const std::array<std::string_view, 4> asked = {"http", request.getMethod(), request.getURI(), *body};
-    detail::gate_impl::visit v = gate_.enter(traits_, key, idempotency::fingerprint_of(asked));
-    if (v.where == state::running) {
-      captured_response captured;
-      buffered_request buffered(request, std::move(*body), captured);
-      std::optional<std::string> whole;
-      try {
-        wrapped_->handleRequest(buffered, captured);
-        whole = captured.whole();
-      } catch (...) {  // what it had done by then, nobody knows
-        gate_.leave_keyed(v, std::nullopt);
-        throw;
-      }
-      if (whole->size() > keys.largest_response) whole.reset();
-      v = gate_.leave_keyed(v, whole);
-    }
-    if (v.where == state::answered) {
-      replay(v.result, response);
+    const std::array<std::string_view, 4> content = {fingerprint_protocol, request.getMethod(),
+                                                     request.getURI(), *body};
+    attempt current = gate_.admit(traits_, key, idempotency::fingerprint_of(content));
+    if (current.state == attempt_state::running)
+      current = run_keyed(keys, current, request, std::move(*body));
+    if (current.state == attempt_state::answered) {
+      replay(current.result, response);
     } else {
-      respond(response, v);
+      send_without_result(response, current);
+    }
+  }
+
+  std::string key_of(const keyed_settings& keys, const HTTPServerRequest& request) const {
+    if (!traits_.key.empty() || keys.header.empty()) return traits_.key;
+    return request.get(keys.header, std::string());
+  }
+
+  attempt run_keyed(const keyed_settings& keys, const attempt& admitted, HTTPServerRequest& request,
+                    std::string body) {
+    captured_response captured;
+    buffered_request buffered(request, std::move(body), captured);
+    std::optional<std::string> whole;
+    try {
+      wrapped_->handleRequest(buffered, captured);
+      whole = captured.whole();
+    } catch (...) {  // what the handler had done by then is not known
+      gate_.finish_keyed(admitted, std::nullopt);
+      throw;
     }
+    if (whole->size() > keys.largest_response) whole.reset();
+    return gate_.finish_keyed(admitted, whole);
   }
 
   std::unique_ptr<Poco::Net::HTTPRequestHandler> wrapped_;
@@ -136,12 +182,11 @@
                                  classifier classify)
     : wrapped_(std::move(wrapped)), gate_(g), classify_(std::move(classify)) {}
 
-Poco::Net::HTTPRequestHandler* handler_factory::createRequestHandler(
-    const Poco::Net::HTTPServerRequest& request) {
+Poco::Net::HTTPRequestHandler* handler_factory::createRequestHandler(const HTTPServerRequest& request) {
   std::unique_ptr<Poco::Net::HTTPRequestHandler> wrapped(wrapped_->createRequestHandler(request));
-  if (!wrapped) return nullptr;  // the server says 501 to what nobody handles
-  const traits t = classify_(request);
-  return new guarded(std::move(wrapped), *gate_.impl_, t);
+  if (!wrapped) return nullptr;  // the server answers 501
+  const traits request_traits = classify_(request);
+  return new admitted_handler(std::move(wrapped), *gate_.impl_, request_traits);
 }
 
 }  // namespace marblewharf::middleware
