--- a/src/fan_out/state_machine.cpp
+++ b/src/fan_out/state_machine.cpp
@@ -244,10 +244,11 @@
 
 // ---- Calls ------------------------------------------------------------------------------------------------
 
-void state_machine::end_call(std::map<call_id, call>::iterator at, time_point now, bool told, bool well) {
+void state_machine::end_call(std::map<call_id, call>::iterator at, time_point now,
+                             upstream::call_outcome outcome) {
   const call c = at->second;
   source& d = dependencies_[c.dependency];
-  d.where.on_end(c.endpoint, now, now - c.begun, told, well);
+  d.where.on_end(c.endpoint, now, now - c.begun, outcome);
   note_changes(c.dependency);
   --d.in_flight;
   d.counts.spent += now - c.begun;
@@ -260,7 +261,7 @@
     const auto at = calls_.find(id);
     if (at == calls_.end()) continue;
     actions_.emplace_back(cancel_call{id});
-    end_call(at, now, false, false);
+    end_call(at, now, upstream::call_outcome::cancelled);
   }
   p.calls.clear();
 }
@@ -275,17 +276,17 @@
   if (how == call_end::not_now) {
     ++d.counts.not_now;
     d.where.on_not_now(c.endpoint, now + come_back);
-    end_call(at, now, false, false);
+    end_call(at, now, upstream::call_outcome::cancelled);
     after_failure(c.gathering, c.part, c.endpoint, now);
   } else if (how == call_end::failed) {
     ++d.counts.failed;
-    end_call(at, now, true, false);
+    end_call(at, now, upstream::call_outcome::failed);
     after_failure(c.gathering, c.part, c.endpoint, now);
   } else {
     ++d.counts.good;
     d.times.add(took);
     d.limit.on_end(now, took, d.in_flight, false);
-    end_call(at, now, true, true);
+    end_call(at, now, upstream::call_outcome::succeeded);
     gathering& g = *find(c.gathering);
     const bool own = g.parts[c.part].step == 0;
     if (own) cache_.put(c.dependency, g.subject, bytes, now);
@@ -340,7 +341,7 @@
       const bool tells = now - c.begun > d.limit.healthy();
       if (tells) d.limit.on_end(now, now - c.begun, d.in_flight, true);
       actions_.emplace_back(cancel_call{t.call});
-      end_call(found, now, tells, false);
+      end_call(found, now, tells ? upstream::call_outcome::failed : upstream::call_outcome::cancelled);
       if (find(c.gathering) != nullptr) after_failure(c.gathering, c.part, c.endpoint, now);
       continue;
     }
--- a/src/fan_out/state_machine.hpp
+++ b/src/fan_out/state_machine.hpp
@@ -167,7 +167,7 @@
   void next_step(gathering_id id, std::size_t part, time_point now);
   void after_failure(gathering_id id, std::size_t part, std::size_t endpoint, time_point now);
   void settle(gathering_id id, std::size_t part, part_result result, time_point now);
-  void end_call(std::map<call_id, call>::iterator at, time_point now, bool told, bool well);
+  void end_call(std::map<call_id, call>::iterator at, time_point now, upstream::call_outcome outcome);
   void cancel_calls(part_run& p, time_point now);
   void finish(gathering_id id, int lacks, time_point now);
   void admit_waiting(std::size_t dependency, time_point now);
--- a/src/transaction/coordinator.cpp
+++ b/src/transaction/coordinator.cpp
@@ -1,627 +1,458 @@
 #include "transaction/coordinator.hpp"
 
-#include <Poco/Exception.h>
-
 #include <algorithm>
-#include <array>
 #include <cstdio>
-#include <sstream>
 #include <utility>
 
-#include "fan_out/response_assembly.hpp"
-#include "transaction/log_folder.hpp"
-#include "uwsgi/packet.hpp"
+#include "telemetry/telemetry.hpp"
+#include "transaction/admission.hpp"
 
 namespace marblewharf::transaction {
-
-using telemetry::log;
-
 namespace {
 
-constexpr duration age_every = std::chrono::seconds(1);
-
-const char* name_of(step_kind what) {
-  switch (what) {
-    case step_kind::prepare: return "prepare";
-    case step_kind::commit: return "commit";
-    case step_kind::abort: return "abort";
-  }
-  return "";
-}
-
-}  // namespace
-
-struct coordinator::write {
-  write_id id;
-  std::uint64_t number = 0;  // the second half of its id: rises from write to write, also over restarts
-  std::size_t request_class = 0;
-  std::string key;
-  std::string payload;
-  const write_plan* plan = nullptr;
-  transaction machine;
-  request_id owner = 0;  // 0 = whoever asked has gone, or heard
-  time_point begun{};
-  time_point decide_by = time_point::max();
-  time_point again_at{};
-  time_point due{};    // in due_
-  duration pause{};    // before the next again
-  bool waits = false;  // found on disk, for room to go on
-  bool committed = false;
-  log_mark on_disk{};                                   // the last one; 0 = none
-  std::uint64_t room = 0;                               // of reserved_
-  std::vector<std::shared_ptr<uwsgi::exchange>> talks;  // by participant
-  std::vector<fan_out::part_result> results;            // by participant, of its commit
-  std::vector<endpoint> at;        // by participant: the one endpoint that all its steps go to
-  std::vector<std::size_t> route;  // the same, by its number
-  std::vector<time_point> asked;   // by participant: its step in flight
-
-  write(std::vector<part_kind> kinds, const write_plan& p)
-      : plan(&p),
-        machine(std::move(kinds)),
-        talks(p.participants.size()),
-        results(p.participants.size()),
-        route(p.participants.size()),
-        asked(p.participants.size()) {}
-};
+using telemetry::log;
 
-namespace {
+constexpr duration expiry_check_interval = std::chrono::seconds(1);
 
-std::vector<double> bounds_of(const dependencies_config& all) {
-  std::vector<double> most;
-  for (const upstream::dependency_rules& r : all.rules) most.push_back(r.most_in_flight);
-  return most;
+std::vector<double> in_flight_limits(const dependencies_config& dependencies) {
+  std::vector<double> limits;
+  for (const upstream::dependency_rules& rules : dependencies.rules) limits.push_back(rules.most_in_flight);
+  return limits;
 }
 
-duration longest_window(const writes_config& w) {
+duration longest_window(const writes_config& writes) {
   duration longest{};
-  for (const write_plan& p : w.plans) longest = std::max(longest, p.window);
+  for (const write_plan& plan : writes.plans) longest = std::max(longest, plan.window);
   return longest;
 }
 
 }  // namespace
 
-coordinator::coordinator(net::reactor& r, const config& settings, dispatcher& d, fan_out::client& behind,
-                         std::shared_ptr<store::file_system> fs, std::uint64_t random,
-                         std::function<void()> notify)
-    : reactor_(r),
+coordinator::coordinator(net::reactor& reactor, const config& settings, dispatcher& requests,
+                         fan_out::client& fan_out, std::shared_ptr<store::file_system> file_system,
+                         std::uint64_t random, std::function<void()> notify)
+    : reactor_(reactor),
       config_(settings),
-      dispatcher_(d),
-      behind_(behind),
-      fs_(std::move(fs)),
+      dispatcher_(requests),
+      fan_out_(fan_out),
+      file_system_(std::move(file_system)),
       notify_(std::move(notify)),
-      keep_(longest_window(*settings.writes)),
+      outcome_retention_(longest_window(*settings.writes)),
       random_(random),
-      draws_(random),
-      calls_(bounds_of(*settings.dependencies),
-             [this](std::size_t dependency) { return behind_.calls_at(dependency).in_flight; }),
+      participants_(reactor, settings, random,
+                    [this](const transaction_id& id, const send_request& request,
+                           const participant_response& response) { on_response(id, request, response); }),
+      in_flight_(in_flight_limits(*settings.dependencies),
+                 [this](std::size_t dependency) { return fan_out_.calls_at(dependency).in_flight; }),
       outcomes_(settings.writes->outcomes) {
-  for (const upstream::dependency_rules& rules : config_.dependencies->rules)
-    routes_.emplace_back(rules.endpoints, rules.health, rules.near);
   try {
-    open_folder();
-  } catch (const store::held& e) {  // a process before this one still has it: a replacement
+    open_log();
+  } catch (const store::held& e) {
     log("handover", "%s: writes are turned away until it lets go", e.what());
-    next_try_ = net::steady_now() + config_.keyed->retry_disk;
+    next_take_over_ = net::steady_now() + config_.keyed->retry_disk;
   }
 }
 
-// A slice of background work may still have the service, and its end must not wake a reactor that has gone.
+// A slice of background work may still share the table service, and its end must not wake an event loop that
+// has gone.
 coordinator::~coordinator() {
-  if (service_ != nullptr) service_->stop();
-}
-
-void coordinator::open_folder() {
-  const writes_config& w = *config_.writes;
-  const std::chrono::nanoseconds unix_now = std::chrono::system_clock::now().time_since_epoch();
-  log_folder found = open_log_folder(*fs_, {w.folder, w.segment, w.space, keep_, random_}, unix_now.count());
-  clock_ =
-      idempotency::aging_clock(unix_now, std::chrono::nanoseconds(found.tables->latest()), net::steady_now());
-  salt_ = found.tables->salt();
-  if (found.moved > 0)
-    log("writes", "%s: %zu rows made of an older program's marks", w.folder.c_str(), found.moved);
-  for (const found_outcome& o : found.over) {
-    last_number_ = std::max(last_number_, o.what.number);
-    outcomes_.begin(o.what.key, o.what.number);
-    outcomes_.committed(o.what.key, o.what.number, o.expiry);
+  log_.stop();
+}
+
+// ---- Taking the log's folder ------------------------------------------------------------------------------
+
+void coordinator::open_log() {
+  const std::string& folder = config_.writes->folder;
+  recovered_log recovered = recover_log(*file_system_, config_, outcome_retention_, random_);
+  clock_ = recovered.clock;
+  salt_ = recovered.tables->salt();
+  restore_outcomes(recovered.outcomes);
+  for (const auto& restored : recovered.open) {
+    last_number_ = std::max(last_number_, restored->number);
+    outcomes_.on_begin(hash_of(restored->key), restored->number);
+    open_[restored->id] = restored;
   }
-  outcomes_.age(now());
-  for (const found_write& f : found.open) recover(f.what, f.last);
-  service_ = std::make_shared<store::table_service>(
-      fs_, w.folder, std::move(found.tables), store::table_service_options{},
-      [clock = clock_] { return clock.at(std::chrono::steady_clock::now().time_since_epoch()); }, notify_);
-  std::vector<store::table_service::done> none;
-  disk_ = service_->collect(none);
-  log("writes", "%s: %zu open, %zu outcomes known", w.folder.c_str(), open_.size(), outcomes_.size());
-  for (const auto& [id, open] : open_) {
-    open->room = room_of_write(open->payload.size(), config_.bounds.write_buffer);
-    reserved_ += open->room;
-    bind_routes(*open, true);
-    waiting_ += open->waits = true;
-    open->again_at = open->begun;
-    schedule(*open);
+  const auto now_of_thread = [clock = clock_] {
+    return clock.at(std::chrono::steady_clock::now().time_since_epoch());
+  };
+  log_.open(std::make_shared<store::table_service>(file_system_, folder, std::move(recovered.tables),
+                                                   store::table_service_options{}, now_of_thread, notify_));
+  log("writes", "%s: %zu open, %zu outcomes known", folder.c_str(), open_.size(), outcomes_.size());
+  for (const auto& [id, restored] : open_) resume_recovered(*restored);
+}
+
+void coordinator::restore_outcomes(const std::vector<outcome_found>& outcomes) {
+  for (const outcome_found& found : outcomes) {
+    last_number_ = std::max(last_number_, found.id.number);
+    outcomes_.on_begin(found.id.key, found.id.number);
+    outcomes_.on_commit(found.id.key, found.id.number, found.expiry);
   }
+  outcomes_.expire(aging_now());
+}
+
+// It goes on once its participants have calls in flight for it.
+void coordinator::resume_recovered(open_transaction& restored) {
+  restored.reserved_bytes = disk_space_of_transaction(restored.payload.size(), config_.bounds.write_buffer);
+  reserved_bytes_ += restored.reserved_bytes;
+  participants_.bind(restored);
+  restored.needs_calls = true;
+  ++waiting_;
+  restored.retry_at = restored.begun_at;
+  schedule(restored);
 }
 
-void coordinator::take_folder_over(time_point steady) {
-  next_try_ = steady + config_.keyed->retry_disk;
+void coordinator::try_take_over(time_point now) {
+  next_take_over_ = now + config_.keyed->retry_disk;
   try {
-    open_folder();
-    next_try_ = time_point::max();
+    open_log();
+    next_take_over_ = time_point::max();
     log("handover", "%s taken over", config_.writes->folder.c_str());
-  } catch (const store::held&) {       // not yet
-  } catch (const std::exception& e) {  // it cannot be read: writes stay turned away
-    // Damage does not mend itself, and each try reads the folder on the reactor's thread.
-    if (dynamic_cast<const store::damaged*>(&e) != nullptr) next_try_ = time_point::max();
+  } catch (const store::held&) {
+    // The other process still has it.
+  } catch (const std::exception& e) {
+    // Damage does not mend itself, and each try reads the folder on the event loop's thread.
+    if (dynamic_cast<const store::damaged*>(&e) != nullptr) next_take_over_ = time_point::max();
     open_.clear();
     outcomes_ = outcome_cache(config_.writes->outcomes);
-    service_ = nullptr;
+    log_.abandon();
     log("handover", "%s cannot be taken over: %s", config_.writes->folder.c_str(), e.what());
   }
 }
 
-std::int64_t coordinator::now() const {
+// ---- Intake -----------------------------------------------------------------------------------------------
+
+outcome_cache::timestamp coordinator::aging_now() const {
   return clock_.at(net::steady_now());
 }
 
-// As the keyed results know it: by tenant, class and key; by name, since numbers may change from one start to
-// the next, and a write that is not found counts as one that never ran.
+const write_plan* coordinator::plan_of(const request& what) const {
+  return find_plan(*config_.writes, what.request_class);
+}
+
+// The key within its tenant and class, as the idempotency store scopes it. By name: numbers may change from
+// one start to the next, and a transaction that is not found counts as one that never ran.
 std::string coordinator::key_of(const request& what) const {
   const auto& tenants = config_.settings.tenants;
   std::string key = what.tenant < tenants.size() ? tenants[what.tenant].name : std::string();
   key += '\0';
   key += config_.settings.classes[what.request_class].name;
   key += '\0';
-  return key += what.key;
-}
-
-const write_plan* coordinator::plan_of(const request& what) const {
-  for (const write_plan& p : config_.writes->plans)
-    if (p.request_class == what.request_class) return &p;
-  return nullptr;
-}
-
-std::shared_ptr<coordinator::write> coordinator::make(const write_id& id, std::size_t request_class,
-                                                      std::string payload, std::string key) {
-  const write_plan* plan = nullptr;
-  for (const write_plan& p : config_.writes->plans) {
-    if (p.request_class == request_class) plan = &p;
-  }
-  if (plan == nullptr) return nullptr;
-  std::vector<part_kind> kinds;
-  for (const std::size_t p : plan->participants)
-    kinds.push_back(config_.dependencies->endpoints[p].one_phase ? part_kind::one_phase
-                                                                 : part_kind::two_phase);
-  auto w = std::make_shared<write>(std::move(kinds), *plan);
-  w->id = id;
-  w->number = number_of(id);
-  last_number_ = std::max(last_number_, w->number);
-  w->request_class = request_class;
-  w->payload = std::move(payload);
-  w->key = std::move(key);
-  w->begun = net::steady_now();
-  w->pause = config_.writes->retry;
-  w->again_at = w->begun + w->pause;
-  for (const std::size_t p : plan->participants)
-    w->at.push_back(config_.dependencies->endpoints[p].at.front());
-  return w;
-}
-
-// Once for each write, before it begins: what a participant has promised its endpoint alone knows.
-void coordinator::choose_endpoints(write& w) {
-  for (std::size_t i = 0; i < w.at.size(); ++i) {
-    const std::size_t d = w.plan->participants[i];
-    w.route[i] = routes_[d].choose(w.begun, draws_(), true).value_or(0);
-    w.at[i] = config_.dependencies->endpoints[d].at[w.route[i]];
-  }
-  bind_routes(w, true);
-}
-
-// Its steps begin once it is on disk. Uncounted until then, all that arrive in the meantime would choose the
-// same endpoint.
-void coordinator::bind_routes(const write& w, bool bound) {
-  for (std::size_t i = 0; i < w.route.size(); ++i) {
-    upstream::endpoint_set* r = route_of(w, i);
-    if (r == nullptr) continue;
-    bound ? r->on_bound(w.route[i]) : r->on_unbound(w.route[i]);
-  }
-}
-
-// None where the endpoint is no longer configured.
-upstream::endpoint_set* coordinator::route_of(const write& w, std::size_t participant) {
-  upstream::endpoint_set& all = routes_[w.plan->participants[participant]];
-  return w.route[participant] < all.count() ? &all : nullptr;
-}
-
-// How an endpoint fares tells where the next writes go.
-void coordinator::step_ended(const write& w, std::size_t participant, bool told, bool well) {
-  const time_point at = net::steady_now();
-  if (upstream::endpoint_set* r = route_of(w, participant))
-    r->on_end(w.route[participant], at, at - w.asked[participant], told, well);
-}
-
-void coordinator::routes_changed(const std::function<bool(const std::string&)>& routable) {
-  for (std::size_t d = 0; d < routes_.size(); ++d) {
-    const std::vector<std::string>& places = config_.dependencies->endpoints[d].places;
-    for (std::size_t e = 0; e < places.size(); ++e) routes_[d].set_reachable(e, routable(places[e]));
-  }
-}
-
-void coordinator::recover(const begun_write& b, log_mark last) {
-  std::size_t i = 0;
-  while (i < config_.settings.classes.size() && config_.settings.classes[i].name != b.request_class) ++i;
-  auto w = i < config_.settings.classes.size() ? make(b.id, i, b.payload, b.key) : nullptr;
-  if (!w) {
-    log("writes", "a write of %s is open and has no plan any more: it is left as it is",
-        b.request_class.c_str());
-    return;
-  }
-  w->on_disk = last;
-  w->committed = last == log_mark::decided;
-  std::istringstream at(b.endpoints);
-  std::string address;
-  for (std::size_t p = 0; p < w->at.size() && at >> address; ++p) {
-    const std::size_t colon = address.rfind(':');
-    w->at[p] = {address.substr(0, colon), static_cast<std::uint16_t>(std::stoul(address.substr(colon + 1)))};
-    const auto& configured = config_.dependencies->endpoints[w->plan->participants[p]].at;
-    w->route[p] = static_cast<std::size_t>(std::find(configured.begin(), configured.end(), w->at[p]) -
-                                           configured.begin());
-  }
-  outcomes_.begin(hash_of(w->key), w->number);
-  open_[b.id] = std::move(w);
+  key += what.key;
+  return key;
 }
 
-// ---- backend ----------------------------------------------------------------------------------------------
-
-// Why a write cannot begin now, as the time after which it is worth coming back.
-std::optional<duration> coordinator::no_room(const write_plan& plan, const request& what) {
-  constexpr duration soon = std::chrono::seconds(1);
-  if (!disk_ || !disk_->writable) return config_.keyed->retry_disk;
-  const auto aged = [&] { return std::max<duration>(soon, duration(outcomes_.next_ageing() - now())); };
-  const std::uint64_t needed = reserved_ + room_of_write(what.payload.size(), config_.bounds.write_buffer);
-  if (const store::verdict v = disk_->rules.of(disk_->disk, needed, static_cast<std::int64_t>(needed));
-      !v.may)
-    return v.come_back ? std::max<duration>(soon, *v.come_back) : aged();
-  if (!outcomes_.room()) return aged();
-  if (!calls_.take(plan.participants)) return config_.writes->retry;
-  return std::nullopt;
+// The retry-after of a transaction that may not begin now.
+std::optional<duration> coordinator::reject_for(const write_plan& plan, const request& what) {
+  const std::uint64_t own_bytes = disk_space_of_transaction(what.payload.size(), config_.bounds.write_buffer);
+  const admission_inputs inputs{.log = log_.condition(),
+                                .bytes_needed = reserved_bytes_ + own_bytes,
+                                .outcomes = outcomes_,
+                                .now = aging_now(),
+                                .disk_retry = config_.keyed->retry_disk,
+                                .participant_retry = config_.writes->retry};
+  const std::optional<rejection> rejected = admit(inputs, plan.participants, in_flight_);
+  return rejected ? std::optional(rejected->retry_after) : std::nullopt;
 }
 
 void coordinator::run(request_id id, const request& what) {
   const write_plan* plan = plan_of(what);
   if (plan == nullptr) {
-    behind_.run(id, what);
+    fan_out_.run(id, what);
     return;
   }
-  if (const auto come_back = no_room(*plan, what)) {
-    ++turned_away_;
+  if (const auto retry_after = reject_for(*plan, what)) {
+    ++rejected_;
     reactor_.wake();
-    dispatcher_.on_backend_rejected(id, *come_back);
+    dispatcher_.on_backend_rejected(id, *retry_after);
     return;
   }
-  char name[write_id_size + 1];
-  std::snprintf(
-      name, sizeof name, "%016llx%016llx", static_cast<unsigned long long>(random_),
-      static_cast<unsigned long long>(std::max(last_number_, static_cast<std::uint64_t>(now())) + 1));
-  const auto w = make(name, what.request_class, what.payload, key_of(what));
-  w->owner = id;
-  choose_endpoints(*w);
-  const auto& c = config_.settings.classes[what.request_class];
-  w->decide_by =
-      what.arrived + (c.latency_objective.count() > 0 ? c.latency_objective : c.deadline) - w->plan->reserve;
-  w->room = room_of_write(what.payload.size(), config_.bounds.write_buffer);
-  reserved_ += w->room;
-  share_changed(*w);
-  runs_[id] = w->id;
-  open_[w->id] = w;
-  outcomes_.begin(hash_of(w->key), w->number);
-  schedule(*w);
-  w->machine.begin();
-  advance(w);
-}
-
-// It cannot be stopped: it goes on to its end, which the key tells later.
+  const auto transaction = begin(id, what);
+  transaction->machine.begin();
+  advance(transaction);
+}
+
+// Numbers rise over restarts, too: the clock does, and no number on disk is reached again.
+transaction_id coordinator::next_id() const {
+  const std::uint64_t number = std::max(last_number_, static_cast<std::uint64_t>(aging_now())) + 1;
+  char text[transaction_id_size + 1];
+  std::snprintf(text, sizeof text, "%016llx%016llx", static_cast<unsigned long long>(random_),
+                static_cast<unsigned long long>(number));
+  return text;
+}
+
+// The reserve is left for the answer to reach the client within the class's objective.
+time_point coordinator::decision_deadline(const write_plan& plan, const request& what) const {
+  const auto& request_class = config_.settings.classes[what.request_class];
+  const bool has_objective = request_class.latency_objective.count() > 0;
+  return what.arrived + (has_objective ? request_class.latency_objective : request_class.deadline) -
+         plan.reserve;
+}
+
+std::shared_ptr<open_transaction> coordinator::begin(request_id id, const request& what) {
+  auto transaction = make_transaction(config_, next_id(), what.request_class, what.payload, key_of(what));
+  last_number_ = std::max(last_number_, transaction->number);
+  transaction->client = id;
+  participants_.choose_endpoints(*transaction);
+  transaction->decide_by = decision_deadline(*transaction->plan, what);
+  transaction->reserved_bytes = disk_space_of_transaction(what.payload.size(), config_.bounds.write_buffer);
+  reserved_bytes_ += transaction->reserved_bytes;
+  update_fan_out_share(*transaction);
+  running_[id] = transaction->id;
+  open_[transaction->id] = transaction;
+  outcomes_.on_begin(hash_of(transaction->key), transaction->number);
+  schedule(*transaction);
+  return transaction;
+}
+
+// A transaction cannot be stopped: it goes on to its end, and the key tells its outcome later.
 void coordinator::pause(request_id id) {
-  const auto at = runs_.find(id);
-  if (at == runs_.end()) {
-    behind_.pause(id);
+  const auto found = running_.find(id);
+  if (found == running_.end()) {
+    fan_out_.pause(id);
     return;
   }
-  if (const auto w = open_.find(at->second); w != open_.end()) w->second->owner = 0;
-  runs_.erase(at);
+  if (const auto transaction = open_.find(found->second); transaction != open_.end())
+    transaction->second->client = 0;
+  running_.erase(found);
   reactor_.wake();
   dispatcher_.on_end(id, run_end::aborted, {}, {});
 }
 
 void coordinator::resume(request_id id) {
-  if (!runs_.contains(id)) behind_.resume(id);
+  if (!running_.contains(id)) fan_out_.resume(id);
 }
 
 bool coordinator::inquire(request_id id, const request& what) {
-  if (plan_of(what) == nullptr) return behind_.inquire(id, what);
+  if (plan_of(what) == nullptr) return fan_out_.inquire(id, what);
   reactor_.wake();
-  if (!service_) {  // what another process has in the folder is not known here
+  if (!log_.is_open()) {  // what another process has in the folder is not known here
     dispatcher_.on_inquired(id, inquiry_end::unknown, {});
     return true;
   }
   const std::string key = key_of(what);
   const outcome_cache::key hash = hash_of(key);
-  const outcome_cache::known o = outcomes_.of(hash);
-  switch (o.how) {
-    // Nothing of it was ever on disk, so nobody was asked; or it was undone.
-    case outcome_cache::standing::unknown: dispatcher_.on_inquired(id, inquiry_end::never_ran, {}); break;
-    case outcome_cache::standing::under_way: dispatcher_.on_inquired(id, inquiry_end::unknown, {}); break;
-    case outcome_cache::standing::committed:
-      if (service_->get(++last_ticket_, outcome_table, outcome_key({o.which, hash}))) {
-        reads_[last_ticket_] = {id, key};
-      } else {
-        dispatcher_.on_inquired(id, inquiry_end::unknown, {});
-      }
-      break;
+  const outcome_cache::outcome outcome = outcomes_.find(hash);
+  switch (outcome.state) {
+    // No record of it was ever durable, so no participant was asked; or it was aborted.
+    case outcome_cache::status::unknown: dispatcher_.on_inquired(id, inquiry_end::never_ran, {}); break;
+    case outcome_cache::status::open: dispatcher_.on_inquired(id, inquiry_end::unknown, {}); break;
+    case outcome_cache::status::committed: inquire_result(id, key, {outcome.number, hash}); break;
   }
   return true;
 }
 
-void coordinator::set_share(std::size_t dependency, double most) {
-  calls_.set_share(dependency, most);
-  behind_.set_share(dependency, calls_.left(dependency));
+void coordinator::inquire_result(request_id id, const std::string& key, const outcome_id& outcome) {
+  if (!log_.read_result(id, key, outcome)) dispatcher_.on_inquired(id, inquiry_end::unknown, {});
 }
 
-fan_out::client::calls coordinator::calls_at(std::size_t dependency) const {
-  fan_out::client::calls c = behind_.calls_at(dependency);
-  c.in_flight += calls_.writes(dependency);
-  c.waiting += waiting_;
-  c.turned_away += calls_.turned_away(dependency);
-  return c;
+// ---- Life of a transaction --------------------------------------------------------------------------------
+
+// Carries out what the state machine wants.
+void coordinator::advance(const std::shared_ptr<open_transaction>& transaction) {
+  while (const auto next = transaction->machine.next_action())
+    std::visit([&](const auto& wanted) { apply(*transaction, wanted); }, *next);
+  if (transaction->machine.current_state() == state_machine::state::ended) end(transaction);
 }
 
-// Its calls were taken or given back: what gathers at the same dependencies has the rest of the share.
-void coordinator::share_changed(const write& w) {
-  for (const std::size_t d : w.plan->participants) behind_.set_share(d, calls_.left(d));
+void coordinator::apply(open_transaction& transaction, const send_request& request) {
+  if (participants_.send(transaction, request)) return;
+  transaction.machine.on_reply(request.participant, request.request, participant_reply::unknown);
 }
 
-std::string coordinator::figures() const {
-  return "writes.open=" + std::to_string(open_.size()) +
-         "\nwrites.outcomes=" + std::to_string(outcomes_.size()) +
-         "\nwrites.turned_away=" + std::to_string(turned_away_) +
-         "\nwrites.holds_folder=" + (service_ ? "1" : "0") + "\n" +
-         (disk_ ? "writes.disk_used=" + std::to_string(disk_->disk.used) +
-                      "\nwrites.disk_live=" + std::to_string(disk_->disk.live) +
-                      "\nwrites.disk_writable=" + (disk_->writable ? "1" : "0") + "\n"
-                : std::string());
-}
-
-// ---- Steps and marks --------------------------------------------------------------------------------------
-
-void coordinator::advance(const std::shared_ptr<write>& w) {
-  while (const auto a = w->machine.pick()) {
-    if (const auto* s = std::get_if<take_step>(&*a)) {
-      take(w, *s);
-      continue;
-    }
-    if (const auto* m = std::get_if<write_mark>(&*a)) {
-      mark(w, m->what);
-      continue;
-    }
-    // Under way: the dispatcher's own deadline says so.
-    const tx_answer how = std::get<answer_now>(*a).how;
-    if (how == tx_answer::under_way || w->owner == 0) continue;
-    const request_id id = std::exchange(w->owner, 0);
-    runs_.erase(id);
-    reactor_.wake();
-    const bool whole = how == tx_answer::committed;
-    dispatcher_.on_end(id, whole ? run_end::succeeded : run_end::never_started,
-                       whole ? compose_result(*w) : std::string(), net::steady_now() - w->begun);
-  }
-  if (w->machine.where() == transaction::stage::over) finish(w);
-}
-
-void coordinator::mark(const std::shared_ptr<write>& w, log_mark m) {
-  store::batch b;
-  if (m == log_mark::begun) {
-    begun_write begun{w->id, config_.settings.classes[w->request_class].name, w->key, w->payload, {}};
-    for (const endpoint& e : w->at)
-      begun.endpoints += (begun.endpoints.empty() ? "" : " ") + e.host + ":" + std::to_string(e.port);
-    b = batch_of_begun(begun);
-  } else if (m != log_mark::over) {
-    b = batch_of_mark(w->id, m);
-  } else if (w->committed) {
-    b = batch_of_over(
-        w->id, std::pair(outcome_id{w->number, hash_of(w->key)}, ended_write{w->key, compose_result(*w)}));
-  } else {
-    b = batch_of_over(w->id, std::nullopt);
-  }
-  marks_[++last_ticket_] = {w->id, m};
-  unsent_.emplace_back(last_ticket_, std::move(b));
-  send_unsent();
+void coordinator::apply(open_transaction& transaction, const write_log_record& record) {
+  log_.append(transaction.id, record.record, make_log_batch(transaction, record.record, config_, salt_));
 }
 
-// In their order: where the queue is full, they wait for the next step.
-void coordinator::send_unsent() {
-  while (!unsent_.empty() &&
-         service_->commit(unsent_.front().first, unsent_.front().second, store::durability::now))
-    unsent_.pop_front();
+void coordinator::apply(open_transaction& transaction, const report_outcome& report) {
+  // In doubt: the dispatcher's own deadline tells the client.
+  if (report.outcome == client_outcome::in_doubt || transaction.client == 0) return;
+  const request_id client = std::exchange(transaction.client, 0);
+  running_.erase(client);
+  reactor_.wake();
+  const bool committed = report.outcome == client_outcome::committed;
+  dispatcher_.on_end(client, committed ? run_end::succeeded : run_end::never_started,
+                     committed ? compose_result(transaction, config_) : std::string(),
+                     net::steady_now() - transaction.begun_at);
 }
 
-void coordinator::on_marked(std::uint64_t ticket, bool durable) {
-  const auto at = marks_.find(ticket);
-  if (at == marks_.end()) return;
-  const marking m = at->second;
-  marks_.erase(at);
-  const auto found = open_.find(m.id);
+void coordinator::on_response(const transaction_id& id, const send_request& request,
+                              const participant_response& response) {
+  const auto found = open_.find(id);
   if (found == open_.end()) return;
-  const auto w = found->second;
-  if (durable) w->on_disk = std::max(w->on_disk, m.what);
-  w->machine.on_logged(m.what, durable);
-  advance(w);
-}
-
-void coordinator::on_read(const reading& r, const store::table_service::done& d) {
-  const auto e = d.value ? read_ended(*d.value) : std::nullopt;
-  const bool ours = e && e->key == r.key;
-  if (!ours)
-    log("writes", "a result cannot be read: %s",
-        !d.fault.empty() ? d.fault.c_str()
-        : e              ? "it is another one's"
-                         : "it is not there");
-  dispatcher_.on_inquired(r.id, ours ? inquiry_end::result : inquiry_end::unknown,
-                          ours ? e->result : std::string());
-}
-
-void coordinator::take(const std::shared_ptr<write>& w, const take_step& s) {
-  const dependency_config& d = config_.dependencies->endpoints[w->plan->participants[s.participant]];
-  std::string bytes;
-  if (const auto p = uwsgi::next_packet(w->payload, config_.bounds)) {
-    std::vector<std::pair<std::string, std::string>> vars = p->vars;
-    const writes_config& c = *config_.writes;
-    std::erase_if(vars, [&](const auto& v) {
-      return v.first == c.step_var || v.first == c.id_var || (!d.path.empty() && v.first == "PATH_INFO");
-    });
-    vars.emplace_back(c.step_var, name_of(s.what));
-    vars.emplace_back(c.id_var, w->id);
-    if (!d.path.empty()) vars.emplace_back("PATH_INFO", d.path);
-    bytes = uwsgi::encode_packet(vars, p->body);
-  }
-  const endpoint& to = w->at[s.participant];
-  if (w->talks[s.participant] != nullptr)
-    step_ended(*w, s.participant, false, false);  // one that nobody waits for now
-  if (upstream::endpoint_set* r = route_of(*w, s.participant)) r->on_start(w->route[s.participant]);
-  w->asked[s.participant] = net::steady_now();
-  try {
-    w->talks[s.participant] = std::make_shared<uwsgi::exchange>(
-        reactor_, config_.bounds, to, std::move(bytes),
-        [this, id = w->id, s](uwsgi::exchange_end how, const uwsgi::response_head* head,
-                              std::string_view response) {
-          on_exchanged(id, s.participant, s.what, how, head, response);
-        });
-  } catch (const Poco::Exception&) {
-    step_ended(*w, s.participant, true, false);
-    w->machine.on_step(s.participant, s.what, step_end::unknown);
+  const auto transaction = found->second;
+  participants_.close(*transaction, request.participant);
+  reactor_.wake();
+  if (request.request == participant_request::commit && response.reply == participant_reply::yes) {
+    transaction->committed = true;
+    transaction->calls[request.participant].result = {fan_out::part_is::fresh, {}, response.body};
   }
+  const bool answered = response.reply != participant_reply::unknown;
+  participants_.on_request_ended(
+      *transaction, request.participant,
+      answered ? upstream::call_outcome::succeeded : upstream::call_outcome::failed);
+  transaction->machine.on_reply(request.participant, request.request, response.reply);
+  advance(transaction);
 }
 
-// 2xx: yes; 409: no, for good; anything else says nothing.
-void coordinator::on_exchanged(const write_id& id, std::size_t participant, step_kind what,
-                               uwsgi::exchange_end how, const uwsgi::response_head* head,
-                               std::string_view response) {
-  const auto at = open_.find(id);
-  if (at == open_.end()) return;
-  const auto w = at->second;
-  w->talks[participant]->close();
-  reactor_.retire(std::move(w->talks[participant]));
-  reactor_.wake();
-  constexpr unsigned no = 409;
-  step_end end = step_end::unknown;
-  if (how == uwsgi::exchange_end::whole && head->status >= 200 && head->status <= 299) end = step_end::yes;
-  if (how == uwsgi::exchange_end::whole && head->status == no) end = step_end::no;
-  if (what == step_kind::commit && end == step_end::yes) {
-    w->committed = true;
-    w->results[participant] = {fan_out::part_is::fresh, {}, std::string(response.substr(head->size))};
-  }
-  step_ended(*w, participant, true, end != step_end::unknown);
-  w->machine.on_step(participant, what, end);
-  advance(w);
+void coordinator::on_event(const transaction_log::record_written& written) {
+  const auto found = open_.find(written.id);
+  if (found == open_.end()) return;
+  const auto transaction = found->second;
+  if (written.durable) transaction->last_logged = std::max(transaction->last_logged, written.record);
+  transaction->machine.on_logged(written.record, written.durable);
+  advance(transaction);
 }
 
-std::string coordinator::compose_result(const write& w) const {
-  upstream::request_plan p;
-  for (const std::size_t i : w.plan->participants)
-    p.parts.push_back({config_.dependencies->endpoints[i].name, i, false, {}});
-  return fan_out::assemble_response(p, w.results);
+void coordinator::on_event(const transaction_log::result_read& read) {
+  dispatcher_.on_inquired(read.client, read.result ? inquiry_end::result : inquiry_end::unknown,
+                          read.result.value_or(std::string()));
 }
 
-void coordinator::finish(const std::shared_ptr<write>& w) {
-  const outcome_cache::key key = hash_of(w->key);
-  if (w->committed && w->on_disk == log_mark::over) {
-    outcomes_.committed(key, w->number, now() + keep_.count());
+void coordinator::end(const std::shared_ptr<open_transaction>& transaction) {
+  const outcome_cache::key key = hash_of(transaction->key);
+  if (transaction->committed && transaction->last_logged == log_record::end) {
+    outcomes_.on_commit(key, transaction->number, aging_now() + outcome_retention_.count());
   } else {
-    outcomes_.undone(key, w->number);
-  }
-  for (std::size_t i = 0; i < w->talks.size(); ++i)
-    if (w->talks[i] != nullptr) step_ended(*w, i, false, false);
-  bind_routes(*w, false);
-  calls_.give_back(w->plan->participants);
-  share_changed(*w);
-  reserved_ -= w->room;
-  due_.erase({w->due, w->id});
-  open_.erase(w->id);
-}
-
-void coordinator::schedule(write& w) {
-  due_.erase({w.due, w.id});
-  w.due = std::min(w.decide_by, w.again_at);
-  due_.emplace(w.due, w.id);
-}
-
-void coordinator::look_at(const std::shared_ptr<write>& w, time_point steady) {
-  if (w->waits && calls_.take(w->plan->participants, true)) {
-    w->waits = false;
-    --waiting_;
-    share_changed(*w);
-    w->machine.resume(w->on_disk);
+    outcomes_.on_abort(key, transaction->number);
   }
-  if (steady >= w->decide_by) {
-    w->decide_by = time_point::max();
-    w->machine.on_deadline();
+  for (std::size_t i = 0; i < transaction->calls.size(); ++i) {
+    if (transaction->calls[i].exchange != nullptr)
+      participants_.on_request_ended(*transaction, i, upstream::call_outcome::cancelled);
   }
-  if (steady >= w->again_at && w->waits) w->again_at = steady + config_.writes->retry;
-  // A step that hangs counts as unheard once the participant's budget has passed: it is taken again on a new
-  // connection.
-  if (steady >= w->again_at) {
-    w->again_at = steady + w->pause;
-    w->pause = std::min<duration>(w->pause * 2, config_.writes->longest_retry);
-    for (std::size_t i = 0; i < w->talks.size(); ++i) {
-      const duration budget = config_.dependencies->rules[w->plan->participants[i]].budget;
-      if (w->machine.where() == transaction::stage::preparing || w->talks[i] == nullptr ||
-          steady - w->asked[i] < budget)
-        continue;
-      w->talks[i]->close();
-      reactor_.retire(std::move(w->talks[i]));
-      w->talks[i] = nullptr;
-      step_ended(*w, i, true, false);
-      w->machine.on_step(
-          i, w->machine.where() == transaction::stage::aborting ? step_kind::abort : step_kind::commit,
-          step_end::unknown);
-    }
-    w->machine.again();
-  }
-  schedule(*w);
-  advance(w);
+  participants_.unbind(*transaction);
+  in_flight_.give_back(transaction->plan->participants);
+  update_fan_out_share(*transaction);
+  reserved_bytes_ -= transaction->reserved_bytes;
+  timers_.erase({transaction->due_at, transaction->id});
+  open_.erase(transaction->id);
+}
+
+// ---- Timers -----------------------------------------------------------------------------------------------
+
+void coordinator::schedule(open_transaction& transaction) {
+  timers_.erase({transaction.due_at, transaction.id});
+  transaction.due_at = std::min(transaction.decide_by, transaction.retry_at);
+  timers_.insert({transaction.due_at, transaction.id});
 }
 
-time_point coordinator::step(time_point steady) {
-  if (!service_) {
-    if (steady >= next_try_) take_folder_over(steady);
-    if (!service_) return next_try_;
+void coordinator::on_timer(const std::shared_ptr<open_transaction>& transaction, time_point now) {
+  if (transaction->needs_calls) begin_waiting(*transaction);
+  if (now >= transaction->decide_by) {
+    transaction->decide_by = time_point::max();
+    transaction->machine.on_deadline();
   }
-  std::vector<store::table_service::done> done;
-  const bool was_writable = disk_->writable;
-  disk_ = service_->collect(done);
-  if (was_writable != disk_->writable)
-    log("writes", "%s", disk_->writable ? "the disk takes writes again" : disk_->fault.c_str());
-  for (const auto& d : done) {
-    if (d.what == store::table_service::kind::commit) {
-      on_marked(d.ticket, d.fault.empty() && d.v.may);
-    } else if (const auto read = reads_.find(d.ticket); read != reads_.end()) {
-      const reading r = std::move(read->second);
-      reads_.erase(read);
-      on_read(r, d);
+  if (now >= transaction->retry_at) {
+    if (transaction->needs_calls) {
+      transaction->retry_at = now + config_.writes->retry;
+    } else {
+      retry_requests(*transaction, now);
     }
   }
-  send_unsent();
-  while (!due_.empty() && due_.begin()->first <= steady) {
-    const auto w = open_.find(due_.begin()->second);
-    if (w == open_.end()) {
-      due_.erase(due_.begin());
+  schedule(*transaction);
+  advance(transaction);
+}
+
+// A recovered transaction goes on once there is a call in flight for it at each participant.
+void coordinator::begin_waiting(open_transaction& transaction) {
+  if (!in_flight_.take(transaction.plan->participants, true)) return;
+  transaction.needs_calls = false;
+  --waiting_;
+  update_fan_out_share(transaction);
+  transaction.machine.recover(transaction.last_logged);
+}
+
+void coordinator::retry_requests(open_transaction& transaction, time_point now) {
+  transaction.retry_at = now + transaction.retry_pause;
+  transaction.retry_pause = std::min<duration>(transaction.retry_pause * 2, config_.writes->longest_retry);
+  for (std::size_t i = 0; i < transaction.calls.size(); ++i) give_up_hanging_request(transaction, i, now);
+  transaction.machine.retry();
+}
+
+// A request counts as unanswered once the participant's budget has passed: it is sent again on a new
+// connection. Prepares are ended by the deadline of the decision instead.
+void coordinator::give_up_hanging_request(open_transaction& transaction, std::size_t participant,
+                                          time_point now) {
+  const participant_call& call = transaction.calls[participant];
+  const duration budget = config_.dependencies->rules[transaction.plan->participants[participant]].budget;
+  const state_machine::state state = transaction.machine.current_state();
+  if (state == state_machine::state::preparing || call.exchange == nullptr || now - call.sent_at < budget)
+    return;
+  participants_.close(transaction, participant);
+  participants_.on_request_ended(transaction, participant, upstream::call_outcome::failed);
+  const bool aborting = state == state_machine::state::aborting;
+  transaction.machine.on_reply(participant,
+                               aborting ? participant_request::abort : participant_request::commit,
+                               participant_reply::unknown);
+}
+
+void coordinator::run_timers(time_point now) {
+  while (!timers_.empty() && timers_.begin()->due <= now) {
+    const auto found = open_.find(timers_.begin()->id);
+    if (found == open_.end()) {
+      timers_.erase(timers_.begin());
     } else {
-      look_at(std::shared_ptr<write>(w->second), steady);
+      on_timer(std::shared_ptr<open_transaction>(found->second), now);
     }
   }
-  if (steady >= next_ageing_) {
-    next_ageing_ = steady + age_every;
-    outcomes_.age(now());
+}
+
+time_point coordinator::step(time_point now) {
+  if (!log_.is_open() && now >= next_take_over_) try_take_over(now);
+  if (!log_.is_open()) return next_take_over_;
+  for (const store::table_service::done& done : log_.collect()) {
+    if (const auto event = log_.event_of(done))
+      std::visit([this](const auto& happened) { on_event(happened); }, *event);
   }
-  const time_point next = outcomes_.next_ageing() != 0 ? next_ageing_ : time_point::max();
-  return due_.empty() ? next : std::min(next, due_.begin()->first);
+  log_.flush();
+  run_timers(now);
+  if (now >= next_expiry_check_) {
+    next_expiry_check_ = now + expiry_check_interval;
+    outcomes_.expire(aging_now());
+  }
+  const time_point next = outcomes_.next_expiry() != 0 ? next_expiry_check_ : time_point::max();
+  return timers_.empty() ? next : std::min(next, timers_.begin()->due);
+}
+
+// ---- Calls in flight, figures -----------------------------------------------------------------------------
+
+void coordinator::routes_changed(const std::function<bool(const std::string&)>& routable) {
+  participants_.set_reachable(routable);
+}
+
+void coordinator::set_share(std::size_t dependency, double most) {
+  in_flight_.set_share(dependency, most);
+  fan_out_.set_share(dependency, in_flight_.left(dependency));
+}
+
+fan_out::client::calls coordinator::calls_at(std::size_t dependency) const {
+  fan_out::client::calls calls = fan_out_.calls_at(dependency);
+  calls.in_flight += in_flight_.writes(dependency);
+  calls.waiting += waiting_;
+  calls.turned_away += in_flight_.turned_away(dependency);
+  return calls;
+}
+
+// The transaction's calls were taken or given back: fan-out at the same dependencies has the rest.
+void coordinator::update_fan_out_share(const open_transaction& transaction) {
+  for (const std::size_t dependency : transaction.plan->participants)
+    fan_out_.set_share(dependency, in_flight_.left(dependency));
+}
+
+std::string coordinator::figures() const {
+  std::string lines;
+  const auto add = [&](const char* name, std::uint64_t value) {
+    lines += "writes." + std::string(name) + "=" + std::to_string(value) + "\n";
+  };
+  add("open", open_.size());
+  add("outcomes", outcomes_.size());
+  add("turned_away", rejected_);
+  add("holds_folder", log_.is_open() ? 1 : 0);
+  const auto& condition = log_.condition();
+  if (!condition) return lines;
+  add("disk_used", condition->disk.used);
+  add("disk_live", condition->disk.live);
+  add("disk_writable", condition->writable ? 1 : 0);
+  return lines;
 }
 
 }  // namespace marblewharf::transaction
--- a/src/transaction/coordinator.hpp
+++ b/src/transaction/coordinator.hpp
@@ -1,23 +1,25 @@
-// Runs writes of classes with several participants: whole at all or at none, across restarts. `transaction`
-// decides; this takes its steps over uwsgi and has its marks on disk, as rows of tables, in a folder of its
-// own. Writes have keys (src/keyed): a key's run is one transaction, and after a crash its outcome is found
-// by the key.
+// The transaction coordinator: a backend that runs requests of classes with several participants as
+// distributed transactions, committed at all participants or at none, across restarts. It takes requests in
+// and drives each transaction from its begin to its end; all other requests go to the fan-out client behind
+// it.
 //
-// Two processes never have the folder at once: one that finds it held (a replacement) turns writes away with
-// a time to return, answers no inquiry, and takes the folder over once it is let go. The reactor's thread;
-// the disk has its own.
+// Requests have idempotency keys (src/idempotency): the run of a key is one transaction, and after a crash
+// its outcome is found by the key.
+//
+// Two processes never have the log's folder at once. One that finds it held (a hot restart) rejects
+// transactions with a retry-after, answers no inquiry, and takes the folder over once it is released.
+//
+// Owned by the event loop's thread; the disk has a thread of its own.
 #pragma once
 
-#include <deque>
+#include <compare>
+#include <cstdint>
 #include <functional>
-#include <map>
 #include <memory>
 #include <optional>
-#include <random>
 #include <set>
 #include <string>
 #include <unordered_map>
-#include <utility>
 #include <vector>
 
 #include "config/config.hpp"
@@ -26,22 +28,23 @@
 #include "idempotency/aging_clock.hpp"
 #include "net/reactor.hpp"
 #include "store/table_service.hpp"
-#include "transaction/log_records.hpp"
+#include "transaction/open_transaction.hpp"
 #include "transaction/outcome_cache.hpp"
-#include "transaction/state_machine.hpp"
-#include "upstream/endpoint_set.hpp"
+#include "transaction/participant_calls.hpp"
+#include "transaction/recovery.hpp"
+#include "transaction/transaction_log.hpp"
 #include "upstream/in_flight_calls.hpp"
-#include "uwsgi/exchange.hpp"
 
 namespace marblewharf::transaction {
 
 class coordinator : public backend {
  public:
-  // Reads the folder and goes on with what is open in it, unless another process holds it; what an older
-  // program left in it is moved up first. `notify`: step() has something to do, from another thread. Throws
-  // store::io_error or store::damaged.
-  coordinator(net::reactor& r, const config& settings, dispatcher& d, fan_out::client& behind,
-              std::shared_ptr<store::file_system> fs, std::uint64_t random, std::function<void()> notify);
+  // Reads the log's folder and goes on with its open transactions, unless another process has it. `random`:
+  // the first half of new transactions' ids, and the seed of choices. `notify`: step() has something to do;
+  // called from another thread. Throws store::io_error or store::damaged.
+  coordinator(net::reactor& reactor, const config& settings, dispatcher& requests, fan_out::client& fan_out,
+              std::shared_ptr<store::file_system> file_system, std::uint64_t random,
+              std::function<void()> notify);
   ~coordinator() override;
 
   // backend
@@ -49,95 +52,92 @@
   void pause(request_id id) override;
   void resume(request_id id) override;
   bool inquire(request_id id, const request& what) override;
-  void place_call(request_id id, duration limit) override { behind_.place_call(id, limit); }
-  void skip_call(request_id id) override { behind_.skip_call(id); }
+  void place_call(request_id id, duration limit) override { fan_out_.place_call(id, limit); }
+  void skip_call(request_id id) override { fan_out_.skip_call(id); }
 
+  // Does what is due; returns when it wants to be called again.
   time_point step(time_point now);
-  // The view of the fleet has changed: `routable` tells of a place (a zone or a member) whether calls may go
-  // there.
+  // The cluster's view has changed. `routable`: whether calls may go to a place (a zone or a member).
   void routes_changed(const std::function<bool(const std::string&)>& routable);
+  // Transactions that have begun and not ended.
   std::size_t open() const { return open_.size(); }
-  // This node's share of calls at a dependency, and what writes and gatherings together have and want of
-  // them.
+  // This node's quota share of calls in flight at a dependency, for transactions and fan-out together.
   void set_share(std::size_t dependency, double most);
+  // What transactions and fan-out together have and want of a dependency's calls.
   fan_out::client::calls calls_at(std::size_t dependency) const;
   // Lines of `writes.NAME=VALUE` for show-stat.
   std::string figures() const;
-  // For whoever does its background work; none: another process has the folder.
-  std::shared_ptr<store::table_service> tables() const { return service_; }
+  // For background work on the log. Null: another process has the folder.
+  std::shared_ptr<store::table_service> tables() const { return log_.service(); }
 
  private:
-  using write_id = std::string;  // 32 hexadecimal digits
-  struct write;
-  struct reading {
-    request_id id = 0;
-    std::string key;
+  struct timer {
+    time_point due{};
+    transaction_id id;
+    auto operator<=>(const timer&) const = default;
   };
 
-  void open_folder();
-  void take_folder_over(time_point now);
-  std::string key_of(const request& what) const;
-  outcome_cache::key hash_of(const std::string& key) const { return hash_of_key(key, salt_); }
+  // Taking the log's folder.
+  void open_log();
+  void try_take_over(time_point now);
+  void restore_outcomes(const std::vector<outcome_found>& outcomes);
+  void resume_recovered(open_transaction& restored);
+
+  // Intake.
+  std::optional<duration> reject_for(const write_plan& plan, const request& what);
+  std::shared_ptr<open_transaction> begin(request_id id, const request& what);
+  transaction_id next_id() const;
+  time_point decision_deadline(const write_plan& plan, const request& what) const;
   const write_plan* plan_of(const request& what) const;
-  std::optional<duration> no_room(const write_plan& plan, const request& what);
-  std::uint64_t room_of(std::size_t payload) const;
-  void share_changed(const write& w);
-  void schedule(write& w);
-  void look_at(const std::shared_ptr<write>& w, time_point now);
-  void on_marked(std::uint64_t ticket, bool durable);
-  void on_read(const reading& r, const store::table_service::done& d);
-  void send_unsent();
-  std::shared_ptr<write> make(const write_id& id, std::size_t request_class, std::string payload,
-                              std::string key);
-  void choose_endpoints(write& w);
-  void bind_routes(const write& w, bool bound);
-  upstream::endpoint_set* route_of(const write& w, std::size_t participant);
-  void step_ended(const write& w, std::size_t participant, bool told, bool well);
-  void recover(const begun_write& b, log_mark last);
-  void advance(const std::shared_ptr<write>& w);
-  void take(const std::shared_ptr<write>& w, const take_step& s);
-  void mark(const std::shared_ptr<write>& w, log_mark m);
-  void on_exchanged(const write_id& id, std::size_t participant, step_kind what, uwsgi::exchange_end how,
-                    const uwsgi::response_head* head, std::string_view response);
-  void finish(const std::shared_ptr<write>& w);
-  std::string compose_result(const write& w) const;
-  std::int64_t now() const;
+  std::string key_of(const request& what) const;
+  void inquire_result(request_id id, const std::string& key, const outcome_id& outcome);
+
+  // Life of a transaction.
+  void advance(const std::shared_ptr<open_transaction>& transaction);
+  void apply(open_transaction& transaction, const send_request& request);
+  void apply(open_transaction& transaction, const write_log_record& record);
+  void apply(open_transaction& transaction, const report_outcome& report);
+  void on_response(const transaction_id& id, const send_request& request,
+                   const participant_response& response);
+  void on_event(const transaction_log::record_written& written);
+  void on_event(const transaction_log::result_read& read);
+  void end(const std::shared_ptr<open_transaction>& transaction);
+
+  // Timers.
+  void schedule(open_transaction& transaction);
+  void run_timers(time_point now);
+  void on_timer(const std::shared_ptr<open_transaction>& transaction, time_point now);
+  void begin_waiting(open_transaction& transaction);
+  void retry_requests(open_transaction& transaction, time_point now);
+  void give_up_hanging_request(open_transaction& transaction, std::size_t participant, time_point now);
+
+  void update_fan_out_share(const open_transaction& transaction);
+  outcome_cache::key hash_of(const std::string& key) const { return hash_key(key, salt_); }
+  outcome_cache::timestamp aging_now() const;
 
   net::reactor& reactor_;
   const config& config_;
   dispatcher& dispatcher_;
-  fan_out::client& behind_;
-  const std::shared_ptr<store::file_system> fs_;
+  fan_out::client& fan_out_;
+  const std::shared_ptr<store::file_system> file_system_;
   const std::function<void()> notify_;
-  const duration keep_;  // outcomes: the longest window of any class
+  const duration outcome_retention_;  // the longest idempotency window of any class
+  const std::uint64_t random_;
   idempotency::aging_clock clock_;
-  std::uint64_t random_;
-  std::uint64_t salt_ = 0;  // the folder's
-  std::mt19937_64 draws_;
-  std::vector<upstream::endpoint_set>
-      routes_;  // by dependency: which endpoint a new write takes, where places are known
-  upstream::in_flight_calls calls_;
+  std::uint64_t salt_ = 0;  // of the folder
+  participant_calls participants_;
+  upstream::in_flight_calls in_flight_;
   std::uint64_t last_number_ = 0;
-  std::unordered_map<write_id, std::shared_ptr<write>> open_;
-  std::unordered_map<request_id, write_id> runs_;
-  std::set<std::pair<time_point, write_id>> due_;  // when each of open_ is looked at next
+  std::unordered_map<transaction_id, std::shared_ptr<open_transaction>> open_;
+  std::unordered_map<request_id, transaction_id> running_;  // of clients that wait for the outcome
+  std::set<timer> timers_;                                  // one for each of open_
   outcome_cache outcomes_;
-  struct marking {
-    write_id id;
-    log_mark what{};
-  };
-  std::map<std::uint64_t, marking> marks_;                     // on their way to disk, by ticket
-  std::deque<std::pair<std::uint64_t, store::batch>> unsent_;  // that the service's queue had no room for
-  std::unordered_map<std::uint64_t, reading> reads_;           // of results, by ticket
-  std::uint64_t last_ticket_ = 0;
-  std::optional<store::table_service::condition>
-      disk_;                    // of the last step; none: another process has the folder
-  std::uint64_t reserved_ = 0;  // bytes that open writes may still need
-  std::size_t waiting_ = 0;     // writes found on disk that wait for room to go on
-  std::uint64_t turned_away_ = 0;
-  time_point next_try_ = time_point::max();  // to take the folder over
-  time_point next_ageing_{};
-  std::shared_ptr<store::table_service> service_;  // last: its thread goes first
+  std::uint64_t reserved_bytes_ = 0;  // on disk, by open transactions
+  std::size_t waiting_ = 0;           // recovered transactions that wait for calls in flight
+  std::uint64_t rejected_ = 0;
+  time_point next_take_over_ = time_point::max();
+  time_point next_expiry_check_{};
+  transaction_log log_;  // last: its thread ends first
 };
 
 }  // namespace marblewharf::transaction
--- a/src/transaction/log_folder.cpp
+++ b/src/transaction/log_folder.cpp
@@ -4,62 +4,88 @@
 #include <limits>
 #include <utility>
 
+#include "transaction/legacy_log.hpp"
+
 namespace marblewharf::transaction {
 namespace {
 
 constexpr double amplification = 2;  // docs/store.md
-// Outcomes stand on disk for this much longer than they are known in memory, so that none is missing while it
-// is.
-constexpr std::chrono::nanoseconds kept_longer = std::chrono::seconds(2);
+// Outcomes stay on disk for this much longer than in memory, so that a result that memory knows of is there.
+constexpr std::chrono::nanoseconds extra_retention = std::chrono::seconds(2);
+
+void commit_all(store::tables& tables, const std::string& folder,
+                const std::vector<const store::batch*>& batches, std::int64_t now) {
+  for (const store::tables::committed& committed : tables.commit_all(batches, now)) {
+    if (!committed.fault.empty()) throw store::io_error(committed.fault);
+    if (!committed.v.may)
+      throw store::io_error(folder + ": what an older program left finds no room: more writes.space");
+  }
+}
 
-// All on disk before the row that says so. Rows written by a try that was broken off are the same.
-std::size_t move_up(store::tables& t, const std::string& folder, const older_marks& older, std::int64_t now) {
-  std::vector<store::batch> all = older.moved(now, t.salt());
+// Returns the number of rows. The batch that says that the migration is whole is written last; batches that
+// a migration wrote before it failed are the same.
+std::size_t migrate(store::tables& tables, const std::string& folder, const legacy_log& legacy,
+                    std::int64_t now) {
+  const std::vector<store::batch> batches = legacy.migrate(now, tables.salt());
   std::vector<const store::batch*> rows;
-  for (const store::batch& b : all) rows.push_back(&b);
-  const store::batch* last = rows.back();
+  for (const store::batch& batch : batches) rows.push_back(&batch);
+  const store::batch* migrated = rows.back();
   rows.pop_back();
-  for (const auto& some : {rows, std::vector<const store::batch*>{last}}) {
-    for (const store::tables::committed& c : t.commit_all(some, now)) {
-      if (!c.fault.empty()) throw store::io_error(c.fault);
-      if (!c.v.may)
-        throw store::io_error(folder + ": what an older program left finds no room: more writes.space");
-    }
-  }
+  commit_all(tables, folder, rows, now);
+  commit_all(tables, folder, {migrated}, now);
   return rows.size();
 }
 
+std::vector<outcome_found> read_outcomes(const store::tables& tables, const std::string& folder,
+                                         std::int64_t now) {
+  std::vector<outcome_found> outcomes;
+  tables.each_key(outcome_table, now, [&](const std::string& key, std::int64_t expiry) {
+    const auto id = parse_outcome_id(key);
+    if (!id) throw store::damaged(folder + ": an outcome whose key is none");
+    outcomes.push_back({*id, expiry - extra_retention.count()});
+  });
+  std::sort(outcomes.begin(), outcomes.end(),
+            [](const outcome_found& a, const outcome_found& b) { return a.expiry < b.expiry; });
+  return outcomes;
+}
+
+std::vector<open_transaction_found> read_open_transactions(const store::tables& tables,
+                                                           const std::string& folder, std::int64_t now) {
+  std::vector<open_transaction_found> open;
+  const auto read = [&](const std::string& id, const std::string& value) {
+    auto begin = parse_begin_record(id, value);
+    const auto row = tables.get(record_table, id, now);
+    const auto last = row ? parse_log_record(*row) : std::optional(log_record::begin);
+    if (!begin || !last) throw store::damaged(folder + ": write " + id + " cannot be read");
+    open.push_back({std::move(*begin), *last});
+    return true;
+  };
+  tables.scan(open_table, "", "", now, std::nullopt, read);
+  return open;
+}
+
 }  // namespace
 
-log_folder open_log_folder(store::file_system& fs, const log_folder_options& o, std::int64_t unix_now) {
-  older_marks older;
-  store::tables_options t;
-  t.folder = o.folder;
-  t.disk = {o.segment, o.space, amplification};
-  t.life = {{outcome_table, o.keep + kept_longer}};
-  t.most_keys = std::numeric_limits<std::size_t>::max();  // outcomes and open writes have bounds of their own
-  t.salt = o.salt;
-  t.older = [&older](std::uint32_t type, std::string_view body) { older.take(type, body); };
+log_folder open_log_folder(store::file_system& fs, const log_folder_options& options, std::int64_t unix_now) {
+  legacy_log legacy;
+  store::tables_options tables_options;
+  tables_options.folder = options.folder;
+  tables_options.disk = {options.segment_bytes, options.space_bytes, amplification};
+  tables_options.life = {{outcome_table, options.outcome_retention + extra_retention}};
+  // Outcomes and open transactions have bounds of their own.
+  tables_options.most_keys = std::numeric_limits<std::size_t>::max();
+  tables_options.salt = options.salt;
+  tables_options.older = [&legacy](std::uint32_t type, std::string_view body) {
+    legacy.add_record(type, body);
+  };
   log_folder found;
-  found.tables = std::make_unique<store::tables>(fs, std::move(t), unix_now);
-  store::tables& all = *found.tables;
-  const std::int64_t now = std::max(unix_now, all.latest());
-  if (older.any() && !all.get(meta_table, moved_key, now)) found.moved = move_up(all, o.folder, older, now);
-  all.each_key(outcome_table, now, [&](const std::string& key, std::int64_t expiry) {
-    const auto what = read_outcome_key(key);
-    if (!what) throw store::damaged(o.folder + ": an outcome whose key is none");
-    found.over.push_back({*what, expiry - kept_longer.count()});
-  });
-  std::sort(found.over.begin(), found.over.end(),
-            [](const found_outcome& a, const found_outcome& b) { return a.expiry < b.expiry; });
-  all.scan(open_table, "", "", now, std::nullopt, [&](const std::string& id, const std::string& value) {
-    auto begun = read_begun(id, value);
-    const auto marked = all.get(mark_table, id, now);
-    const auto last = marked ? read_mark(*marked) : std::optional(log_mark::begun);
-    if (!begun || !last) throw store::damaged(o.folder + ": write " + id + " cannot be read");
-    found.open.push_back({std::move(*begun), *last});
-    return true;
-  });
+  found.tables = std::make_unique<store::tables>(fs, std::move(tables_options), unix_now);
+  store::tables& tables = *found.tables;
+  const std::int64_t now = std::max(unix_now, tables.latest());
+  if (!legacy.empty() && !tables.get(meta_table, migrated_key, now))
+    found.migrated_rows = migrate(tables, options.folder, legacy, now);
+  found.outcomes = read_outcomes(tables, options.folder, now);
+  found.open = read_open_transactions(tables, options.folder, now);
   return found;
 }
 
--- a/src/transaction/log_folder.hpp
+++ b/src/transaction/log_folder.hpp
@@ -1,8 +1,8 @@
-// The folder of writes over several participants, as a start finds it: tables open for more, what is under
-// way, and what is known to be over. A folder that an older program left is moved up on the way
-// (docs/store.md).
+// Opens the folder of the transaction log: its tables, the transactions that have not ended, and the outcomes
+// of those that have. A folder with a legacy log is migrated on the way (docs/store.md).
 //
-// Blocks on the disk. Moments are nanoseconds of Unix time, held at the latest that the folder knows of.
+// Blocks on the disk. Times are nanoseconds of Unix time; a clock that was set back is held at the latest
+// time that the folder knows of.
 #pragma once
 
 #include <chrono>
@@ -18,28 +18,29 @@
 
 struct log_folder_options {
   std::string folder;
-  std::uint64_t segment = std::uint64_t{8} << 20, space = std::uint64_t{256} << 20;  // bytes
-  std::chrono::nanoseconds keep{};  // an outcome, from its write's end
-  std::uint64_t salt = 0;           // for a new folder
+  std::uint64_t segment_bytes = std::uint64_t{8} << 20;
+  std::uint64_t space_bytes = std::uint64_t{256} << 20;
+  std::chrono::nanoseconds outcome_retention{};  // from the end of the transaction
+  std::uint64_t salt = 0;                        // for a new folder
 };
 
-struct found_write {
-  begun_write what;
-  log_mark last{};
+struct open_transaction_found {
+  begin_record begin;
+  log_record last{};
 };
-struct found_outcome {
-  outcome_id what;
+struct outcome_found {
+  outcome_id id;
   std::int64_t expiry = 0;
 };
 struct log_folder {
   std::unique_ptr<store::tables> tables;
-  std::vector<found_write> open;
-  std::vector<found_outcome> over;  // in the order in which they age
-  std::size_t moved = 0;            // rows made of an older program's marks
+  std::vector<open_transaction_found> open;
+  std::vector<outcome_found> outcomes;  // in the order in which they expire
+  std::size_t migrated_rows = 0;        // made of a legacy log
 };
 
-// Throws store::held, io_error (also where there is no room to move up) or damaged. What was begun and broken
-// off is done anew by the next call.
-log_folder open_log_folder(store::file_system& fs, const log_folder_options& o, std::int64_t unix_now);
+// Throws store::held where another process has the folder, store::io_error (also where there is no space for
+// the migration) or store::damaged. A migration that fails is done anew by the next call.
+log_folder open_log_folder(store::file_system& fs, const log_folder_options& options, std::int64_t unix_now);
 
 }  // namespace marblewharf::transaction
--- a/src/transaction/log_records.hpp
+++ b/src/transaction/log_records.hpp
@@ -1,16 +1,14 @@
-// What a write over several participants has on disk: rows of tables, a batch for each step of its life
-// (docs/store.md), and the marks that older programs wrote, from which the same rows are made.
+// What a transaction has on disk: rows of tables, one batch for each log record (docs/store.md).
 //
-// Free of I/O and clocks. Numbers are little-endian but in keys, where they are big-endian, so that order by
-// key is order by number.
+// Free of I/O and clocks. Numbers in values are little-endian; in keys they are big-endian, so that the order
+// of keys is the order of numbers.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
-#include <map>
 #include <optional>
 #include <string>
 #include <string_view>
-#include <vector>
 
 #include "store/tables.hpp"
 #include "transaction/outcome_cache.hpp"
@@ -18,68 +16,62 @@
 
 namespace marblewharf::transaction {
 
-inline constexpr const char* open_table = "open";
-inline constexpr const char* mark_table = "mark";
-inline constexpr const char* outcome_table = "outcome";
+inline constexpr const char* open_table = "open";        // begin records of transactions that have not ended
+inline constexpr const char* record_table = "mark";      // their last log record, where it is not `begin`
+inline constexpr const char* outcome_table = "outcome";  // results of committed transactions
 inline constexpr const char* meta_table = "meta";
-inline constexpr const char* moved_key = "moved";  // of meta: what an older program left is in the tables
+inline constexpr const char* migrated_key = "moved";  // of meta: the legacy log's records are in the tables
 
-// An id is 32 hexadecimal digits; the second half is the write's number.
-inline constexpr std::size_t write_id_size = 32;
+// 32 hexadecimal digits; the second half is the transaction's number.
+using transaction_id = std::string;
+inline constexpr std::size_t transaction_id_size = 32;
+// 0 where `id` is no transaction's id.
 std::uint64_t number_of(std::string_view id);
 
-struct begun_write {
-  std::string id, request_class, key, payload;
-  std::string endpoints;  // of its participants, as host:port with a blank between; empty: the first of each
+// All that recovery needs to go on with a transaction.
+struct begin_record {
+  transaction_id id;
+  std::string request_class;
+  std::string key;      // of the request, with its scope
+  std::string payload;  // of the request
+  // Of the participants, in the plan's order: host:port with a blank between. Empty: the first endpoint of
+  // each.
+  std::string endpoints;
 };
-struct ended_write {
-  std::string key, result;
+// The result of a committed transaction.
+struct result_record {
+  std::string key;  // of the request: tells apart keys with the same hash
+  std::string result;
 };
 struct outcome_id {
-  std::uint64_t number = 0;
-  outcome_cache::key key;  // hash under the folder's salt
+  std::uint64_t number = 0;  // of the transaction
+  outcome_cache::key key;    // hash under the folder's salt
+};
+struct committed_outcome {
+  outcome_id id;
+  result_record result;
 };
 
-// Each is durable before anything that follows from it.
-store::batch batch_of_begun(const begun_write& w);
-store::batch batch_of_mark(const std::string& id, log_mark what);  // between begun and over
-// `committed`: its outcome, in the same batch; none: it was undone, and nothing is kept of it.
-store::batch batch_of_over(const std::string& id,
-                           const std::optional<std::pair<outcome_id, ended_write>>& committed);
+// Each batch must be durable before anything that follows from it.
+store::batch begin_batch(const begin_record& begin);
+// `record`: neither begin nor end.
+store::batch record_batch(const transaction_id& id, log_record record);
+// Removes the transaction's rows and adds its outcome, in one batch. No outcome: it was aborted, and nothing
+// is kept of it.
+store::batch end_batch(const transaction_id& id, const std::optional<committed_outcome>& outcome);
 
 // None where the bytes are no such row.
-std::optional<begun_write> read_begun(const std::string& id, std::string_view value);
-std::optional<log_mark> read_mark(std::string_view value);
-std::optional<ended_write> read_ended(std::string_view value);
-std::string outcome_key(const outcome_id& o);
-std::optional<outcome_id> read_outcome_key(std::string_view key);
-
-// Bytes on disk that a write may take in all.
-std::uint64_t room_of_write(std::size_t payload, std::size_t longest_result);
+std::optional<begin_record> parse_begin_record(const transaction_id& id, std::string_view value);
+std::optional<log_record> parse_log_record(std::string_view value);
+std::optional<result_record> parse_result_record(std::string_view value);
+std::string encode_outcome_id(const outcome_id& id);
+std::optional<outcome_id> parse_outcome_id(std::string_view key);
 
-// The hash by which a key is known in a folder.
-outcome_cache::key hash_of_key(std::string_view key, std::uint64_t salt);
+// Bytes on disk that all rows of a transaction may take together, given the sizes of its request and of the
+// longest result.
+std::uint64_t disk_space_of_transaction(std::size_t payload_bytes, std::size_t longest_result_bytes);
 
-// The marks of an older program's folder, in their order: the last one of a write counts, and a mark that
-// says all of it anew begins it where what it began with has aged.
-class older_marks {
- public:
-  void take(std::uint32_t type, std::string_view body);
-  bool any() const { return any_; }
-  // What counts of them at `now`; the last batch says that all is moved, and must be on disk behind all
-  // others. Written twice they say the same.
-  std::vector<store::batch> moved(std::int64_t now, std::uint64_t salt) const;
-
- private:
-  struct one {
-    begun_write begun;
-    log_mark last{};
-    bool committed = false;
-    std::int64_t expiry = 0;
-    std::string result;
-  };
-  bool any_ = false;
-  std::map<std::string, one> all_;  // by id
-};
+// The hash by which a request's key is known in a folder.
+outcome_cache::key hash_key(std::string_view key, std::uint64_t salt);
 
 }  // namespace marblewharf::transaction
--- /dev/null
+++ b/src/transaction/open_transaction.cpp
@@ -0,0 +1,81 @@
+#include "transaction/open_transaction.hpp"
+
+#include <utility>
+
+#include "fan_out/response_assembly.hpp"
+#include "net/reactor.hpp"
+
+namespace marblewharf::transaction {
+namespace {
+
+std::vector<participant_kind> participant_kinds(const config& settings, const write_plan& plan) {
+  std::vector<participant_kind> kinds;
+  for (const std::size_t dependency : plan.participants) {
+    const bool one_phase = settings.dependencies->endpoints[dependency].one_phase;
+    kinds.push_back(one_phase ? participant_kind::one_phase : participant_kind::two_phase);
+  }
+  return kinds;
+}
+
+std::string join_endpoints(const open_transaction& transaction) {
+  std::string joined;
+  for (const participant_call& call : transaction.calls) {
+    if (!joined.empty()) joined += ' ';
+    joined += call.address.host + ":" + std::to_string(call.address.port);
+  }
+  return joined;
+}
+
+}  // namespace
+
+const write_plan* find_plan(const writes_config& writes, std::size_t request_class) {
+  for (const write_plan& plan : writes.plans)
+    if (plan.request_class == request_class) return &plan;
+  return nullptr;
+}
+
+std::shared_ptr<open_transaction> make_transaction(const config& settings, const transaction_id& id,
+                                                   std::size_t request_class, std::string payload,
+                                                   std::string key) {
+  const write_plan* plan = find_plan(*settings.writes, request_class);
+  if (plan == nullptr) return nullptr;
+  auto made = std::make_shared<open_transaction>(participant_kinds(settings, *plan), *plan);
+  made->id = id;
+  made->number = number_of(id);
+  made->request_class = request_class;
+  made->payload = std::move(payload);
+  made->key = std::move(key);
+  made->begun_at = net::steady_now();
+  made->retry_pause = settings.writes->retry;
+  made->retry_at = made->begun_at + made->retry_pause;
+  for (std::size_t i = 0; i < made->calls.size(); ++i)
+    made->calls[i].address = settings.dependencies->endpoints[plan->participants[i]].at.front();
+  return made;
+}
+
+std::string compose_result(const open_transaction& transaction, const config& settings) {
+  upstream::request_plan plan;
+  std::vector<fan_out::part_result> results;
+  for (std::size_t i = 0; i < transaction.calls.size(); ++i) {
+    const std::size_t dependency = transaction.plan->participants[i];
+    plan.parts.push_back({settings.dependencies->endpoints[dependency].name, dependency, false, {}});
+    results.push_back(transaction.calls[i].result);
+  }
+  return fan_out::assemble_response(plan, results);
+}
+
+store::batch make_log_batch(const open_transaction& transaction, log_record record, const config& settings,
+                            std::uint64_t salt) {
+  if (record == log_record::begin) {
+    const std::string& class_name = settings.settings.classes[transaction.request_class].name;
+    return begin_batch(
+        {transaction.id, class_name, transaction.key, transaction.payload, join_endpoints(transaction)});
+  }
+  if (record != log_record::end) return record_batch(transaction.id, record);
+  if (!transaction.committed) return end_batch(transaction.id, std::nullopt);
+  const outcome_id id{transaction.number, hash_key(transaction.key, salt)};
+  return end_batch(transaction.id,
+                   committed_outcome{id, {transaction.key, compose_result(transaction, settings)}});
+}
+
+}  // namespace marblewharf::transaction
--- a/src/transaction/outcome_cache.cpp
+++ b/src/transaction/outcome_cache.cpp
@@ -2,37 +2,37 @@
 
 namespace marblewharf::transaction {
 
-void outcome_cache::begin(const key& k, std::uint64_t which) {
-  const auto before = table_.find(k);
-  if (before != table_.end() && before->second.which > which) return;
-  table_[k] = {which, standing::under_way};
+void outcome_cache::on_begin(const key& request_key, std::uint64_t number) {
+  const auto earlier = entries_.find(request_key);
+  if (earlier != entries_.end() && earlier->second.number > number) return;
+  entries_[request_key] = {number, status::open};
 }
 
-void outcome_cache::undone(const key& k, std::uint64_t which) {
-  const auto at = table_.find(k);
-  if (at != table_.end() && at->second.which == which && at->second.how == standing::under_way)
-    table_.erase(at);
+void outcome_cache::on_abort(const key& request_key, std::uint64_t number) {
+  const auto found = entries_.find(request_key);
+  if (found == entries_.end()) return;
+  if (found->second.number == number && found->second.state == status::open) entries_.erase(found);
 }
 
-void outcome_cache::committed(const key& k, std::uint64_t which, moment expiry) {
-  const auto found = table_.find(k);
-  if (found == table_.end() || found->second.which != which) return;
-  found->second.how = standing::committed;
-  ageing_.push_back({expiry, which, k});
+void outcome_cache::on_commit(const key& request_key, std::uint64_t number, timestamp expiry) {
+  const auto found = entries_.find(request_key);
+  if (found == entries_.end() || found->second.number != number) return;
+  found->second.state = status::committed;
+  expiries_.push_back({expiry, number, request_key});
 }
 
-outcome_cache::known outcome_cache::of(const key& k) const {
-  const auto at = table_.find(k);
-  return at == table_.end() ? known{} : known{at->second.how, at->second.which};
+outcome_cache::outcome outcome_cache::find(const key& request_key) const {
+  const auto found = entries_.find(request_key);
+  return found == entries_.end() ? outcome{} : found->second;
 }
 
-void outcome_cache::age(moment now) {
-  while (!ageing_.empty() && ageing_.front().expiry <= now) {
-    const due next = ageing_.front();
-    ageing_.pop_front();
-    const auto at = table_.find(next.k);
-    // Not one that began anew since: that has a number of its own.
-    if (at != table_.end() && at->second.which == next.which) table_.erase(at);
+void outcome_cache::expire(timestamp now) {
+  while (!expiries_.empty() && expiries_.front().expiry <= now) {
+    const pending_expiry next = expiries_.front();
+    expiries_.pop_front();
+    const auto found = entries_.find(next.request_key);
+    // A later transaction of the key has a number of its own, and stays.
+    if (found != entries_.end() && found->second.number == next.number) entries_.erase(found);
   }
 }
 
--- /dev/null
+++ b/src/transaction/recovery.cpp
@@ -0,0 +1,76 @@
+#include "transaction/recovery.hpp"
+
+#include <algorithm>
+#include <sstream>
+#include <utility>
+
+#include "net/reactor.hpp"
+#include "telemetry/telemetry.hpp"
+
+namespace marblewharf::transaction {
+namespace {
+
+using telemetry::log;
+
+endpoint parse_endpoint(const std::string& address) {
+  const std::size_t colon = address.rfind(':');
+  return {address.substr(0, colon), static_cast<std::uint16_t>(std::stoul(address.substr(colon + 1)))};
+}
+
+// Requests go on to the endpoints at which the transaction began.
+void restore_endpoints(open_transaction& transaction, const std::string& endpoints, const config& settings) {
+  std::istringstream addresses(endpoints);
+  std::string address;
+  for (std::size_t i = 0; i < transaction.calls.size() && addresses >> address; ++i) {
+    participant_call& call = transaction.calls[i];
+    call.address = parse_endpoint(address);
+    const auto& configured = settings.dependencies->endpoints[transaction.plan->participants[i]].at;
+    const auto found = std::find(configured.begin(), configured.end(), call.address);
+    call.endpoint_index = static_cast<std::size_t>(found - configured.begin());
+  }
+}
+
+std::shared_ptr<open_transaction> restore(const open_transaction_found& found, const config& settings) {
+  const begin_record& begin = found.begin;
+  const auto& classes = settings.settings.classes;
+  const auto named = std::find_if(classes.begin(), classes.end(),
+                                  [&](const auto& c) { return c.name == begin.request_class; });
+  std::shared_ptr<open_transaction> restored;
+  if (named != classes.end()) {
+    const auto request_class = static_cast<std::size_t>(named - classes.begin());
+    restored = make_transaction(settings, begin.id, request_class, begin.payload, begin.key);
+  }
+  if (restored == nullptr) {
+    log("writes", "a write of %s is open and has no plan any more: it is left as it is",
+        begin.request_class.c_str());
+    return nullptr;
+  }
+  restored->last_logged = found.last;
+  restored->committed = found.last == log_record::commit;
+  restore_endpoints(*restored, begin.endpoints, settings);
+  return restored;
+}
+
+}  // namespace
+
+recovered_log recover_log(store::file_system& fs, const config& settings,
+                          std::chrono::nanoseconds outcome_retention, std::uint64_t salt) {
+  const writes_config& writes = *settings.writes;
+  const std::chrono::nanoseconds unix_now = std::chrono::system_clock::now().time_since_epoch();
+  log_folder found = open_log_folder(
+      fs, {writes.folder, writes.segment, writes.space, outcome_retention, salt}, unix_now.count());
+  recovered_log recovered;
+  recovered.clock =
+      idempotency::aging_clock(unix_now, std::chrono::nanoseconds(found.tables->latest()), net::steady_now());
+  if (found.migrated_rows > 0)
+    log("writes", "%s: %zu rows made of an older program's marks", writes.folder.c_str(),
+        found.migrated_rows);
+  for (const open_transaction_found& open : found.open) {
+    if (auto restored = restore(open, settings)) recovered.open.push_back(std::move(restored));
+  }
+  recovered.outcomes = std::move(found.outcomes);
+  recovered.tables = std::move(found.tables);
+  return recovered;
+}
+
+}  // namespace marblewharf::transaction
--- a/src/transaction/state_machine.cpp
+++ b/src/transaction/state_machine.cpp
@@ -6,248 +6,280 @@
 
 namespace marblewharf::transaction {
 
-transaction::transaction(std::vector<part_kind> participants) {
+state_machine::state_machine(std::vector<participant_kind> participants) {
   if (participants.empty()) throw std::invalid_argument("a write over no participant");
-  if (std::count(participants.begin(), participants.end(), part_kind::one_phase) > 1)
+  if (std::count(participants.begin(), participants.end(), participant_kind::one_phase) > 1)
     throw std::invalid_argument("more than one participant that cannot prepare");
-  for (const part_kind k : participants) all_.push_back({.kind = k});
+  for (const participant_kind kind : participants) participants_.push_back({.kind = kind});
 }
 
-std::optional<std::size_t> transaction::last_agent() const {
-  for (std::size_t i = 0; i < all_.size(); ++i) {
-    if (all_[i].kind == part_kind::one_phase) return i;
-  }
-  return std::nullopt;
+bool state_machine::has_last_agent() const {
+  return std::any_of(participants_.begin(), participants_.end(),
+                     [](const participant& p) { return p.kind == participant_kind::one_phase; });
 }
 
-std::optional<tx_action> transaction::pick() {
-  if (taken_ == actions_.size()) {
+std::optional<action> state_machine::next_action() {
+  if (actions_taken_ == actions_.size()) {
     actions_.clear();
-    taken_ = 0;
+    actions_taken_ = 0;
     return std::nullopt;
   }
-  return actions_[taken_++];
+  return actions_[actions_taken_++];
+}
+
+void state_machine::report(client_outcome outcome) {
+  if (std::exchange(reported_, true)) return;
+  push(report_outcome{outcome});
 }
 
-void transaction::answer(tx_answer how) {
-  if (std::exchange(answered_, true)) return;
-  act(answer_now{how});
+void state_machine::write(log_record record) {
+  state_ = state::logging;
+  pending_record_ = record;
+  push(write_log_record{record});
 }
 
-// The write is on record before anybody is asked: after a crash its participants are told to let go.
-void transaction::begin() {
-  stage_ = stage::marking;
-  marking_ = log_mark::begun;
-  act(write_mark{log_mark::begun});
+// Logged before any participant is asked: after a crash they are told to abort.
+void state_machine::begin() {
+  write(log_record::begin);
 }
 
-void transaction::resume(log_mark last) {
-  answered_ = true;  // whoever asked has gone with the process
-  for (participant& p : all_) p.touched = true;
+void state_machine::recover(log_record last) {
+  reported_ = true;  // the client's connection has ended with the process
+  for (participant& p : participants_) p.contacted = true;
   switch (last) {
-    case log_mark::begun:
-    case log_mark::aborted:
-      refused_ = true;
-      stage_ = stage::aborting;
-      drive(step_kind::abort);
+    case log_record::begin:
+    case log_record::abort:
+      must_abort_ = true;
+      enter_decision(state::aborting);
       break;
-    case log_mark::asked_last:
-      for (participant& p : all_) p.prepared = p.kind == part_kind::two_phase;
-      stage_ = stage::asking_last;
-      drive(step_kind::commit);
+    case log_record::last_agent:
+      for (participant& p : participants_) p.prepared = p.kind == participant_kind::two_phase;
+      enter_decision(state::asking_last_agent);
       break;
-    case log_mark::decided:
-      decided_ = true;
-      for (participant& p : all_) p.ended = p.kind == part_kind::one_phase;  // its yes was the decision
-      stage_ = stage::committing;
-      drive(step_kind::commit);
+    case log_record::commit:
+      // The last agent's yes was the decision.
+      for (participant& p : participants_) p.acknowledged = p.kind == participant_kind::one_phase;
+      enter_decision(state::committing);
       break;
-    case log_mark::over: stage_ = stage::over; break;
+    case log_record::end: state_ = state::ended; break;
   }
 }
 
-void transaction::on_logged(log_mark what, bool durable) {
-  if (stage_ != stage::marking || what != marking_) return;
-  switch (what) {
-    case log_mark::begun:
-      if (!durable) {  // nobody was asked
-        answer(tx_answer::failed);
-        stage_ = stage::over;
-        return;
-      }
-      if (refused_) {
-        decide(false);
-        return;
-      }
-      stage_ = stage::preparing;
-      for (std::size_t i = 0; i < all_.size(); ++i) {
-        if (all_[i].kind != part_kind::two_phase) continue;
-        all_[i].out = all_[i].touched = true;
-        act(take_step{i, step_kind::prepare});
-      }
-      after_prepare();
-      break;
-    case log_mark::asked_last:
-      if (!durable) {  // it was not asked: all can still be undone
-        decide(false);
-        return;
-      }
-      stage_ = stage::asking_last;
-      drive(step_kind::commit);
-      break;
-    case log_mark::decided:
-      // Without the mark nothing may be committed; where the last agent has said yes, nothing may be undone
-      // either: it is written again.
-      if (!durable) {
-        if (last_agent()) {
-          rewrite_ = true;
-        } else {
-          decide(false);
-        }
-        return;
-      }
-      decided_ = true;
-      stage_ = stage::committing;
-      drive(step_kind::commit);
-      break;
-    case log_mark::aborted:
-      if (!durable && mark_tried_) {  // a mark before it may yet turn up after a crash
-        rewrite_ = true;
-        return;
-      }
-      // Else presumed abort: where this mark is missing, so is every later one.
-      answer(tx_answer::failed);
-      stage_ = stage::aborting;
-      drive(step_kind::abort);
-      break;
-    case log_mark::over:
-      // Without it a start would take it up again, and nobody could be told its result.
-      if (durable) {
-        stage_ = stage::over;
-      } else {
-        rewrite_ = true;
-      }
-      break;
+// ---- Log records ------------------------------------------------------------------------------------------
+
+void state_machine::on_logged(log_record record, bool durable) {
+  if (state_ != state::logging || record != pending_record_) return;
+  switch (record) {
+    case log_record::begin: on_begin_logged(durable); break;
+    case log_record::last_agent: on_last_agent_logged(durable); break;
+    case log_record::commit: on_commit_logged(durable); break;
+    case log_record::abort: on_abort_logged(durable); break;
+    case log_record::end: on_end_logged(durable); break;
   }
 }
 
-void transaction::after_prepare() {
-  if (stage_ != stage::preparing) return;
-  if (refused_) {
-    decide(false);
+void state_machine::on_begin_logged(bool durable) {
+  if (!durable) {  // no participant was asked
+    report(client_outcome::aborted);
+    state_ = state::ended;
     return;
   }
-  const bool all = std::all_of(all_.begin(), all_.end(), [](const participant& p) {
-    return p.kind == part_kind::one_phase || p.prepared;
-  });
-  if (!all) return;
-  stage_ = stage::marking;
-  marking_ = last_agent() ? log_mark::asked_last : log_mark::decided;
-  mark_tried_ = true;
-  act(write_mark{marking_});
-}
-
-void transaction::decide(bool commit) {
-  stage_ = stage::marking;
-  if (!commit) {
-    if (!mark_tried_) answer(tx_answer::failed);
-    marking_ = log_mark::aborted;
+  if (must_abort_) {
+    decide_abort();
+    return;
+  }
+  state_ = state::preparing;
+  send_prepares();
+  decide_if_prepared();
+}
+
+void state_machine::on_last_agent_logged(bool durable) {
+  if (durable) {
+    enter_decision(state::asking_last_agent);
   } else {
-    marking_ = log_mark::decided;
-  }
-  act(write_mark{marking_});
-}
-
-// Takes a step with each that has not answered it yet. The last agent alone while it is asked.
-void transaction::drive(step_kind what) {
-  bool open = false;
-  for (std::size_t i = 0; i < all_.size(); ++i) {
-    participant& p = all_[i];
-    const bool wanted = stage_ == stage::asking_last ? p.kind == part_kind::one_phase
-                        : what == step_kind::abort   ? p.touched && p.kind == part_kind::two_phase
-                                                     : true;
-    if (!wanted || p.ended) continue;
-    open = true;
-    if (p.out || p.failed_once) continue;
-    p.out = p.touched = true;
-    act(take_step{i, what});
-  }
-  if (open) return;
-  if (stage_ == stage::committing) answer(tx_answer::committed);
-  stage_ = stage::marking;
-  marking_ = log_mark::over;
-  act(write_mark{log_mark::over});
-}
-
-void transaction::on_step(std::size_t which, step_kind what, step_end how) {
-  participant& p = all_.at(which);
-  p.out = false;
-  if (what == step_kind::prepare) {
-    if (stage_ != stage::preparing) {
-      // It came after all was called off: an abort may have overtaken it, so it is told once more.
-      if (stage_ == stage::aborting) {
-        p.ended = false;
-        drive(step_kind::abort);
-      }
-      return;
-    }
-    if (how == step_end::yes) {
-      p.prepared = true;
-    } else {
-      refused_ = true;  // also where it is unknown: it is told to let go
-    }
-    after_prepare();
+    decide_abort();  // it was not asked: the others can still abort
+  }
+}
+
+// Without the record nothing may be committed; where the last agent has committed, nothing may be aborted
+// either, so the record is written again.
+void state_machine::on_commit_logged(bool durable) {
+  if (durable) {
+    enter_decision(state::committing);
+  } else if (has_last_agent()) {
+    rewrite_record_ = true;
+  } else {
+    decide_abort();
+  }
+}
+
+// Presumed abort: where this record is missing, so is every later one. But an earlier decision record whose
+// write failed may still be found after a crash, so then the abort record has to be on disk.
+void state_machine::on_abort_logged(bool durable) {
+  if (!durable && decision_record_tried_) {
+    rewrite_record_ = true;
+    return;
+  }
+  report(client_outcome::aborted);
+  enter_decision(state::aborting);
+}
+
+// Without the record recovery would take the transaction up again, and its result could not be read.
+void state_machine::on_end_logged(bool durable) {
+  if (durable) {
+    state_ = state::ended;
+  } else {
+    rewrite_record_ = true;
+  }
+}
+
+// ---- Votes and the decision -------------------------------------------------------------------------------
+
+void state_machine::send_prepares() {
+  for (std::size_t i = 0; i < participants_.size(); ++i) {
+    participant& p = participants_[i];
+    if (p.kind != participant_kind::two_phase) continue;
+    p.request_sent = true;
+    p.contacted = true;
+    push(send_request{i, participant_request::prepare});
+  }
+}
+
+// Commit once all have voted yes; abort as soon as one has not, or the deadline has passed.
+void state_machine::decide_if_prepared() {
+  if (state_ != state::preparing) return;
+  if (must_abort_) {
+    decide_abort();
     return;
   }
-  if (stage_ == stage::asking_last) {
-    if (how == step_end::yes) {
-      p.ended = true;
-      decide(true);
-    } else if (how == step_end::no) {
-      p.ended = true;
-      decide(false);
+  const bool all_prepared = std::all_of(participants_.begin(), participants_.end(), [](const participant& p) {
+    return p.kind == participant_kind::one_phase || p.prepared;
+  });
+  if (!all_prepared) return;
+  decision_record_tried_ = true;
+  write(has_last_agent() ? log_record::last_agent : log_record::commit);
+}
+
+void state_machine::decide_commit() {
+  write(log_record::commit);
+}
+
+void state_machine::decide_abort() {
+  if (!decision_record_tried_) report(client_outcome::aborted);
+  write(log_record::abort);
+}
+
+void state_machine::on_vote(participant& voter, participant_reply reply) {
+  if (state_ == state::preparing) {
+    if (reply == participant_reply::yes) {
+      voter.prepared = true;
     } else {
-      p.failed_once = true;  // nobody knows: asked again until it says
+      must_abort_ = true;  // also where the vote is unknown: that participant is told to abort, too
     }
+    decide_if_prepared();
+  } else if (state_ == state::aborting) {
+    // The abort may have overtaken this prepare, so it is sent once more.
+    voter.acknowledged = false;
+    send_decision();
+  }
+}
+
+void state_machine::on_last_agent_reply(participant& agent, participant_reply reply) {
+  if (reply == participant_reply::unknown) {
+    agent.awaiting_retry = true;  // its decision is not known: it is asked until it answers
+    return;
+  }
+  agent.acknowledged = true;
+  if (reply == participant_reply::yes) {
+    decide_commit();
+  } else {
+    decide_abort();
+  }
+}
+
+void state_machine::on_reply(std::size_t which, participant_request request, participant_reply reply) {
+  participant& p = participants_.at(which);
+  p.request_sent = false;
+  if (request == participant_request::prepare) {
+    on_vote(p, reply);
+    return;
+  }
+  if (state_ == state::asking_last_agent) {
+    on_last_agent_reply(p, reply);
     return;
   }
-  if (stage_ != stage::committing && stage_ != stage::aborting) return;
-  // One that has prepared has promised: a 'no' to its commit or abort is one that is taken again.
-  if (how == step_end::yes) {
-    p.ended = true;
+  if (state_ != state::committing && state_ != state::aborting) return;
+  // A prepared participant has to follow the decision: after a no the request is sent again.
+  if (reply == participant_reply::yes) {
+    p.acknowledged = true;
   } else {
-    p.failed_once = true;
+    p.awaiting_retry = true;
+  }
+  send_decision();
+}
+
+// ---- The decision's requests ------------------------------------------------------------------------------
+
+void state_machine::enter_decision(state decision_state) {
+  state_ = decision_state;
+  send_decision();
+}
+
+bool state_machine::must_receive(const participant& receiver, participant_request request) const {
+  if (state_ == state::asking_last_agent) return receiver.kind == participant_kind::one_phase;
+  if (request == participant_request::abort)
+    return receiver.contacted && receiver.kind == participant_kind::two_phase;
+  return true;
+}
+
+// Sends the request of this state to each participant that has not acknowledged it yet; logs the end once all
+// have.
+void state_machine::send_decision() {
+  const participant_request request =
+      state_ == state::aborting ? participant_request::abort : participant_request::commit;
+  bool all_acknowledged = true;
+  for (std::size_t i = 0; i < participants_.size(); ++i) {
+    participant& p = participants_[i];
+    if (!must_receive(p, request) || p.acknowledged) continue;
+    all_acknowledged = false;
+    if (p.request_sent || p.awaiting_retry) continue;
+    p.request_sent = true;
+    p.contacted = true;
+    push(send_request{i, request});
   }
-  drive(stage_ == stage::committing ? step_kind::commit : step_kind::abort);
+  if (!all_acknowledged) return;
+  if (state_ == state::committing) report(client_outcome::committed);
+  write(log_record::end);
 }
 
-void transaction::again() {
-  if (stage_ == stage::marking && std::exchange(rewrite_, false)) act(write_mark{marking_});
-  for (participant& p : all_) p.failed_once = false;
-  if (stage_ == stage::committing || stage_ == stage::asking_last) drive(step_kind::commit);
-  if (stage_ == stage::aborting) drive(step_kind::abort);
+void state_machine::retry() {
+  if (state_ == state::logging && std::exchange(rewrite_record_, false))
+    push(write_log_record{pending_record_});
+  for (participant& p : participants_) p.awaiting_retry = false;
+  if (state_ == state::committing || state_ == state::asking_last_agent || state_ == state::aborting)
+    send_decision();
 }
 
-void transaction::on_deadline() {
-  switch (stage_) {
-    case stage::preparing:
-      refused_ = true;
-      after_prepare();
+void state_machine::on_deadline() {
+  switch (state_) {
+    case state::preparing:
+      must_abort_ = true;
+      decide_if_prepared();
       break;
-    case stage::marking:
-      if (marking_ == log_mark::begun) {
-        refused_ = true;
-        answer(tx_answer::failed);
-      } else if (marking_ != log_mark::over) {
-        // Whether the mark is on disk is not known yet: neither 'served' nor 'failed' would be sure.
-        answer(tx_answer::under_way);
+    case state::logging:
+      if (pending_record_ == log_record::begin) {
+        must_abort_ = true;
+        report(client_outcome::aborted);
+      } else if (pending_record_ != log_record::end) {
+        // Whether the record is on disk is not known yet: neither 'committed' nor 'aborted' is certain.
+        report(client_outcome::in_doubt);
       }
       break;
-    case stage::asking_last:
-    case stage::committing: answer(tx_answer::under_way); break;
-    case stage::idle:
-    case stage::aborting:
-    case stage::over: break;
+    case state::asking_last_agent:
+    case state::committing: report(client_outcome::in_doubt); break;
+    case state::idle:
+    case state::aborting:
+    case state::ended: break;
   }
 }
 
--- a/src/upstream/endpoint_set.cpp
+++ b/src/upstream/endpoint_set.cpp
@@ -103,7 +103,7 @@
   if (e.where == endpoint_state::probing) e.probe_out = true;
 }
 
-void endpoint_set::on_end(std::size_t which, time_point now, duration took, bool told, bool well) {
+void endpoint_set::on_end(std::size_t which, time_point now, duration took, call_outcome outcome) {
   one& e = all_[which];
   if (e.in_flight > 0) --e.in_flight;
   // What is known weighs as little in the new mean as it did in the choice.
@@ -111,14 +111,14 @@
   if (e.in_flight == 0) e.idle_since = now;
   const bool was_probe = e.where == endpoint_state::probing;
   if (was_probe) e.probe_out = false;
-  if (!told) return;
+  if (outcome == call_outcome::cancelled) return;
   const double s = std::chrono::duration<double>(took).count();
   e.mean_s = e.mean_s <= 0 ? s : e.mean_s + (s - e.mean_s) * std::max(1 / mean_memory, 1 - kept);
   if (++e.calls >= 2 * rules_.sample) {
     e.calls /= 2;
     e.failed /= 2;
   }
-  if (well) {
+  if (outcome == call_outcome::succeeded) {
     e.failures = 0;
     if (was_probe && ++e.probes_well >= rules_.probes) {
       e.since = now;
--- a/src/upstream/endpoint_set.hpp
+++ b/src/upstream/endpoint_set.hpp
@@ -31,6 +31,13 @@
 
 enum class endpoint_state { in, out, probing, ramping };
 
+// How a call ended, as far as it says something about its endpoint.
+enum class call_outcome {
+  succeeded,  // the endpoint answered well
+  failed,     // it answered badly, or not in time
+  cancelled,  // the caller ended the call, which says nothing
+};
+
 // Where endpoints are, seen from this process, and how calls are kept near (docs/failover.md).
 struct nearness {
   std::vector<failover::level>
@@ -51,8 +58,7 @@
   void on_bound(std::size_t which) { ++all_[which].bound; }
   void on_unbound(std::size_t which) { --all_[which].bound; }
   void on_start(std::size_t which);
-  // `told`: it answered, well or not; else the call was cancelled and tells nothing.
-  void on_end(std::size_t which, time_point now, duration took, bool told, bool well);
+  void on_end(std::size_t which, time_point now, duration took, call_outcome outcome);
   // What others know of its place: its zone is declared out, its member suspected. No call goes there but in
   // panic.
   void set_reachable(std::size_t which, bool reachable) { all_[which].reachable = reachable; }
--- a/tests/fan_out/decisions_test.cpp
+++ b/tests/fan_out/decisions_test.cpp
@@ -113,7 +113,7 @@
       RC_ASSERT(all.state_of(*at) != endpoint_state::out);
       if (all.state_of(*at) == endpoint_state::probing) RC_ASSERT(all.in_flight(*at) == 0u);
       all.on_start(*at);
-      all.on_end(*at, now, 1ms, true, !bad.contains(*at));
+      all.on_end(*at, now, 1ms, bad.contains(*at) ? call_outcome::failed : call_outcome::succeeded);
       RC_ASSERT(static_cast<double>(all.out()) <= rules.most_out * static_cast<double>(n));
     }
     // All are well again: in the end none is out.
@@ -122,7 +122,7 @@
       random = random * 6364136223846793005ull + 1442695040888963407ull;
       if (const auto at = all.choose(now, random, true)) {
         all.on_start(*at);
-        all.on_end(*at, now, 1ms, true, true);
+        all.on_end(*at, now, 1ms, call_outcome::succeeded);
       }
     }
     RC_ASSERT(all.out() == 0u);
@@ -137,16 +137,16 @@
   // One that comes back is met by few: its weight grows.
   endpoint_set ramp(2, {.failures = 1, .out = 1s, .probes = 1, .ramp = 10s});
   ramp.on_start(0);
-  ramp.on_end(0, 1s, 1ms, true, false);
+  ramp.on_end(0, 1s, 1ms, call_outcome::failed);
   CHECK(ramp.state_of(0) == endpoint_state::out);
   CHECK(ramp.choose(1500ms, 0, true) == 1u);
   CHECK(ramp.choose(2500ms, 0, true) == 0u);  // the probe
   ramp.on_start(0);
   CHECK(ramp.choose(2500ms, 0, true) == 1u);  // one at a time
-  ramp.on_end(0, 2500ms, 1ms, true, true);
+  ramp.on_end(0, 2500ms, 1ms, call_outcome::succeeded);
   CHECK(ramp.state_of(0) == endpoint_state::ramping);
   ramp.on_start(1);
-  ramp.on_end(1, 2500ms, 1ms, true, true);
+  ramp.on_end(1, 2500ms, 1ms, call_outcome::succeeded);
   for (std::uint64_t r = 0; r < 8; ++r) CHECK(ramp.choose(2600ms, r, true) == 1u);
 }
 
@@ -155,7 +155,7 @@
 void the_unanswered_draws_its_part() {
   endpoint_set all(2, {});
   all.on_start(0);
-  all.on_end(0, 50ms, 50ms, true, true);
+  all.on_end(0, 50ms, 50ms, call_outcome::succeeded);
   CHECK(all.choose(50ms, 0, true) == 1u);  // never asked: tried at once
   for (std::uint64_t r = 0; r < 40; ++r) all.on_start(*all.choose(50ms, r * 0x100000001ull, true));
   CHECK(all.in_flight(0) == 20 && all.in_flight(1) == 20);
@@ -187,7 +187,7 @@
       ++got[at];
       all.on_start(at);
       now += takes[at];
-      all.on_end(at, now, takes[at], true, true);
+      all.on_end(at, now, takes[at], call_outcome::succeeded);
       now += 1ms;
     }
     return got;
@@ -485,7 +485,7 @@
     const auto e = all.choose(now, random(), false);
     if (!e) continue;
     all.on_start(*e);
-    all.on_end(*e, now, 1ms, true, true);
+    all.on_end(*e, now, 1ms, call_outcome::succeeded);
     ++at[*e / 3];
   }
   return at;
@@ -498,7 +498,7 @@
   for (const std::size_t e : {0u, 1u})
     for (int i = 0; i < 5; ++i) {
       all.on_start(e);
-      all.on_end(e, 1s, 1ms, true, false);
+      all.on_end(e, 1s, 1ms, call_outcome::failed);
     }
   const auto spilled = levels_of(all, 1100ms, 1000);
   CHECK(spilled[0] > 400 && spilled[0] < 530 && spilled[1] == 1000 - spilled[0]);
@@ -538,7 +538,8 @@
       now += 10ms;
       const std::size_t e = random() % 9;
       if (random() % 4 == 0) all.set_reachable(e, reachable[e] = random() % 2 == 0);
-      if (all.in_flight(e) > 0) all.on_end(e, now, 1ms, true, random() % 3 != 0);
+      if (all.in_flight(e) > 0)
+        all.on_end(e, now, 1ms, random() % 3 != 0 ? call_outcome::succeeded : call_outcome::failed);
       const std::size_t avoided = random() % 9;
       const auto chosen = all.choose(now, random(), random() % 2 == 0, avoided);
       if (!chosen) continue;
--- a/tests/transaction/log_folder_test.cpp
+++ b/tests/transaction/log_folder_test.cpp
@@ -4,6 +4,8 @@
 
 #include <rapidcheck.h>
 
+#include <fstream>
+#include <iterator>
 #include <map>
 #include <random>
 
@@ -32,32 +34,32 @@
 void rows() {
   CHECK(rc::check("rows say what was put into them, and nothing else is a row", [] {
     const auto text = [] { return *rc::gen::arbitrary<std::string>(); };
-    const begun_write w{id_of(*rc::gen::inRange(1, 1'000'000)), text(), text(), text(), text()};
-    const std::string begun = *batch_of_begun(w).all().at({open_table, w.id});
-    const auto back = read_begun(w.id, begun);
+    const begin_record w{id_of(*rc::gen::inRange(1, 1'000'000)), text(), text(), text(), text()};
+    const std::string begun = *begin_batch(w).all().at({open_table, w.id});
+    const auto back = parse_begin_record(w.id, begun);
     RC_ASSERT(back && back->request_class == w.request_class && back->key == w.key &&
               back->payload == w.payload && back->endpoints == w.endpoints);
     const std::size_t cut = static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(begun.size())));
-    RC_ASSERT(!read_begun(w.id, begun.substr(0, cut)) && !read_begun(w.id, begun + "x"));
+    RC_ASSERT(!parse_begin_record(w.id, begun.substr(0, cut)) && !parse_begin_record(w.id, begun + "x"));
     const outcome_id o{*rc::gen::arbitrary<std::uint64_t>(),
                        {*rc::gen::arbitrary<std::uint64_t>(), *rc::gen::arbitrary<std::uint64_t>()}};
-    const auto again = read_outcome_key(outcome_key(o));
+    const auto again = parse_outcome_id(encode_outcome_id(o));
     RC_ASSERT(again && again->number == o.number && again->key == o.key);
     const outcome_id p{*rc::gen::arbitrary<std::uint64_t>(), o.key};
-    RC_ASSERT((outcome_key(o) < outcome_key(p)) == (o.number < p.number));
-    const store::batch over = batch_of_over(w.id, std::pair(o, ended_write{w.key, w.payload}));
-    const auto ended = read_ended(*over.all().at({outcome_table, outcome_key(o)}));
+    RC_ASSERT((encode_outcome_id(o) < encode_outcome_id(p)) == (o.number < p.number));
+    const store::batch over = end_batch(w.id, committed_outcome{o, result_record{w.key, w.payload}});
+    const auto ended = parse_result_record(*over.all().at({outcome_table, encode_outcome_id(o)}));
     RC_ASSERT(ended && ended->key == w.key && ended->result == w.payload);
-    RC_ASSERT(!over.all().at({open_table, w.id}) && !over.all().at({mark_table, w.id}));
+    RC_ASSERT(!over.all().at({open_table, w.id}) && !over.all().at({record_table, w.id}));
   }));
-  for (const log_mark m : {log_mark::asked_last, log_mark::decided, log_mark::aborted})
-    CHECK(read_mark(*batch_of_mark("x", m).all().at({mark_table, "x"})) == m);
-  for (const char* none : {"", "\x01", "\x05", "\x03\x03"}) CHECK(!read_mark(none));
+  for (const log_record m : {log_record::last_agent, log_record::commit, log_record::abort})
+    CHECK(parse_log_record(*record_batch("x", m).all().at({record_table, "x"})) == m);
+  for (const char* none : {"", "\x01", "\x05", "\x03\x03"}) CHECK(!parse_log_record(none));
 }
 
 // As the older program wrote it.
-store::entry older_entry(const begun_write& w, log_mark what, bool committed, bool whole, std::int64_t expiry,
-                         const std::string& result = {}) {
+store::entry older_entry(const begin_record& w, log_record what, bool committed, bool whole,
+                         std::int64_t expiry, const std::string& result = {}) {
   std::string body = w.id;
   store::put(body, expiry);
   store::put(body, static_cast<std::uint32_t>(what));
@@ -72,9 +74,9 @@
 }
 
 struct model {
-  std::map<std::string, log_mark> open;       // by id
+  std::map<std::string, log_record> open;     // by id
   std::map<std::uint64_t, std::string> over;  // by number: the result
-  std::map<std::string, begun_write> begun;
+  std::map<std::string, begin_record> begun;
 };
 
 // A folder of the older program's with `n` writes of which some are under way; it closed at `now`.
@@ -87,28 +89,28 @@
   l.open(second);
   const auto append = [&](const store::entry& e) { l.append(std::span(&e, 1), second); };
   for (int i = 1; i <= n; ++i) {
-    const begun_write w{id_of(static_cast<std::uint64_t>(i)), "kurs-meldung", "key" + std::to_string(i),
-                        std::string(random() % 400, 'p'),
-                        random() % 2 == 0 ? "127.0.0.1:80 127.0.0.1:81" : ""};
+    const begin_record w{id_of(static_cast<std::uint64_t>(i)), "kurs-meldung", "key" + std::to_string(i),
+                         std::string(random() % 400, 'p'),
+                         random() % 2 == 0 ? "127.0.0.1:80 127.0.0.1:81" : ""};
     m.begun[w.id] = w;
-    append(older_entry(w, log_mark::begun, false, true, now + 50 * second));
-    log_mark last = log_mark::begun;
-    const auto mark = [&](log_mark what) {
-      append(older_entry(w, what, what == log_mark::decided, false, now + 50 * second));
+    append(older_entry(w, log_record::begin, false, true, now + 50 * second));
+    log_record last = log_record::begin;
+    const auto mark = [&](log_record what) {
+      append(older_entry(w, what, what == log_record::commit, false, now + 50 * second));
       last = what;
     };
-    if (random() % 2 == 0) mark(log_mark::asked_last);
-    if (random() % 2 == 0) mark(random() % 3 == 0 ? log_mark::aborted : log_mark::decided);
+    if (random() % 2 == 0) mark(log_record::last_agent);
+    if (random() % 2 == 0) mark(random() % 3 == 0 ? log_record::abort : log_record::commit);
     // Renewed, perhaps with a mark from before the last one.
     if (random() % 2 == 0)
-      append(older_entry(w, random() % 2 == 0 ? last : log_mark::begun, false, true, now + 50 * second));
+      append(older_entry(w, random() % 2 == 0 ? last : log_record::begin, false, true, now + 50 * second));
     if (random() % 2 == 0) {
       m.open[w.id] = last;
       continue;
     }
-    const bool committed = last == log_mark::decided, aged = random() % 4 == 0;
+    const bool committed = last == log_record::commit, aged = random() % 4 == 0;
     const std::string result(random() % 900, static_cast<char>('a' + i % 26));
-    append(older_entry(w, log_mark::over, committed, false, aged ? now - second : now + 50 * second,
+    append(older_entry(w, log_record::end, committed, false, aged ? now - second : now + 50 * second,
                        committed ? result : ""));
     if (committed && !aged) m.over[static_cast<std::uint64_t>(i)] = result;
   }
@@ -116,21 +118,22 @@
 }
 
 void expect(const log_folder& f, const model& m, std::int64_t now) {
-  CHECK(f.open.size() == m.open.size() && f.over.size() == m.over.size());
-  for (const found_write& w : f.open) {
-    CHECK(m.open.contains(w.what.id) && m.open.at(w.what.id) == w.last);
-    const begun_write& b = m.begun.at(w.what.id);
-    CHECK(w.what.key == b.key && w.what.payload == b.payload && w.what.endpoints == b.endpoints &&
-          w.what.request_class == b.request_class);
+  CHECK(f.open.size() == m.open.size() && f.outcomes.size() == m.over.size());
+  for (const open_transaction_found& w : f.open) {
+    CHECK(m.open.contains(w.begin.id) && m.open.at(w.begin.id) == w.last);
+    const begin_record& b = m.begun.at(w.begin.id);
+    CHECK(w.begin.key == b.key && w.begin.payload == b.payload && w.begin.endpoints == b.endpoints &&
+          w.begin.request_class == b.request_class);
   }
   std::int64_t before = 0;
-  for (const found_outcome& o : f.over) {
-    CHECK(m.over.contains(o.what.number) && o.expiry >= before && o.expiry > now);
+  for (const outcome_found& o : f.outcomes) {
+    CHECK(m.over.contains(o.id.number) && o.expiry >= before && o.expiry > now);
     before = o.expiry;
-    const std::string key = "key" + std::to_string(o.what.number);
-    CHECK(o.what.key == hash_of_key(key, f.tables->salt()));
-    const auto ended = read_ended(f.tables->get(outcome_table, outcome_key(o.what), now).value());
-    CHECK(ended && ended->key == key && ended->result == m.over.at(o.what.number));
+    const std::string key = "key" + std::to_string(o.id.number);
+    CHECK(o.id.key == hash_key(key, f.tables->salt()));
+    const auto ended =
+        parse_result_record(f.tables->get(outcome_table, encode_outcome_id(o.id), now).value());
+    CHECK(ended && ended->key == key && ended->result == m.over.at(o.id.number));
   }
 }
 
@@ -144,15 +147,15 @@
     {
       const log_folder f = open_log_folder(fs, options(), now);
       expect(f, m, now);
-      CHECK(f.moved >= m.open.size() + m.over.size());
+      CHECK(f.migrated_rows >= m.open.size() + m.over.size());
       const std::string id = m.open.begin()->first;
-      f.tables->commit(batch_of_over(id, std::nullopt), store::durability::now, now);
+      f.tables->commit(end_batch(id, std::nullopt), store::durability::now, now);
       m.open.erase(id);
     }
     {
       const log_folder f = open_log_folder(fs, options(), now + second);
       expect(f, m, now + second);
-      CHECK(f.moved == 0);
+      CHECK(f.migrated_rows == 0);
       for (int i = 0; f.tables->clean_step(now + second); ++i) CHECK(i < 10'000);
       for (int i = 0; i < 200; ++i) {  // some turns of the log, so that the older segments go
         store::batch b;
@@ -225,13 +228,120 @@
   expect(open_log_folder(fs, options(), now), m, now);
 }
 
+// The committed folder of commit 0abc316, in a file system in memory.
+void load_committed_folder(crash::fs& fs) {
+  constexpr std::uint64_t segment_bytes = 1 << 20;
+  const std::string name = "0000000000000001.seg";
+  std::ifstream in(std::string(COMMITTED_FOLDER) + "/" + name, std::ios::binary);
+  CHECK(in);
+  const std::string bytes{std::istreambuf_iterator<char>(in), {}};
+  const auto file = fs.create("f/" + name, segment_bytes);
+  file->write_at(0, bytes);
+  file->sync();
+  fs.sync_folder("f");
+}
+
+std::string request_of(const std::string& key) {
+  const auto field = [](const std::string& text) {
+    return std::string{static_cast<char>(text.size()), '\0'} + text;
+  };
+  const std::string vars = field("PATH_INFO") + field("/kurs/meldung") + field("REMOTE_USER") +
+                           field("isar-invest") + field("KEY") + field(key) + field("CONTENT_LENGTH") +
+                           field("7");
+  return std::string{'\0', static_cast<char>(vars.size()), '\0', '\0'} + vars + "payload";
+}
+
+std::string scoped(const std::string& key) {
+  const std::string zero(1, '\0');
+  return "isar-invest" + zero + "kurs-meldung" + zero + key;
+}
+
+std::string result_of(const std::string& key) {
+  std::string parts;
+  for (const std::string participant : {"konto", "buch", "melde"}) {
+    const std::string body = participant + " " + key;
+    parts += "--part0\r\nPart: " + participant +
+             "\r\nPart-State: fresh\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body +
+             "\r\n";
+  }
+  parts += "--part0--\r\n";
+  return "HTTP/1.1 200 OK\r\nContent-Type: multipart/mixed; boundary=part0\r\nPartial: "
+         "no\r\nContent-Length: " +
+         std::to_string(parts.size()) + "\r\n\r\n" + parts;
+}
+
+void expect_open_transactions(const log_folder& folder, std::int64_t now) {
+  struct expected_transaction {
+    std::string id, key;
+    log_record last{};
+  };
+  const std::vector<expected_transaction> expected = {
+      {"0ca237602ed64d2f18edb4c93867a955", "begun", log_record::begin},
+      {"0ca237602ed64d2f18edb4c945347f60", "last-agent", log_record::last_agent},
+      {"0ca237602ed64d2f18edb4c9503edefe", "committing", log_record::commit},
+      {"0ca237602ed64d2f18edb4c95bf88de0", "aborting", log_record::abort}};
+  CHECK(folder.open.size() == expected.size());
+  for (std::size_t i = 0; i < expected.size(); ++i) {
+    const open_transaction_found& found = folder.open[i];
+    CHECK(found.begin.id == expected[i].id && found.last == expected[i].last);
+    CHECK(found.begin.request_class == "kurs-meldung" && found.begin.key == scoped(expected[i].key));
+    CHECK(found.begin.payload == request_of(expected[i].key));
+    CHECK(found.begin.endpoints == "127.1.95.75:51027 127.1.95.75:48723 127.1.95.75:39001");
+    // Written anew, the rows are the same, byte for byte.
+    CHECK(begin_batch(found.begin).all().at({open_table, found.begin.id}) ==
+          folder.tables->get("open", expected[i].id, now));
+    const auto record_row = folder.tables->get("mark", expected[i].id, now);
+    CHECK(record_row.has_value() == (found.last != log_record::begin));
+    if (record_row)
+      CHECK(record_batch(found.begin.id, found.last).all().at({record_table, found.begin.id}) == record_row);
+  }
+}
+
+void expect_outcomes(const log_folder& folder, std::int64_t now) {
+  struct expected_outcome {
+    std::string key;
+    std::uint64_t number = 0;
+    std::int64_t expiry = 0;
+  };
+  const std::vector<expected_outcome> expected = {{"ended-1", 0x18edb4c92b19efc8, 1796291202506981784},
+                                                  {"ended-2", 0x18edb4c973e84d96, 1796291203717561940}};
+  CHECK(folder.outcomes.size() == expected.size());
+  for (std::size_t i = 0; i < expected.size(); ++i) {
+    const outcome_found& found = folder.outcomes[i];
+    CHECK(found.id.number == expected[i].number && found.expiry == expected[i].expiry);
+    CHECK(found.id.key == hash_key(scoped(expected[i].key), folder.tables->salt()));
+    const std::string row = folder.tables->get("outcome", encode_outcome_id(found.id), now).value();
+    const auto result = parse_result_record(row);
+    CHECK(result && result->key == scoped(expected[i].key) && result->result == result_of(expected[i].key));
+    const auto rewritten = end_batch("id", committed_outcome{found.id, *result});
+    CHECK(rewritten.all().at({outcome_table, encode_outcome_id(found.id)}) == row);
+  }
+}
+
+// A folder that the program of commit 0abc316 wrote says what it said then.
+void written_by_0abc316() {
+  constexpr std::int64_t now = 1796290700 * second;
+  crash::fs fs;
+  load_committed_folder(fs);
+  log_folder_options committed_options;
+  committed_options.folder = "f";
+  committed_options.segment_bytes = 1 << 20;
+  committed_options.space_bytes = 12 << 20;
+  committed_options.outcome_retention = std::chrono::minutes(10);
+  const log_folder folder = open_log_folder(fs, committed_options, now);
+  CHECK(folder.migrated_rows == 0);
+  expect_open_transactions(folder, now);
+  expect_outcomes(folder, now);
+}
+
 }  // namespace
 
 int main(int, char** argv) {
   const std::map<std::string, void (*)()> tests = {{"rows", rows},
                                                    {"moved_up", moved_up},
                                                    {"moved_up_with_faults", moved_up_with_faults},
-                                                   {"no_room", no_room}};
+                                                   {"no_room", no_room},
+                                                   {"written_by_0abc316", written_by_0abc316}};
   tests.at(argv[1])();
   std::printf("%s passed\n", argv[1]);
   return 0;
--- a/tests/transaction/outcome_cache_test.cpp
+++ b/tests/transaction/outcome_cache_test.cpp
@@ -16,14 +16,14 @@
 
 namespace {
 
-using standing = outcome_cache::standing;
+using status = outcome_cache::status;
 
 // Against a plain map that forgets nothing but what has aged.
 void against_a_map() {
   CHECK(rc::check("a committed outcome is told until it ages, and no other is", [] {
     struct written {
       std::uint64_t which = 0;
-      standing how = standing::under_way;
+      status how = status::open;
       std::int64_t expiry = 0;
     };
     outcome_cache o(1'000'000);
@@ -37,30 +37,30 @@
       auto& m = model[k];
       switch (*rc::gen::inRange(0, 5)) {
         case 0:
-          m = {++last, standing::under_way, 0};
-          o.begin(key, last);
+          m = {++last, status::open, 0};
+          o.on_begin(key, last);
           break;
         case 1:
-          o.undone(key, m.which);
-          if (m.which != 0 && m.how == standing::under_way) m = {};
+          o.on_abort(key, m.which);
+          if (m.which != 0 && m.how == status::open) m = {};
           break;
         case 2:
-          if (m.how != standing::under_way || m.which == 0) break;
-          m.how = standing::committed;
+          if (m.how != status::open || m.which == 0) break;
+          m.how = status::committed;
           m.expiry = now + 100;
-          o.committed(key, m.which, m.expiry);
+          o.on_commit(key, m.which, m.expiry);
           break;
-        case 3: o.committed(key, m.which + 1000, now + 100); break;  // of another write: it tells nothing
+        case 3: o.on_commit(key, m.which + 1000, now + 100); break;  // of another write: it tells nothing
         default:
           now += *rc::gen::inRange(1, 60);
-          o.age(now);
+          o.expire(now);
           for (auto& [mk, w] : model)
-            if (w.how == standing::committed && w.expiry <= now) w = {};
+            if (w.how == status::committed && w.expiry <= now) w = {};
       }
       for (const auto& [mk, w] : model) {
-        const outcome_cache::known is = o.of({mk, mk * 7});
-        RC_ASSERT(is.how == (w.which == 0 ? standing::unknown : w.how));
-        if (w.how == standing::committed) RC_ASSERT(is.which == w.which);
+        const outcome_cache::outcome is = o.find({mk, mk * 7});
+        RC_ASSERT(is.state == (w.which == 0 ? status::unknown : w.how));
+        if (w.how == status::committed) RC_ASSERT(is.number == w.which);
       }
     }
   }));
@@ -68,22 +68,22 @@
 
 void bounded() {
   outcome_cache o(2);
-  o.begin({1, 1}, 1);
-  CHECK(o.room());
-  o.begin({2, 2}, 2);
-  CHECK(!o.room() && o.next_ageing() == 0);
-  o.committed({1, 1}, 1, 500);
-  CHECK(!o.room() && o.next_ageing() == 500);
-  o.age(499);
-  CHECK(!o.room());
-  o.age(500);
-  CHECK(o.room() && o.of({1, 1}).how == standing::unknown && o.of({2, 2}).how == standing::under_way);
+  o.on_begin({1, 1}, 1);
+  CHECK(o.has_room());
+  o.on_begin({2, 2}, 2);
+  CHECK(!o.has_room() && o.next_expiry() == 0);
+  o.on_commit({1, 1}, 1, 500);
+  CHECK(!o.has_room() && o.next_expiry() == 500);
+  o.expire(499);
+  CHECK(!o.has_room());
+  o.expire(500);
+  CHECK(o.has_room() && o.find({1, 1}).state == status::unknown && o.find({2, 2}).state == status::open);
   // A folder may have an earlier write of a key, whose undoing took long, behind a later one that is over.
-  o.begin({3, 3}, 9);
-  o.committed({3, 3}, 9, 900);
-  o.begin({3, 3}, 8);
-  o.undone({3, 3}, 8);
-  CHECK(o.of({3, 3}).how == standing::committed && o.of({3, 3}).which == 9);
+  o.on_begin({3, 3}, 9);
+  o.on_commit({3, 3}, 9, 900);
+  o.on_begin({3, 3}, 8);
+  o.on_abort({3, 3}, 8);
+  CHECK(o.find({3, 3}).state == status::committed && o.find({3, 3}).number == 9);
 }
 
 // Writes and gatherings together never have more than the share, writes alone never more than the participant
