--- a/models/leader_election.pml
+++ b/models/leader_election.pml
@@ -1,175 +1,189 @@
-/* The chair (src/budgets/chair): three voters, two of them candidates, checked exhaustively by Spin: never do two lead.
+/* Leader election (src/quota/leader_election): three voters, two of them candidates, checked exhaustively by Spin. At no
+ * time do two candidates hold the leader lease.
  *
- * Messages are lost, copied, late and overtaken; a voter may lose its memory at any moment and then keeps still; of each
- * lease a candidate's clock may miss one tick, of each promise a voter's may count one twice.
+ * Messages may be lost, duplicated, delayed and reordered. A voter may restart at any moment without memory, and then grants
+ * no vote for the duration of one. Clocks have bounded drift: of each lease a candidate's clock may miss one tick, of each
+ * vote a voter's clock may count one tick twice.
  *
- * Each -D takes one part away; Spin must then find two that lead (tests/models.cmake).
- *   MARGIN=1    promises that cover less than what both clocks may be wrong by
- *   FROM_ANSWER the candidate counts its lease from the promise and not from the ask
- *   NO_SILENCE  a voter that lost its memory promises at once
- *   MINORITY    one promise is enough
+ * Each -D takes one part of the protocol away; Spin must then find two leaders (tests/models.cmake).
+ *   MARGIN=1          votes that bind for less than the drift of both clocks takes
+ *   LEASE_FROM_GRANT  the candidate counts its lease from the vote and not from its request
+ *   NO_RESTART_WAIT   a voter that restarted grants votes at once
+ *   MINORITY          one vote is enough
  */
 #ifndef MARGIN
 #define MARGIN 2
 #endif
 #define VOTERS 3
 #define LEASE 1
-#define WAIT (LEASE + MARGIN)
-#define ASKS 2
+#define VOTE_DURATION (LEASE + MARGIN)
+#define MAX_REQUESTS 2
 #ifdef MINORITY
-#define ENOUGH 1
+#define VOTES_NEEDED 1
 #else
-#define ENOUGH 2
+#define VOTES_NEEDED 2
 #endif
 
-/* voters: 0 is nobody, else the candidate's number + 1 */
-byte promised[VOTERS], bound[VOTERS];
-bit hurried[VOTERS], forgot;
-/* candidates */
-byte asked[2], age[2], leads[2], yes[2]; /* yes: the voters' bits, for the latest ask */
-bit missed[2], missed_ask[2]; /* in the lease; in the time since the ask */
+/* By voter. `voted_for`: 0 nobody, else the candidate's index + 1; `vote_left`: ticks that the vote still binds. */
+byte voted_for[VOTERS], vote_left[VOTERS];
+bit vote_tick_doubled[VOTERS], restarted;
+/* By candidate. `granted_by`: a bit for each voter, for the latest request; `request_age`: ticks since that was sent. */
+byte last_request[2], request_age[2], lease_left[2], granted_by[2];
+bit lease_tick_missed[2], request_tick_missed[2];
 
-chan ask = [2] of { byte, byte, byte };     /* candidate, number, voter */
-chan promise = [1] of { byte, byte, byte };
+chan vote_request = [2] of { byte, byte, byte }; /* candidate, number, voter */
+chan vote_granted = [1] of { byte, byte, byte }; /* the same */
 
-#define votes(c) ((yes[c] & 1) + ((yes[c] >> 1) & 1) + ((yes[c] >> 2) & 1))
-#define may(v, c) (promised[v] == c + 1 || bound[v] == 0)
+#define vote_count(id) ((granted_by[id] & 1) + ((granted_by[id] >> 1) & 1) + ((granted_by[id] >> 2) & 1))
+#define may_vote_for(voter, id) (voted_for[voter] == id + 1 || vote_left[voter] == 0)
 
-inline count(c) {
+inline count_votes(id) {
   if
-  :: votes(c) >= ENOUGH ->
-#ifdef FROM_ANSWER
-     leads[c] = LEASE;
+  :: vote_count(id) >= VOTES_NEEDED ->
+#ifdef LEASE_FROM_GRANT
+     lease_left[id] = LEASE;
 #else
      if
-     :: age[c] < LEASE && LEASE - age[c] >= leads[c] -> leads[c] = LEASE - age[c]; missed[c] = missed_ask[c]
+     :: request_age[id] < LEASE && LEASE - request_age[id] >= lease_left[id] ->
+        lease_left[id] = LEASE - request_age[id];
+        lease_tick_missed[id] = request_tick_missed[id]
      :: else
      fi;
 #endif
-     assert(leads[0] == 0 || leads[1] == 0)
+     assert(lease_left[0] == 0 || lease_left[1] == 0)
   :: else
   fi
 }
 
-proctype candidate(byte c) {
-  byte n, v;
+proctype candidate(byte id) {
+  byte number, voter;
   do
-  :: atomic { /* asks the others, and itself */
-       asked[c] < ASKS ->
-       asked[c]++;
-       age[c] = 0;
-       missed_ask[c] = 0;
-       yes[c] = 0;
+  :: atomic { /* requests votes of the others, and votes for itself */
+       last_request[id] < MAX_REQUESTS ->
+       last_request[id]++;
+       request_age[id] = 0;
+       request_tick_missed[id] = 0;
+       granted_by[id] = 0;
        if
-       :: may(c, c) -> promised[c] = c + 1; bound[c] = WAIT; hurried[c] = 0; yes[c] = 1 << c
+       :: may_vote_for(id, id) ->
+          voted_for[id] = id + 1;
+          vote_left[id] = VOTE_DURATION;
+          vote_tick_doubled[id] = 0;
+          granted_by[id] = 1 << id
        :: else
        fi;
-       count(c);
+       count_votes(id);
        if
-       :: nfull(ask) -> ask!c, asked[c], 1 - c
+       :: nfull(vote_request) -> vote_request!id, last_request[id], 1 - id
        :: skip
        fi;
        if
-       :: nfull(ask) -> ask!c, asked[c], 2
+       :: nfull(vote_request) -> vote_request!id, last_request[id], 2
        :: skip
        fi
      }
   :: atomic {
-       promise??eval(c), n, v ->
+       vote_granted??eval(id), number, voter ->
        if
-       :: n == asked[c] -> yes[c] = yes[c] | (1 << v); count(c)
+       :: number == last_request[id] ->
+          granted_by[id] = granted_by[id] | (1 << voter);
+          count_votes(id)
        :: else
        fi;
-       n = 0; v = 0
+       number = 0; voter = 0
      }
   od
 }
 
-inline hear(c, n, v) {
+inline handle_request(id, number, voter) {
   if
-  :: may(v, c) ->
-     promised[v] = c + 1;
-     bound[v] = WAIT;
-     hurried[v] = 0;
+  :: may_vote_for(voter, id) ->
+     voted_for[voter] = id + 1;
+     vote_left[voter] = VOTE_DURATION;
+     vote_tick_doubled[voter] = 0;
      if
-     :: nfull(promise) -> promise!c, n, v
+     :: nfull(vote_granted) -> vote_granted!id, number, voter
      :: skip
      fi
   :: else
   fi;
-  c = 0; n = 0; v = 0
+  id = 0; number = 0; voter = 0
 }
 
 active proctype voters() {
-  byte c, n, v;
+  byte id, number, voter;
   do
-  :: atomic { ask?c, n, v -> hear(c, n, v) }
-  :: atomic { ask?<c, n, v> -> hear(c, n, v) } /* a copy follows */
-  :: atomic { ask?c, n, v -> c = 0; n = 0; v = 0 }
-  :: atomic { /* the third voter starts anew and knows nothing of what it promised */
-       !forgot ->
-       forgot = 1;
-       promised[2] = 0;
-#ifdef NO_SILENCE
-       bound[2] = 0
+  :: atomic { vote_request?id, number, voter -> handle_request(id, number, voter) }
+  :: atomic { vote_request?<id, number, voter> -> handle_request(id, number, voter) } /* duplicated */
+  :: atomic { vote_request?id, number, voter -> id = 0; number = 0; voter = 0 } /* lost */
+  :: atomic { /* the third voter restarts, and does not know its earlier vote */
+       !restarted ->
+       restarted = 1;
+       voted_for[2] = 0;
+#ifdef NO_RESTART_WAIT
+       vote_left[2] = 0
 #else
-       bound[2] = WAIT; hurried[2] = 0
+       vote_left[2] = VOTE_DURATION; vote_tick_doubled[2] = 0
 #endif
      }
   od
 }
 
-inline pass_candidate(c) {
+inline tick_candidate(id) {
   if
   :: if
-     :: age[c] < LEASE -> age[c]++
+     :: request_age[id] < LEASE -> request_age[id]++
      :: else
      fi;
      if
-     :: leads[c] > 0 -> leads[c]--
+     :: lease_left[id] > 0 -> lease_left[id]--
      :: else
      fi
-  :: (leads[c] > 0 || age[c] < LEASE) && (leads[c] == 0 || !missed[c]) && (age[c] == LEASE || !missed_ask[c]) ->
-     missed[c] = 1;
-     missed_ask[c] = 1
+  :: (lease_left[id] > 0 || request_age[id] < LEASE) &&
+     (lease_left[id] == 0 || !lease_tick_missed[id]) &&
+     (request_age[id] == LEASE || !request_tick_missed[id]) ->
+     lease_tick_missed[id] = 1;
+     request_tick_missed[id] = 1
   fi;
-  /* what no longer matters is alike in all states */
+  /* resets what no longer matters: fewer states */
   if
-  :: leads[c] == 0 -> missed[c] = 0
+  :: lease_left[id] == 0 -> lease_tick_missed[id] = 0
   :: else
   fi;
   if
-  :: age[c] == LEASE -> missed_ask[c] = 0
+  :: request_age[id] == LEASE -> request_tick_missed[id] = 0
   :: else
   fi;
-#ifndef FROM_ANSWER
+#ifndef LEASE_FROM_GRANT
   if
-  :: age[c] == LEASE -> yes[c] = 0
+  :: request_age[id] == LEASE -> granted_by[id] = 0
   :: else
   fi
 #endif
 }
 
-inline pass_voter(v) {
+inline tick_voter(voter) {
   if
-  :: bound[v] > 0 -> bound[v]--
-  :: bound[v] > 1 && !hurried[v] -> bound[v] = bound[v] - 2; hurried[v] = 1
-  :: bound[v] == 0
+  :: vote_left[voter] > 0 -> vote_left[voter]--
+  :: vote_left[voter] > 1 && !vote_tick_doubled[voter] ->
+     vote_left[voter] = vote_left[voter] - 2;
+     vote_tick_doubled[voter] = 1
+  :: vote_left[voter] == 0
   fi;
   if
-  :: bound[v] == 0 -> promised[v] = 0; hurried[v] = 0
+  :: vote_left[voter] == 0 -> voted_for[voter] = 0; vote_tick_doubled[voter] = 0
   :: else
   fi
 }
 
-active proctype time() {
+active proctype clock() {
   do
   :: atomic {
-       pass_candidate(0);
-       pass_candidate(1);
-       pass_voter(0);
-       pass_voter(1);
-       pass_voter(2)
+       tick_candidate(0);
+       tick_candidate(1);
+       tick_voter(0);
+       tick_voter(1);
+       tick_voter(2)
      }
   od
 }
--- a/models/leases.pml
+++ b/models/leases.pml
@@ -1,164 +1,180 @@
-/* The leases on shares (src/budgets/holder, src/budgets/allocator), for a small fleet, checked exhaustively by Spin.
+/* Leases on quota shares (src/quota/lease_holder, src/quota/allocator) in a small cluster, checked exhaustively by Spin. The
+ * shares in force never add up to more than the global limit.
  *
- * Two nodes, a whole of two units, allocators that replace each other at any moment (models/chair.pml has that there are
- * never two), messages that are lost, copied, late and overtaken, and clocks within their bound: of each lease the holder's
- * clock may miss one tick, and of each wait the allocator's may count one twice.
+ * Two nodes, a global limit of two units, allocators that replace each other at any moment (models/leader_election.pml shows
+ * that there are never two). Messages may be lost, duplicated, delayed and reordered. Clocks have bounded drift: of each lease
+ * the holder's clock may miss one tick, of each wait the allocator's clock may count one tick twice.
  *
- * Each -D below takes one part of the protocol away; Spin must then find the whole exceeded (tests/models.cmake).
- *   MARGIN=1    waits that cover less than what both clocks may be wrong by
- *   NO_CONFIRM  a share taken back is free before its node says so
- *   ANY_ANSWER  answers to requests before the latest are taken
- *   NO_WAIT     a new allocator grants before the last one's grants have run out
+ * Each -D takes one part of the protocol away; Spin must then find the limit exceeded (tests/models.cmake).
+ *   MARGIN=1               waits that cover less than the drift of both clocks
+ *   FREE_BEFORE_CONFIRMED  a share taken back is granted to others before its node confirms
+ *   STALE_GRANTS           a node accepts grants to requests before its latest
+ *   NO_TAKEOVER_WAIT       a new allocator grants before its predecessor's grants have expired
  */
 #ifndef MARGIN
 #define MARGIN 2
 #endif
 #define NODES 2
-#define WHOLE 2
+#define GLOBAL_LIMIT 2
 #define LEASE 1
-#define WAIT (LEASE + MARGIN)
-#define ASKS 2
-#define TERMS 1
+#define EXPIRY_WAIT (LEASE + MARGIN)
+#define MAX_REQUESTS 2
+#define MAX_TERMS 1
 
-/* nodes */
-byte held[NODES], lease[NODES], asked[NODES], age[NODES];
-bit answered[NODES], missed[NODES], missed_ask[NODES]; /* missed: in the lease; in the time since the ask */
-/* the allocator's book */
-byte committed[NODES], until[NODES], last[NODES], unknown, terms;
-bit hurried[NODES], hurried_unknown;
+/* By node. `request_age`: ticks since its latest request was sent. */
+byte held[NODES], lease_left[NODES], last_request[NODES], request_age[NODES];
+bit answered[NODES], lease_tick_missed[NODES], request_tick_missed[NODES];
+/* The allocator's, by node. `earlier_grants_left`: ticks until its predecessor's grants have surely expired. */
+byte committed[NODES], commitment_left[NODES], last_request_seen[NODES], earlier_grants_left, terms;
+bit commitment_tick_doubled[NODES], earlier_tick_doubled;
 
 chan request = [1] of { byte, byte, byte }; /* node, number, held */
 chan grant = [2] of { byte, byte, byte };   /* node, number, share */
 
-#define in_force(i) (lease[i] > 0 -> held[i] : 0)
-#define booked(i) (until[i] > 0 -> committed[i] : 0)
+#define in_force(id) (lease_left[id] > 0 -> held[id] : 0)
+#define committed_to(id) (commitment_left[id] > 0 -> committed[id] : 0)
 
-inline answer(i, n, h) {
+inline handle_request(id, number, reported) {
   if
-  :: n > last[i] ->
-     last[i] = n;
-     committed[i] = h;
-     until[i] = WAIT;
-     hurried[i] = 0;
-     /* any share that the book allows: max-min fairness picks one of them */
-     g = 0;
+  :: number > last_request_seen[id] ->
+     last_request_seen[id] = number;
+     committed[id] = reported;
+     commitment_left[id] = EXPIRY_WAIT;
+     commitment_tick_doubled[id] = 0;
+     /* any share within the limit: max-min fairness picks one of them */
+     granted = 0;
      do
-     :: g < h -> g++
-     :: g >= h && g < WHOLE && unknown == 0 && booked(0) + booked(1) - h + g + 1 <= WHOLE -> g++
+     :: granted < reported -> granted++
+     :: granted >= reported && granted < GLOBAL_LIMIT && earlier_grants_left == 0 &&
+        committed_to(0) + committed_to(1) - reported + granted + 1 <= GLOBAL_LIMIT -> granted++
      :: break
      od;
-#ifdef NO_CONFIRM
-     committed[i] = g;
+#ifdef FREE_BEFORE_CONFIRMED
+     committed[id] = granted;
 #else
-     committed[i] = (g > h -> g : h);
+     committed[id] = (granted > reported -> granted : reported);
 #endif
      if
-     :: nfull(grant) -> grant!i, n, g
+     :: nfull(grant) -> grant!id, number, granted
      :: skip /* lost */
      fi
   :: else
   fi;
-  g = 0
+  granted = 0
 }
 
 active proctype allocator() {
-  byte i, n, h, g;
+  byte id, number, reported, granted;
   do
-  :: atomic { request?i, n, h -> answer(i, n, h); i = 0; n = 0; h = 0 }
-  :: atomic { request?<i, n, h> -> answer(i, n, h); i = 0; n = 0; h = 0 } /* a copy follows */
-  :: atomic { request?i, n, h -> i = 0; n = 0; h = 0 }                    /* lost */
-  :: atomic { /* another takes the chair: its book is empty */
-       terms < TERMS ->
+  :: atomic {
+       request?id, number, reported ->
+       handle_request(id, number, reported);
+       id = 0; number = 0; reported = 0
+     }
+  :: atomic { /* duplicated */
+       request?<id, number, reported> ->
+       handle_request(id, number, reported);
+       id = 0; number = 0; reported = 0
+     }
+  :: atomic { request?id, number, reported -> id = 0; number = 0; reported = 0 } /* lost */
+  :: atomic { /* another member leads: its allocator knows of no grants */
+       terms < MAX_TERMS ->
        terms++;
        committed[0] = 0; committed[1] = 0;
-       until[0] = 0; until[1] = 0;
-       last[0] = 0; last[1] = 0;
-#ifndef NO_WAIT
-       unknown = WAIT;
+       commitment_left[0] = 0; commitment_left[1] = 0;
+       last_request_seen[0] = 0; last_request_seen[1] = 0;
+#ifndef NO_TAKEOVER_WAIT
+       earlier_grants_left = EXPIRY_WAIT;
 #endif
-       hurried_unknown = 0
+       earlier_tick_doubled = 0
      }
   od
 }
 
-proctype node(byte i) {
-  byte n, g;
+proctype node(byte id) {
+  byte number, granted;
   do
   :: atomic {
-       asked[i] < ASKS && nfull(request) ->
-       asked[i]++;
-       age[i] = 0;
-       answered[i] = 0;
-       missed_ask[i] = 0;
-       request!i, asked[i], in_force(i)
+       last_request[id] < MAX_REQUESTS && nfull(request) ->
+       last_request[id]++;
+       request_age[id] = 0;
+       answered[id] = 0;
+       request_tick_missed[id] = 0;
+       request!id, last_request[id], in_force(id)
      }
   :: atomic {
-       grant??eval(i), n, g ->
+       grant??eval(id), number, granted ->
        if
-#ifdef ANY_ANSWER
-       :: age[i] < LEASE ->
+#ifdef STALE_GRANTS
+       :: request_age[id] < LEASE ->
 #else
-       :: n == asked[i] && !answered[i] && age[i] < LEASE ->
+       :: number == last_request[id] && !answered[id] && request_age[id] < LEASE ->
 #endif
-          answered[i] = 1;
-          held[i] = g;
-          lease[i] = LEASE - age[i];
-          missed[i] = missed_ask[i];
-          assert(in_force(0) + in_force(1) <= WHOLE)
+          answered[id] = 1;
+          held[id] = granted;
+          lease_left[id] = LEASE - request_age[id];
+          lease_tick_missed[id] = request_tick_missed[id];
+          assert(in_force(0) + in_force(1) <= GLOBAL_LIMIT)
        :: else
        fi;
-       n = 0; g = 0
+       number = 0; granted = 0
      }
   od
 }
 
-inline pass(i) {
+inline tick_node(id) {
   if
   :: if
-     :: age[i] < LEASE -> age[i]++
+     :: request_age[id] < LEASE -> request_age[id]++
      :: else
      fi;
      if
-     :: lease[i] > 0 -> lease[i]--
+     :: lease_left[id] > 0 -> lease_left[id]--
      :: else
      fi
-  :: (lease[i] > 0 || age[i] < LEASE) && (lease[i] == 0 || !missed[i]) && (age[i] == LEASE || !missed_ask[i]) ->
-     missed[i] = 1;
-     missed_ask[i] = 1
+  :: (lease_left[id] > 0 || request_age[id] < LEASE) &&
+     (lease_left[id] == 0 || !lease_tick_missed[id]) &&
+     (request_age[id] == LEASE || !request_tick_missed[id]) ->
+     lease_tick_missed[id] = 1;
+     request_tick_missed[id] = 1
   fi;
-  /* what no longer matters is alike in all states */
+  /* resets what no longer matters: fewer states */
   if
-  :: lease[i] == 0 -> held[i] = 0
+  :: lease_left[id] == 0 -> held[id] = 0
   :: else
   fi;
   if
-  :: lease[i] == 0 -> missed[i] = 0
+  :: lease_left[id] == 0 -> lease_tick_missed[id] = 0
   :: else
   fi;
   if
-  :: age[i] == LEASE -> missed_ask[i] = 0; answered[i] = 1
+  :: request_age[id] == LEASE -> request_tick_missed[id] = 0; answered[id] = 1
   :: else
   fi;
   if
-  :: until[i] > 0 -> until[i]--
-  :: until[i] > 1 && !hurried[i] -> until[i] = until[i] - 2; hurried[i] = 1
-  :: until[i] == 0
+  :: commitment_left[id] > 0 -> commitment_left[id]--
+  :: commitment_left[id] > 1 && !commitment_tick_doubled[id] ->
+     commitment_left[id] = commitment_left[id] - 2;
+     commitment_tick_doubled[id] = 1
+  :: commitment_left[id] == 0
   fi;
   if
-  :: until[i] == 0 -> committed[i] = 0; hurried[i] = 0
+  :: commitment_left[id] == 0 -> committed[id] = 0; commitment_tick_doubled[id] = 0
   :: else
   fi
 }
 
-active proctype time() {
+active proctype clock() {
   do
   :: atomic {
-       pass(0);
-       pass(1);
+       tick_node(0);
+       tick_node(1);
        if
-       :: unknown > 0 -> unknown--
-       :: unknown > 1 && !hurried_unknown -> unknown = unknown - 2; hurried_unknown = 1
-       :: unknown == 0
+       :: earlier_grants_left > 0 -> earlier_grants_left--
+       :: earlier_grants_left > 1 && !earlier_tick_doubled ->
+          earlier_grants_left = earlier_grants_left - 2;
+          earlier_tick_doubled = 1
+       :: earlier_grants_left == 0
        fi
      }
   od
--- a/src/cluster/agent.cpp
+++ b/src/cluster/agent.cpp
@@ -8,6 +8,7 @@
 #include <sstream>
 #include <stdexcept>
 
+#include "cluster/member_addresses.hpp"
 #include "failover/routes.hpp"
 #include "membership/wire.hpp"
 #include "telemetry/telemetry.hpp"
@@ -16,10 +17,6 @@
 
 namespace {
 
-std::string text_of(const endpoint& e) {
-  return e.host + ":" + std::to_string(e.port);
-}
-
 const char* name_of(membership::health h) {
   switch (h) {
     case membership::health::alive: return "alive";
@@ -62,29 +59,18 @@
   return o;
 }
 
-std::map<std::string, std::string> zones_of(const fleet_config& f) {
-  std::map<std::string, std::string> out;
-  for (const fleet_zone& z : f.zones)
-    for (const endpoint& m : z.members) out[text_of(m)] = z.name;
-  return out;
-}
-
-std::vector<std::string> seeds_of(const fleet_config& f) {
-  std::vector<std::string> out;
-  for (const endpoint& s : f.seeds) out.push_back(text_of(s));
-  return out;
-}
-
 membership::swim fresh_swim(const fleet_config& f) {
   return {options_of(f),
-          membership::claim{text_of(f.advertise), f.zone, f.region_of(f.zone),
+          membership::claim{address_of(f.advertise), f.zone, f.region_of(f.zone),
                             static_cast<std::uint64_t>(net::unix_ms()), membership::health::alive},
-          seeds_of(f), net::steady_now()};
+          seed_addresses(f), net::steady_now()};
 }
 
 failover::zone_view fresh_view(const fleet_config& f, std::uint64_t incarnation) {
-  return {
-      zones_of(f), text_of(f.advertise), {.hold_down = f.hold_down, .vote_lease = f.vote_lease}, incarnation};
+  return {zones_by_member(f),
+          address_of(f.advertise),
+          {.hold_down = f.hold_down, .vote_lease = f.vote_lease},
+          incarnation};
 }
 
 }  // namespace
@@ -95,7 +81,7 @@
       random_(seed),
       swim_(fresh_swim(f)),
       view_(fresh_view(f, swim_.self().incarnation)),
-      zone_of_(zones_of(f)),
+      zone_of_(zones_by_member(f)),
       started_(net::steady_now()),
       next_look_(started_ + f.probe_interval) {
   if (join(started_)) return;
@@ -104,7 +90,7 @@
   bind(own, 0);
   listen_on(own);
   telemetry::log("fleet", "%s is held by another process: this one joins once it lets go",
-                 text_of(f.listen).c_str());
+                 address_of(f.listen).c_str());
 }
 
 agent::~agent() {
@@ -121,7 +107,7 @@
     return true;
   } catch (const Poco::Exception& e) {
     if (e.code() == EADDRINUSE) return false;
-    throw std::runtime_error("fleet: " + text_of(settings_.listen) + ": " + e.displayText());
+    throw std::runtime_error("fleet: " + address_of(settings_.listen) + ": " + e.displayText());
   }
 }
 
@@ -137,7 +123,7 @@
   if (now > started_) {  // it has waited on a port of its own
     reactor_.removeEventHandler(
         socket_, Poco::NObserver<agent, Poco::Net::ReadableNotification>(*this, &agent::on_readable));
-    telemetry::log("fleet", "%s is this process's now", text_of(settings_.listen).c_str());
+    telemetry::log("fleet", "%s is this process's now", address_of(settings_.listen).c_str());
     // An incarnation above all that the process before it had, and a grace that begins now.
     swim_ = fresh_swim(settings_);
     view_ = fresh_view(settings_, swim_.self().incarnation);
@@ -146,8 +132,8 @@
   }
   listen_on(members_own);
   joined_ = true;
-  telemetry::log("fleet", "%s in zone %s of fleet %s, incarnation %llu", text_of(settings_.advertise).c_str(),
-                 settings_.zone.c_str(), settings_.name.c_str(),
+  telemetry::log("fleet", "%s in zone %s of fleet %s, incarnation %llu",
+                 address_of(settings_.advertise).c_str(), settings_.zone.c_str(), settings_.name.c_str(),
                  static_cast<unsigned long long>(swim_.self().incarnation));
   return true;
 }
@@ -214,7 +200,7 @@
 failover::sight agent::sight_of(const fleet_zone& z, time_point now) const {
   std::vector<failover::member_sight> members;
   for (const endpoint& m : z.members) {
-    const std::string address = text_of(m);
+    const std::string address = address_of(m);
     const auto found = swim_.members().find(address);
     const auto contact = swim_.contact(address);
     const auto miss = swim_.miss(address);
@@ -302,8 +288,8 @@
   for (const fleet_zone& z : settings_.zones) {
     std::size_t alive = 0;
     for (const endpoint& m : z.members) {
-      const auto found = swim_.members().find(text_of(m));
-      if (text_of(m) == swim_.self().address ||
+      const auto found = swim_.members().find(address_of(m));
+      if (address_of(m) == swim_.self().address ||
           (found != swim_.members().end() && found->second.state == membership::health::alive))
         ++alive;
     }
--- a/src/cluster/quota_client.cpp
+++ b/src/cluster/quota_client.cpp
@@ -6,6 +6,7 @@
 #include <cmath>
 #include <sstream>
 
+#include "cluster/member_addresses.hpp"
 #include "quota/wire.hpp"
 #include "telemetry/telemetry.hpp"
 
@@ -13,36 +14,39 @@
 
 namespace {
 
-constexpr duration measure_every = std::chrono::milliseconds(50);
-
-std::string text_of(const endpoint& e) {
-  return e.host + ":" + std::to_string(e.port);
-}
-
-std::set<std::string> members_of(const fleet_config& f) {
-  std::set<std::string> all;
-  for (const fleet_zone& z : f.zones)
-    for (const endpoint& m : z.members) all.insert(text_of(m));
-  return all;
-}
-
-std::vector<quota::budget> budgets_of(const budgets_config& c) {
-  std::vector<quota::budget> all;
-  for (const budget_config& b : c.all)
-    all.push_back({b.name, b.whole, b.safe, b.weight, b.unit != budget_unit::requests, b.settle});
-  return all;
+constexpr duration measure_interval = std::chrono::milliseconds(50);
+constexpr duration min_step_interval = std::chrono::milliseconds(1);
+
+// Sums of fractions may fall short of a whole number by rounding alone.
+constexpr double rounding_tolerance = 1e-6;
+
+constexpr double never_applied = -1;
+
+std::vector<quota::quota_definition> quotas_of(const budgets_config& settings) {
+  std::vector<quota::quota_definition> quotas;
+  for (const budget_config& each : settings.all) {
+    quota::quota_definition quota;
+    quota.name = each.name;
+    quota.global_limit = each.whole;
+    quota.guaranteed_share = each.safe;
+    quota.weight = each.weight;
+    quota.limits_in_flight = each.unit != budget_unit::requests;
+    quota.settling_time = each.settle;
+    quotas.push_back(std::move(quota));
+  }
+  return quotas;
 }
 
-quota::quota_coordinator_options options_of(const budgets_config& c) {
-  quota::quota_coordinator_options o;
-  o.rules = {c.lease, c.drift};
-  o.renew = c.renew;
-  o.reserve = c.reserve;
-  return o;
+quota::quota_coordinator_options options_of(const budgets_config& settings) {
+  quota::quota_coordinator_options options;
+  options.lease = {settings.lease, settings.drift};
+  options.renew_interval = settings.renew;
+  options.joining_reserve = settings.reserve;
+  return options;
 }
 
-const char* name_of(budget_unit u) {
-  switch (u) {
+const char* name_of(budget_unit unit) {
+  switch (unit) {
     case budget_unit::runs: return "runs";
     case budget_unit::requests: return "requests";
     case budget_unit::calls: return "calls";
@@ -50,158 +54,192 @@
   return "?";
 }
 
+bool counts_towards(const request& arrived, const budget_config& rate) {
+  if (rate.unit != budget_unit::requests || rate.tenant != arrived.tenant) return false;
+  return rate.request_class < 0 || rate.request_class == static_cast<int>(arrived.request_class);
+}
+
+// What a share allows: a rate as it is, of runs or calls a whole number.
+double enforceable(double share, budget_unit unit) {
+  return unit == budget_unit::requests ? share : std::floor(share + rounding_tolerance);
+}
+
 }  // namespace
 
-quota_client::quota_client(agent& to, const config& settings, dispatcher& desk, telemetry::counters& counters,
-                           calls_user calls)
-    : link_(to),
+quota_client::quota_client(agent& cluster_agent, const config& settings, dispatcher& requests,
+                           telemetry::counters& counters, calls_user calls)
+    : agent_(cluster_agent),
       settings_(*settings.budgets),
-      fleet_(settings.fleet->name),
-      desk_(desk),
+      cluster_name_(settings.fleet->name),
+      requests_(requests),
       counters_(counters),
       calls_(std::move(calls)),
-      office_(options_of(settings_), budgets_of(settings_), members_of(*settings.fleet),
-              text_of(settings.fleet->advertise), static_cast<std::uint64_t>(net::unix_ms()), clock()),
-      uses_(settings_.all.size()),
-      rates_(settings_.all.size()),
-      flights_(settings_.all.size()),
-      told_(settings_.all.size(), -1),
-      moved_(settings_.all.size()) {
-  link_.hear([this](std::string_view datagram) { return on_datagram(datagram); });
-  desk_.watch_arrivals([this](const request& what) {
-    for (std::size_t i = 0; i < settings_.all.size(); ++i) {
-      const budget_config& b = settings_.all[i];
-      if (b.unit == budget_unit::requests && b.tenant == what.tenant &&
-          (b.request_class < 0 || b.request_class == static_cast<int>(what.request_class)))
-        rates_[i].count();
-    }
-  });
-  look_for_address(clock());
-  apply(clock());  // what there is binds from the first request on
+      coordinator_(options_of(settings_), quotas_of(settings_), configured_members(*settings.fleet),
+                   address_of(settings.fleet->advertise), static_cast<std::uint64_t>(net::unix_ms()),
+                   lease_clock()),
+      usage_(settings_.all.size()),
+      rate_demand_(settings_.all.size()),
+      in_flight_demand_(settings_.all.size()),
+      applied_shares_(settings_.all.size(), never_applied),
+      share_changes_(settings_.all.size()) {
+  agent_.hear([this](std::string_view datagram) { return on_datagram(datagram); });
+  requests_.watch_arrivals([this](const request& arrived) { count_arrival(arrived); });
+  update_membership(lease_clock());
+  apply_shares(lease_clock());  // binds from the first request on
 }
 
-// The clock of leases: it goes on while the machine sleeps. `clock_rate` makes it run apart for tests.
-quota::time_point quota_client::clock() const {
-  timespec t{};
-  ::clock_gettime(CLOCK_BOOTTIME, &t);
-  const auto ns = std::chrono::seconds(t.tv_sec) + std::chrono::nanoseconds(t.tv_nsec);
-  if (settings_.clock_rate == 1) return ns;
-  return quota::time_point(static_cast<std::int64_t>(static_cast<double>(ns.count()) * settings_.clock_rate));
+// Goes on while the machine sleeps, as leases need. Tests let a node's clock run fast or slow by
+// `clock_rate`.
+quota::time_point quota_client::lease_clock() const {
+  timespec since_boot{};
+  ::clock_gettime(CLOCK_BOOTTIME, &since_boot);
+  const quota::time_point now =
+      std::chrono::seconds(since_boot.tv_sec) + std::chrono::nanoseconds(since_boot.tv_nsec);
+  if (settings_.clock_rate == 1) return now;
+  const double scaled = static_cast<double>(now.count()) * settings_.clock_rate;
+  return quota::time_point(static_cast<std::int64_t>(scaled));
 }
 
+// Returns whether the datagram was one about quotas.
 bool quota_client::on_datagram(std::string_view datagram) {
-  const quota::decoded d = quota::decode(fleet_, datagram);
-  switch (d.fault) {
-    case quota::wire_fault::not_ours: return false;
-    case quota::wire_fault::foreign: ++foreign_; return true;
-    case quota::wire_fault::version: ++version_; return true;
-    case quota::wire_fault::undecodable: ++undecodable_; return true;
+  const quota::decoded decoded = quota::decode(cluster_name_, datagram);
+  switch (decoded.fault) {
+    case quota::wire_fault::other_kind: return false;
+    case quota::wire_fault::other_cluster: ++rejected_datagrams_.other_cluster; return true;
+    case quota::wire_fault::version: ++rejected_datagrams_.version; return true;
+    case quota::wire_fault::undecodable: ++rejected_datagrams_.undecodable; return true;
     case quota::wire_fault::none: break;
   }
-  const quota::time_point at = clock();
-  office_.receive(at, *d.m);
-  apply(at);
-  flush();
+  const quota::time_point lease_now = lease_clock();
+  coordinator_.receive(lease_now, *decoded.content);
+  apply_shares(lease_now);
+  send_messages();
   return true;
 }
 
-void quota_client::measure(time_point now) {
-  if (now - measured_ < measure_every) return;
-  measured_ = now;
-  const dispatcher::load load = desk_.in_hand();
+void quota_client::count_arrival(const request& arrived) {
+  for (std::size_t i = 0; i < settings_.all.size(); ++i)
+    if (counts_towards(arrived, settings_.all[i])) rate_demand_[i].count_arrival();
+}
+
+quota::quota_usage quota_client::measure_calls(std::size_t index, std::size_t dependency, time_point now) {
+  const calls_user::calls calls = calls_.use(dependency);
+  return in_flight_demand_[index].measure(now, calls.in_flight, calls.waiting, calls.turned_away);
+}
+
+void quota_client::measure_usage(time_point now) {
+  if (now - last_measured_ < measure_interval) return;
+  last_measured_ = now;
+  const dispatcher::load load = requests_.in_hand();
   for (std::size_t i = 0; i < settings_.all.size(); ++i) {
-    const budget_config& b = settings_.all[i];
-    switch (b.unit) {
+    const budget_config& quota = settings_.all[i];
+    switch (quota.unit) {
       case budget_unit::runs:
-        uses_[i] = flights_[i].measure(now, load.running, load.waiting, counters_.refused);
+        usage_[i] = in_flight_demand_[i].measure(now, load.running, load.waiting, counters_.refused);
         break;
-      case budget_unit::requests: uses_[i] = rates_[i].measure(now); break;
-      case budget_unit::calls: {
-        const calls_user::calls c = calls_.use(*b.dependency);
-        uses_[i] = flights_[i].measure(now, c.in_flight, c.waiting, c.turned_away);
-        break;
-      }
+      case budget_unit::requests: usage_[i] = rate_demand_[i].measure(now); break;
+      case budget_unit::calls: usage_[i] = measure_calls(i, *quota.dependency, now); break;
     }
   }
 }
 
-void quota_client::look_for_address(quota::time_point at) {
-  if (office_.joined()) return;
-  if (link_.joined())
-    office_.join(at);
-  else
-    office_.answer_to(link_.own_address());
+void quota_client::update_membership(quota::time_point lease_now) {
+  if (coordinator_.is_member()) return;
+  if (agent_.joined()) {
+    coordinator_.become_member(lease_now);
+  } else {
+    coordinator_.set_reply_address(agent_.own_address());
+  }
 }
 
 time_point quota_client::step(time_point now) {
-  measure(now);
-  const quota::time_point at = clock();
-  look_for_address(at);
-  const quota::time_point due =
-      office_.step(at, uses_, [this](const std::string& m) { return link_.alive(m); });
-  apply(at);
-  flush();
-  return now + std::clamp<duration>(due - at, std::chrono::milliseconds(1), measure_every);
-}
-
-// Shares that changed go to whoever acts on them. A whole number of runs or calls: two halves make no one
-// run.
-void quota_client::apply(quota::time_point at) {
-  bool module_changed = false;
-  marblewharf::quota_update given;
-  given.next_quota_in = settings_.renew;
+  measure_usage(now);
+  const quota::time_point lease_now = lease_clock();
+  update_membership(lease_now);
+  const auto is_alive = [this](const std::string& member) { return agent_.alive(member); };
+  const quota::time_point due = coordinator_.step(lease_now, usage_, is_alive);
+  apply_shares(lease_now);
+  send_messages();
+  return now + std::clamp<duration>(due - lease_now, min_step_interval, measure_interval);
+}
+
+void quota_client::apply_shares(quota::time_point lease_now) {
+  bool policy_changed = false;
+  marblewharf::quota_update update;
+  update.next_quota_in = settings_.renew;
   for (std::size_t i = 0; i < settings_.all.size(); ++i) {
-    const budget_config& b = settings_.all[i];
-    const double share = office_.share(i, at);
-    const double acted = b.unit == budget_unit::requests ? share : std::floor(share + 1e-6);
-    if (b.unit == budget_unit::runs) given.max_concurrent_runs = acted;
-    if (b.unit == budget_unit::requests) given.rates.push_back({b.tenant, b.request_class, acted});
-    if (acted == told_[i]) continue;
-    module_changed = module_changed || b.unit != budget_unit::calls;
-    if (b.unit == budget_unit::calls) calls_.limit(*b.dependency, acted);
-    told_[i] = acted;
-    ++moved_[i];
-    telemetry::log("share", "%s: %.6g of %.6g %s", b.name.c_str(), acted, b.whole, name_of(b.unit));
+    const budget_config& quota = settings_.all[i];
+    const double share = enforceable(coordinator_.share(i, lease_now), quota.unit);
+    if (quota.unit == budget_unit::runs) update.max_concurrent_runs = share;
+    if (quota.unit == budget_unit::requests)
+      update.rates.push_back({quota.tenant, quota.request_class, share});
+    if (share == applied_shares_[i]) continue;
+    if (quota.unit == budget_unit::calls) {
+      calls_.limit(*quota.dependency, share);
+    } else {
+      policy_changed = true;
+    }
+    applied_shares_[i] = share;
+    ++share_changes_[i];
+    telemetry::log("share", "%s: %.6g of %.6g %s", quota.name.c_str(), share, quota.whole,
+                   name_of(quota.unit));
   }
-  if (module_changed) desk_.on_quota_update(given);
-  const std::vector<quota::change> changes = office_.take_changes();
+  if (policy_changed) requests_.on_quota_update(update);
+  log_audited_changes(lease_now);
+}
+
+// For the auditor of tests, without the bound on lines: what is in force from when until when, by the
+// machine's own clock.
+void quota_client::log_audited_changes(quota::time_point lease_now) {
+  const std::vector<quota::share_change> changes = coordinator_.take_changes();
   if (!settings_.audit) return;
-  // For the auditor of tests, without the bound on lines: what is in force from now until when, by the
-  // machine's own clock.
   const double rate = settings_.clock_rate;
-  for (const quota::change& c : changes)
-    telemetry::audit("share %zu %.9g from %.0f until %.0f", c.budget, c.share,
-                     static_cast<double>(at.count()) / rate, static_cast<double>(c.until.count()) / rate);
+  for (const quota::share_change& change : changes) {
+    const double from_ns = static_cast<double>(lease_now.count()) / rate;
+    const double until_ns = static_cast<double>(change.lease_expiry.count()) / rate;
+    telemetry::audit("share %zu %.9g from %.0f until %.0f", change.quota_index, change.share, from_ns,
+                     until_ns);
+  }
 }
 
-void quota_client::flush() {
-  for (const quota::envelope& e : office_.take_outbox()) link_.send(e.to, quota::encode(fleet_, e.m));
+void quota_client::send_messages() {
+  for (const quota::envelope& outgoing : coordinator_.take_outbox())
+    agent_.send(outgoing.to, quota::encode(cluster_name_, outgoing.content));
 }
 
 std::string quota_client::show_budgets() const {
-  const quota::time_point at = clock();
-  const auto left = std::max<std::int64_t>(0, (office_.until() - at) / std::chrono::milliseconds(1));
+  const quota::time_point lease_now = lease_clock();
+  const duration lease_left = coordinator_.lease_expiry() - lease_now;
+  const auto lease_left_ms = std::max<std::int64_t>(0, lease_left / std::chrono::milliseconds(1));
+  const std::string leader = coordinator_.leader(lease_now).value_or("none");
   std::ostringstream out;
   for (std::size_t i = 0; i < settings_.all.size(); ++i) {
-    const budget_config& b = settings_.all[i];
-    out << b.name << ' ' << name_of(b.unit) << ' ' << b.whole << ' ' << office_.share(i, at) << ' '
-        << (b.unit == budget_unit::requests ? rates_[i].per_second() : uses_[i].in_force) << ' '
-        << uses_[i].demand << ' ' << left << ' ' << office_.leader(at).value_or("none") << '\n';
+    const budget_config& quota = settings_.all[i];
+    const bool is_rate = quota.unit == budget_unit::requests;
+    const double in_use = is_rate ? rate_demand_[i].per_second() : usage_[i].in_flight;
+    out << quota.name << ' ' << name_of(quota.unit) << ' ' << quota.whole << ' '
+        << coordinator_.share(i, lease_now) << ' ' << in_use << ' ' << usage_[i].demand << ' '
+        << lease_left_ms << ' ' << leader << '\n';
   }
   return out.str();
 }
 
 std::string quota_client::show_figures() const {
-  const quota::time_point at = clock();
+  const quota::time_point lease_now = lease_clock();
   std::ostringstream out;
   for (std::size_t i = 0; i < settings_.all.size(); ++i) {
-    const std::string name = "budget." + settings_.all[i].name;
-    out << name << ".share=" << office_.share(i, at) << '\n' << name << ".moved=" << moved_[i] << '\n';
-    if (const auto committed = office_.committed(i, at)) out << name << ".committed=" << *committed << '\n';
+    const std::string prefix = "budget." + settings_.all[i].name;
+    out << prefix << ".share=" << coordinator_.share(i, lease_now) << '\n';
+    out << prefix << ".moved=" << share_changes_[i] << '\n';
+    if (const auto committed = coordinator_.committed(i, lease_now))
+      out << prefix << ".committed=" << *committed << '\n';
   }
-  out << "budgets.leads=" << (office_.leads(at) ? 1 : 0) << "\nbudgets.term=" << office_.term()
-      << "\nbudgets.mismatched=" << office_.mismatched() << "\nbudgets.foreign=" << foreign_
-      << "\nbudgets.version=" << version_ << "\nbudgets.undecodable=" << undecodable_ << '\n';
+  out << "budgets.leads=" << (coordinator_.is_leader(lease_now) ? 1 : 0) << '\n';
+  out << "budgets.term=" << coordinator_.term() << '\n';
+  out << "budgets.mismatched=" << coordinator_.mismatched_requests() << '\n';
+  out << "budgets.foreign=" << rejected_datagrams_.other_cluster << '\n';
+  out << "budgets.version=" << rejected_datagrams_.version << '\n';
+  out << "budgets.undecodable=" << rejected_datagrams_.undecodable << '\n';
   return out.str();
 }
 
--- a/src/quota/allocator.cpp
+++ b/src/quota/allocator.cpp
@@ -7,129 +7,172 @@
 
 namespace {
 
-constexpr double least_step = 1e-9;  // of a share: less is rounding
+constexpr double rounding_tolerance = 1e-9;
 
 }  // namespace
 
-std::vector<double> max_min(double pool, const std::vector<double>& demands,
-                            const std::vector<double>& weights) {
+std::vector<double> max_min_shares(double pool, const std::vector<double>& demands,
+                                   const std::vector<double>& weights) {
+  // Filled in the order of demand for the weight: whoever is satisfied first leaves the rest to the others.
   std::vector<std::size_t> order(demands.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
-  // Filled from the one that is content first: whoever asks least for its weight.
   std::sort(order.begin(), order.end(),
             [&](std::size_t a, std::size_t b) { return demands[a] * weights[b] < demands[b] * weights[a]; });
-  double weight = std::accumulate(weights.begin(), weights.end(), 0.0);
-  std::vector<double> out(demands.size());
+  double remaining_weight = std::accumulate(weights.begin(), weights.end(), 0.0);
+  std::vector<double> shares(demands.size());
   for (const std::size_t i : order) {
-    out[i] = weight > 0 ? std::clamp(pool * weights[i] / weight, 0.0, std::max(0.0, demands[i])) : 0;
-    pool = std::max(0.0, pool - out[i]);
-    weight -= weights[i];
+    if (remaining_weight > 0) {
+      const double proportional = pool * weights[i] / remaining_weight;
+      shares[i] = std::clamp(proportional, 0.0, std::max(0.0, demands[i]));
+    }
+    pool = std::max(0.0, pool - shares[i]);
+    remaining_weight -= weights[i];
   }
-  return out;
+  return shares;
 }
 
-allocator::allocator(allocator_options o, std::vector<budget> budgets, std::uint64_t digest, std::string self,
-                     std::uint64_t term, time_point now)
-    : options_(o),
-      budgets_(std::move(budgets)),
-      digest_(digest),
+allocator::allocator(allocator_options options, std::vector<quota_definition> quotas,
+                     std::uint64_t config_digest, std::string self, std::uint64_t term, time_point now)
+    : options_(options),
+      quotas_(std::move(quotas)),
+      config_digest_(config_digest),
       self_(std::move(self)),
       term_(term),
-      leases_over_(now + surely_over(o.rules)) {}
+      earlier_leases_expired_(now + safe_expiry_wait(options.lease)) {}
 
-double allocator::pool(std::size_t i) const {
-  return std::max(0.0, budgets_[i].whole - budgets_[i].safe * static_cast<double>(options_.members));
+double allocator::pool(std::size_t index) const {
+  const quota_definition& quota = quotas_[index];
+  return std::max(0.0,
+                  quota.global_limit - quota.guaranteed_share * static_cast<double>(options_.member_count));
 }
 
-double allocator::divided(std::size_t i) const {
-  return pool(i) * (1 - options_.reserve);
+double allocator::divisible_pool(std::size_t index) const {
+  return pool(index) * (1 - options_.joining_reserve);
 }
 
-double allocator::committed(std::size_t i, time_point now) const {
+double allocator::committed(std::size_t index, time_point now) const {
   double sum = 0;
-  for (const auto& [s, n] : nodes_)
-    if (now < n.over + budgets_[i].settle) sum += n.committed[i];
+  for (const auto& [id, session] : sessions_)
+    if (now < session.lease_surely_expired + quotas_[index].settling_time) sum += session.committed[index];
   return sum;
 }
 
-void allocator::forget(time_point now) {
-  duration longest{};
-  for (const budget& b : budgets_) longest = std::max(longest, b.settle);
-  std::erase_if(nodes_, [=](const auto& n) { return now >= n.second.over + longest; });
+void allocator::forget_expired_sessions(time_point now) {
+  duration longest_settling{};
+  for (const quota_definition& quota : quotas_)
+    longest_settling = std::max(longest_settling, quota.settling_time);
+  std::erase_if(sessions_, [=](const auto& entry) {
+    return now >= entry.second.lease_surely_expired + longest_settling;
+  });
+}
+
+bool allocator::requested_within_lease(const session_state& session, time_point now) const {
+  return now - session.requested < options_.lease.length;
 }
 
-// The fair share of one node among those that asked within a lease: whoever fell silent still counts in the
-// book, but wants nothing.
-double allocator::target(std::size_t i, const session& of, time_point now) const {
-  std::vector<double> demands, weights;
-  std::size_t which = 0;
-  for (const auto& [s, n] : nodes_) {
-    if (now - n.asked >= options_.rules.lease) continue;
-    if (s == of) which = demands.size();
-    demands.push_back(n.demand[i]);
-    weights.push_back(budgets_[i].weight);
+// Divides among the sessions that asked within a lease: a silent one still counts as committed, but has no
+// demand.
+double allocator::fair_share(std::size_t index, const session_id& id, time_point now) const {
+  std::vector<double> demands;
+  std::vector<double> weights;
+  std::size_t position = 0;
+  for (const auto& [other_id, other] : sessions_) {
+    if (!requested_within_lease(other, now)) continue;
+    if (other_id == id) position = demands.size();
+    demands.push_back(other.demand[index]);
+    weights.push_back(quotas_[index].weight);
   }
-  return max_min(divided(i), demands, weights)[which];
+  return max_min_shares(divisible_pool(index), demands, weights)[position];
 }
 
-void allocator::receive(time_point now, const message& m) {
-  if (m.what != kind::request) return;
-  if (m.digest != digest_ || m.entries.size() != budgets_.size()) {
-    ++mismatched_;
+void allocator::receive(time_point now, const message& request) {
+  if (request.kind != message_kind::quota_request) return;
+  if (request.config_digest != config_digest_ || request.entries.size() != quotas_.size()) {
+    ++mismatched_requests_;
     return;
   }
-  forget(now);
-  const session who{m.from, m.session};
-  const auto found = nodes_.find(who);
-  if (found == nodes_.end() && nodes_.size() >= options_.sessions_most) return;
-  node& n = nodes_[who];
-  // An ask that was overtaken by a later one: what it says of shares is past.
-  if (m.sequence <= n.sequence) return;
-  const std::size_t count = budgets_.size();
-  const bool fresh = n.sequence == 0;
-  n.address = m.answer_to.empty() ? m.from : m.answer_to;
-  n.sequence = m.sequence;
-  n.asked = now;
-  n.over = now + surely_over(options_.rules);
-  n.held.resize(count);
-  n.demand.resize(count);
-  n.committed.resize(count);
-  n.granted.resize(count);
-  message answer{kind::grant, self_, term_, m.sequence, m.session, digest_, {}};
-  for (std::size_t i = 0; i < count; ++i) {
-    n.held[i] = std::max(0.0, m.entries[i].held);
-    n.demand[i] = std::max(0.0, m.entries[i].demand);
-    n.committed[i] = n.held[i];  // no answer to an earlier ask can take effect any more
+  forget_expired_sessions(now);
+  const session_id id{request.from, request.session};
+  if (!sessions_.contains(id) && sessions_.size() >= options_.max_sessions) return;
+  session_state& session = sessions_[id];
+  // Overtaken by a later request: what it reports is out of date.
+  if (request.sequence <= session.sequence) return;
+  const bool is_new = session.sequence == 0;
+  record_request(session, request, now, safe_expiry_wait(options_.lease));
+  for (std::size_t i = 0; i < quotas_.size(); ++i) {
+    const double leased = std::clamp(request.entries[i].leased, 0.0, session.held[i]);
+    session.granted[i] = grant(i, id, session, leased, is_new, now);
+    session.committed[i] = std::max(session.held[i], session.granted[i]);
   }
+  send_grant(id, session);
+  send_renew_hints(id, now);
+}
+
+void allocator::record_request(session_state& session, const message& request, time_point now,
+                               duration expiry_wait) {
+  const std::size_t count = request.entries.size();
+  session.address = request.reply_to.empty() ? request.from : request.reply_to;
+  session.sequence = request.sequence;
+  session.requested = now;
+  session.lease_surely_expired = now + expiry_wait;
+  session.held.resize(count);
+  session.demand.resize(count);
+  session.committed.resize(count);
+  session.granted.resize(count);
   for (std::size_t i = 0; i < count; ++i) {
-    const double wanted = target(i, who, now);
-    // What stands under a lease is in force, so renewing it adds nothing. What is only in flight still, over
-    // a lease that ended, may have been given to others since: it counts, and is no claim.
-    const double leased = std::clamp(m.entries[i].leased, 0.0, n.held[i]);
-    double given = std::min(wanted, leased);
-    if (wanted > leased && now >= known_from(i)) {
-      // Not known before: what the allocator before this one granted to those that have not asked yet.
-      const bool joins = fresh && n.held[i] <= least_step;
-      const double room = (joins ? pool(i) : divided(i)) - (committed(i, now) - n.committed[i]);
-      given = std::min(wanted, std::max(leased, room));
-    }
-    n.granted[i] = given;
-    n.committed[i] = std::max(n.held[i], given);
-    answer.entries.push_back({given, 0});
+    session.held[i] = std::max(0.0, request.entries[i].held);
+    session.demand[i] = std::max(0.0, request.entries[i].demand);
+    session.committed[i] = session.held[i];  // no reply to an earlier request can take effect any more
   }
-  outbox_.push_back({n.address, std::move(answer)});
-  // Whoever is short and could have more now is told to ask, once for each of its asks.
-  for (auto& [s, other] : nodes_) {
-    if (s == who || now - other.asked >= options_.rules.lease) continue;
-    for (std::size_t i = 0; i < count; ++i) {
-      if (now < known_from(i)) continue;
-      const double room = divided(i) - committed(i, now);
-      if (room > least_step * pool(i) && other.granted[i] + least_step < target(i, s, now)) {
-        outbox_.push_back({other.address, message{kind::poke, self_, term_, 0, s.second, digest_, {}}});
-        break;
-      }
-    }
+}
+
+// Renewing what stands under a lease adds nothing to what is in force, so it is always allowed up to the fair
+// share. Units in flight beyond an expired lease count as committed but are no claim: others may have got
+// their share meanwhile. More is granted only once an earlier leader's unreported grants are over.
+double allocator::grant(std::size_t index, const session_id& id, const session_state& session, double leased,
+                        bool is_new, time_point now) const {
+  const double wanted = fair_share(index, id, now);
+  if (wanted <= leased || now < earlier_grants_over(index)) return std::min(wanted, leased);
+  const bool is_joining = is_new && session.held[index] <= rounding_tolerance;
+  const double limit = is_joining ? pool(index) : divisible_pool(index);
+  const double committed_to_others = committed(index, now) - session.committed[index];
+  const double available = limit - committed_to_others;
+  return std::min(wanted, std::max(leased, available));
+}
+
+void allocator::send_grant(const session_id& id, const session_state& session) {
+  message reply;
+  reply.kind = message_kind::quota_grant;
+  reply.from = self_;
+  reply.term = term_;
+  reply.sequence = session.sequence;
+  reply.session = id.session;
+  reply.config_digest = config_digest_;
+  for (const double granted : session.granted) reply.entries.push_back({granted, 0});
+  outbox_.push_back({session.address, std::move(reply)});
+}
+
+void allocator::send_renew_hints(const session_id& except, time_point now) {
+  for (const auto& [id, session] : sessions_) {
+    if (id == except || !requested_within_lease(session, now) || !may_have_more(id, session, now)) continue;
+    message hint;
+    hint.kind = message_kind::renew_hint;
+    hint.from = self_;
+    hint.term = term_;
+    hint.session = id.session;
+    hint.config_digest = config_digest_;
+    outbox_.push_back({session.address, std::move(hint)});
+  }
+}
+
+bool allocator::may_have_more(const session_id& id, const session_state& session, time_point now) const {
+  for (std::size_t i = 0; i < quotas_.size(); ++i) {
+    if (now < earlier_grants_over(i)) continue;
+    const double available = divisible_pool(i) - committed(i, now);
+    if (available <= rounding_tolerance * pool(i)) continue;
+    if (session.granted[i] + rounding_tolerance < fair_share(i, id, now)) return true;
   }
+  return false;
 }
 
 }  // namespace marblewharf::quota
--- a/src/quota/demand.cpp
+++ b/src/quota/demand.cpp
@@ -6,35 +6,45 @@
 
 namespace {
 
-// What is left of an old figure once `gone` has passed.
-double kept(duration gone, duration fade) {
-  return std::exp(-std::chrono::duration<double>(gone) / std::chrono::duration<double>(fade));
+using seconds = std::chrono::duration<double>;
+
+double decay(duration elapsed, duration time_constant) {
+  return std::exp(-seconds(elapsed) / seconds(time_constant));
+}
+
+double with_headroom(double measured, const demand_options& options) {
+  return options.headroom_factor * measured + options.headroom_units;
+}
+
+// Before the first measurement one time constant is taken to have passed: what came earlier is not known.
+duration elapsed_since(const std::optional<time_point>& last_measured, time_point now,
+                       const demand_options& options) {
+  return last_measured ? now - *last_measured : options.time_constant;
 }
 
 }  // namespace
 
-use rate_demand::measure(time_point now) {
-  // The first span is taken as one fading long: what came before it is not known.
-  const duration gone = measured_ ? now - *measured_ : options_.fade;
-  if (gone > duration{}) {
-    const double keep = kept(gone, options_.fade);
-    per_second_ = per_second_ * keep +
-                  (1 - keep) * static_cast<double>(counted_) / std::chrono::duration<double>(gone).count();
-    counted_ = 0;
-    measured_ = now;
+quota_usage rate_demand_estimator::measure(time_point now) {
+  const duration elapsed = elapsed_since(last_measured_, now, options_);
+  if (elapsed > duration{}) {
+    const double kept = decay(elapsed, options_.time_constant);
+    const double measured = static_cast<double>(arrivals_) / seconds(elapsed).count();
+    per_second_ = per_second_ * kept + (1 - kept) * measured;
+    arrivals_ = 0;
+    last_measured_ = now;
   }
-  return {0, options_.headroom * per_second_ + options_.least};
+  return {0, with_headroom(per_second_, options_)};
 }
 
-use flight_demand::measure(time_point now, std::size_t in_flight, std::size_t waiting,
-                           std::uint64_t turned_away) {
-  const duration gone = measured_ ? now - *measured_ : options_.fade;
-  turned_away_lately_ =
-      turned_away_lately_ * kept(gone, options_.fade) + static_cast<double>(turned_away - turned_away_);
-  turned_away_ = turned_away;
-  measured_ = now;
-  const double wanted = static_cast<double>(in_flight + waiting) + turned_away_lately_;
-  return {static_cast<double>(in_flight), options_.headroom * wanted + options_.least};
+quota_usage in_flight_demand_estimator::measure(time_point now, std::size_t in_flight, std::size_t waiting,
+                                                std::uint64_t rejected_total) {
+  const duration elapsed = elapsed_since(last_measured_, now, options_);
+  const double newly_rejected = static_cast<double>(rejected_total - rejected_total_);
+  rejected_lately_ = rejected_lately_ * decay(elapsed, options_.time_constant) + newly_rejected;
+  rejected_total_ = rejected_total;
+  last_measured_ = now;
+  const double wanted = static_cast<double>(in_flight + waiting) + rejected_lately_;
+  return {static_cast<double>(in_flight), with_headroom(wanted, options_)};
 }
 
 }  // namespace marblewharf::quota
--- a/src/quota/lease.hpp
+++ b/src/quota/lease.hpp
@@ -1,6 +1,7 @@
-// Leases between clocks that do not agree: how long whoever granted one waits until it is surely over.
+// Leases between two clocks with bounded drift: how long the granter has to wait until a lease has surely
+// expired.
 //
-// Free of I/O; any thread.
+// Free of I/O and state; any thread.
 #pragma once
 
 #include <chrono>
@@ -11,16 +12,17 @@
 using time_point = std::chrono::nanoseconds;  // of a clock that goes on while the machine sleeps
 using duration = std::chrono::nanoseconds;
 
-struct lease_rules {
-  duration lease = std::chrono::seconds(2);
-  double drift = 0.01;  // the most that any one clock's rate is wrong, as a share; under 0.5
+struct lease_options {
+  duration length = std::chrono::seconds(2);
+  double max_clock_drift = 0.01;  // largest relative error of any clock's rate, below 0.5
 };
 
-// On the granter's clock, from the moment it granted: a lease counted on another clock from a moment before
-// that is over by then, whichever of the two goes fast or slow within the bound.
-inline duration surely_over(const lease_rules& r) {
-  const double factor = (1 + r.drift) / (1 - r.drift);
-  return duration(static_cast<std::int64_t>(static_cast<double>(r.lease.count()) * factor) + 1);
+// How long the granter waits, on its own clock, counted from the grant or later. The holder counts the lease
+// from a moment before the grant, so it has expired by then whichever of the two clocks is fast or slow.
+inline duration safe_expiry_wait(const lease_options& options) {
+  const double factor = (1 + options.max_clock_drift) / (1 - options.max_clock_drift);
+  const double length_ns = static_cast<double>(options.length.count());
+  return duration(static_cast<std::int64_t>(length_ns * factor) + 1);
 }
 
 }  // namespace marblewharf::quota
--- a/src/quota/lease_holder.cpp
+++ b/src/quota/lease_holder.cpp
@@ -4,71 +4,104 @@
 
 namespace marblewharf::quota {
 
-lease_holder::lease_holder(lease_holder_options o, std::vector<budget> budgets, std::string self,
-                           std::uint64_t session, std::uint64_t digest)
-    : options_(o),
-      budgets_(std::move(budgets)),
+lease_holder::lease_holder(lease_holder_options options, std::vector<quota_definition> quotas,
+                           std::string self, std::uint64_t session, std::uint64_t config_digest)
+    : options_(options),
+      quotas_(std::move(quotas)),
       self_(std::move(self)),
       session_(session),
-      digest_(digest),
-      leased_(budgets_.size()),
-      short_(budgets_.size()) {}
+      config_digest_(config_digest),
+      granted_(quotas_.size()),
+      short_of_share_(quotas_.size()) {}
 
-double lease_holder::safe(std::size_t i, time_point now) const {
-  const budget& b = budgets_[i];
-  return joined_ && now >= *joined_ + (b.in_flight ? b.settle : duration{}) ? b.safe : 0;
+double lease_holder::guaranteed_share(std::size_t index, time_point now) const {
+  if (!member_since_) return 0;
+  const quota_definition& quota = quotas_[index];
+  const duration settling = quota.limits_in_flight ? quota.settling_time : duration{};
+  return now >= *member_since_ + settling ? quota.guaranteed_share : 0;
 }
 
-double lease_holder::share(std::size_t i, time_point now) const {
-  return safe(i, now) + (now < until_ ? leased_[i] : 0);
+double lease_holder::leased_share(std::size_t index, time_point now) const {
+  return now < lease_expiry_ ? granted_[index] : 0;
 }
 
-time_point lease_holder::step(time_point now, const std::optional<std::string>& leader,
-                              const std::vector<use>& uses) {
-  if (!leader) return now + options_.soonest;
-  for (std::size_t i = 0; i < budgets_.size(); ++i) {
-    const bool wants = uses[i].demand > share(i, now);
-    if (wants && !short_[i]) soon_ = true;  // news; a shortness that is known waits for its turn
-    short_[i] = wants;
+double lease_holder::share(std::size_t index, time_point now) const {
+  return guaranteed_share(index, now) + leased_share(index, now);
+}
+
+// A shortage that has just come up is worth a request of its own; one that is known waits for the renewal.
+void lease_holder::update_shortages(time_point now, const std::vector<quota_usage>& usage) {
+  for (std::size_t i = 0; i < quotas_.size(); ++i) {
+    const bool is_short = usage[i].demand > share(i, now);
+    if (is_short && !short_of_share_[i]) request_early_ = true;
+    short_of_share_[i] = is_short;
   }
-  if (*leader != asked_) soon_ = true;
-  const time_point due = soon_ ? std::min(next_, sent_ + options_.soonest) : next_;
-  if (now < due) return std::min(due, now + options_.soonest);
-  soon_ = false;
-  asked_ = *leader;
-  sent_ = now;
-  next_ = now + options_.renew;
+}
+
+time_point lease_holder::step(time_point now, const std::optional<std::string>& leader,
+                              const std::vector<quota_usage>& usage) {
+  const time_point next_check = now + options_.min_request_interval;
+  if (!leader) return next_check;
+  update_shortages(now, usage);
+  if (*leader != requested_from_) request_early_ = true;
+  const time_point earliest = request_sent_ + options_.min_request_interval;
+  const time_point due = request_early_ ? std::min(next_renewal_, earliest) : next_renewal_;
+  if (now < due) return std::min(due, next_check);
+  send_request(now, *leader, usage);
+  return std::min(next_renewal_, next_check);
+}
+
+void lease_holder::send_request(time_point now, const std::string& leader,
+                                const std::vector<quota_usage>& usage) {
+  request_early_ = false;
+  requested_from_ = leader;
+  request_sent_ = now;
+  next_renewal_ = now + options_.renew_interval;
   answered_ = false;
-  message m{kind::request, self_, 0, ++sequence_, session_, digest_, {}, false, answer_to_};
-  for (std::size_t i = 0; i < budgets_.size(); ++i) {
-    const double leased = now < until_ ? leased_[i] : 0;
-    // What is in flight over the share is in force all the same.
-    const double over = budgets_[i].in_flight ? uses[i].in_force - safe(i, now) : 0;
-    m.entries.push_back(
-        {std::max({leased, over, 0.0}), std::max(0.0, uses[i].demand - safe(i, now)), leased});
-  }
-  outbox_.push_back({*leader, std::move(m)});
-  return std::min(next_, now + options_.soonest);
+  message request;
+  request.kind = message_kind::quota_request;
+  request.from = self_;
+  request.sequence = ++sequence_;
+  request.session = session_;
+  request.config_digest = config_digest_;
+  request.reply_to = reply_address_;
+  for (std::size_t i = 0; i < quotas_.size(); ++i) request.entries.push_back(request_entry(i, now, usage[i]));
+  outbox_.push_back({leader, std::move(request)});
+}
+
+quota_entry lease_holder::request_entry(std::size_t index, time_point now, const quota_usage& usage) const {
+  const double guaranteed = guaranteed_share(index, now);
+  const double leased = leased_share(index, now);
+  // Units in flight beyond the share are in force all the same.
+  const double in_flight_beyond = quotas_[index].limits_in_flight ? usage.in_flight - guaranteed : 0;
+  const double held = std::max({leased, in_flight_beyond, 0.0});
+  const double demand = std::max(0.0, usage.demand - guaranteed);
+  return {held, demand, leased};
 }
 
-void lease_holder::receive(time_point now, const message& m) {
-  if (m.from != asked_) return;
-  if (m.what == kind::poke) {
-    soon_ = true;
+void lease_holder::receive(time_point now, const message& received) {
+  if (received.from != requested_from_) return;
+  if (received.kind == message_kind::renew_hint) {
+    request_early_ = true;
     return;
   }
-  // Guards the allocator's books: an answer that comes after a later request was sent must change nothing,
-  // since that request has told already what this node holds.
-  if (m.what != kind::grant || answered_ || m.sequence != sequence_ || m.session != session_ ||
-      m.entries.size() != budgets_.size())
-    return;
+  if (answers_latest_request(received)) apply_grant(now, received);
+}
+
+bool lease_holder::answers_latest_request(const message& grant) const {
+  return grant.kind == message_kind::quota_grant && !answered_ && grant.sequence == sequence_ &&
+         grant.session == session_ && grant.entries.size() == quotas_.size();
+}
+
+void lease_holder::apply_grant(time_point now, const message& grant) {
   answered_ = true;
-  for (std::size_t i = 0; i < budgets_.size(); ++i) {
-    const double before = now < until_ ? leased_[i] : 0;
-    if (m.entries[i].held < before) soon_ = true;  // given up: told at once, so that others may have it
-    leased_[i] = m.entries[i].held;
+  for (std::size_t i = 0; i < quotas_.size(); ++i) {
+    const double before = leased_share(i, now);
+    // A lowered share is free for others only once the allocator has read that this node gave it up.
+    if (grant.entries[i].held < before) request_early_ = true;
+    granted_[i] = grant.entries[i].held;
   }
-  until_ = sent_ + options_.rules.lease;
+  lease_expiry_ = request_sent_ + options_.lease.length;
 }
 
 }  // namespace marblewharf::quota
--- a/src/quota/lease_holder.hpp
+++ b/src/quota/lease_holder.hpp
@@ -1,11 +1,7 @@
-// What one node holds of each budget, and for how long.
+// A node's shares of the quotas: asks the leader to renew them, and holds them until their lease expires.
 //
-// Free of I/O: clock and received messages are handed in, messages come out. Not thread-safe: owned by one
-// thread.
-//
-// Promise: `share(i, now)` is the safe share and no more once the lease has ended, counted from when the
-// request that brought it was sent; an answer to any request but the latest changes nothing. The safe share
-// is nothing before `join()`, and for what is in flight for `settle` after it.
+// Free of I/O: the clock and received messages are handed in, messages to send are taken out. Not
+// thread-safe: owned by one thread.
 #pragma once
 
 #include <cstdint>
@@ -16,75 +12,74 @@
 
 #include "quota/lease.hpp"
 #include "quota/message.hpp"
+#include "quota/quota_definition.hpp"
 
 namespace marblewharf::quota {
 
-// One whole, as the operator's file has it.
-struct budget {
-  std::string name;
-  double whole = 0;        // in its unit: runs or calls in flight, requests a second
-  double safe = 0;         // of each configured member, always its own
-  double weight = 1;       // of this node
-  bool in_flight = false;  // what is in flight over a share stays held until it ends
-  duration settle{};       // ... and for so long after a node was lost, or its process ended
-};
-
 struct lease_holder_options {
-  lease_rules rules;
-  duration renew = std::chrono::milliseconds(500);
-  duration soonest = std::chrono::milliseconds(50);  // between requests, whatever happens
-};
-
-// What the node does with a budget right now.
-struct use {
-  double in_force = 0;  // runs or calls in flight; 0 for rates
-  double demand = 0;    // what it could use, in the budget's unit
+  lease_options lease;
+  duration renew_interval = std::chrono::milliseconds(500);
+  duration min_request_interval = std::chrono::milliseconds(50);
 };
 
 class lease_holder {
  public:
-  lease_holder(lease_holder_options o, std::vector<budget> budgets, std::string self, std::uint64_t session,
-               std::uint64_t digest);
+  lease_holder(lease_holder_options options, std::vector<quota_definition> quotas, std::string self,
+               std::uint64_t session, std::uint64_t config_digest);
 
-  // Asks `leader` for renewal when that is due; at once where the leader changed, share was given up, or a
-  // demand over the share has come up. Returns when to step again.
-  time_point step(time_point now, const std::optional<std::string>& leader, const std::vector<use>& uses);
-  void receive(time_point now, const message& m);
+  // Sends `leader` a quota request where one is due: each renew interval, and earlier where the leader
+  // changed, a grant lowered a share, or demand has come to exceed a share. `usage`: by quota. Returns when
+  // to call again.
+  time_point step(time_point now, const std::optional<std::string>& leader,
+                  const std::vector<quota_usage>& usage);
+  void receive(time_point now, const message& received);
   std::vector<envelope> take_outbox() { return std::exchange(outbox_, {}); }
-  // From now on this process is the member, and has its safe share. What the process before it left in flight
-  // counts in that share until it has surely ended.
-  void join(time_point now) { joined_ = now; }
-  // Where answers go instead of to the member's address; empty: there.
-  void answer_to(std::string address) { answer_to_ = std::move(address); }
-  // The latest request: whether it was answered, and when it was sent.
-  bool answered() const { return answered_; }
-  time_point sent() const { return sent_; }
 
-  double share(std::size_t i, time_point now) const;
-  // The end of the lease, in this clock; past: none stands.
-  time_point until() const { return until_; }
-  std::uint64_t session() const { return session_; }
-  const std::vector<budget>& budgets() const { return budgets_; }
+  // This process is the member from now on, and has its guaranteed shares; those of in-flight quotas only
+  // after their settling time, since the process before it may have left units in flight.
+  void become_member(time_point now) { member_since_ = now; }
+  // Where replies are to go while this process is not the member; empty: to the member's address.
+  void set_reply_address(std::string address) { reply_address_ = std::move(address); }
+
+  bool latest_request_answered() const { return answered_; }
+  time_point latest_request_sent() const { return request_sent_; }
+
+  // What the node may use of quota `index`: its guaranteed share and, until lease_expiry(), what was granted.
+  double share(std::size_t index, time_point now) const;
+  // In this node's clock; in the past: no lease stands.
+  time_point lease_expiry() const { return lease_expiry_; }
+  const std::vector<quota_definition>& quotas() const { return quotas_; }
 
  private:
-  double safe(std::size_t i, time_point now) const;
+  double guaranteed_share(std::size_t index, time_point now) const;
+  double leased_share(std::size_t index, time_point now) const;
+  void update_shortages(time_point now, const std::vector<quota_usage>& usage);
+  void send_request(time_point now, const std::string& leader, const std::vector<quota_usage>& usage);
+  quota_entry request_entry(std::size_t index, time_point now, const quota_usage& usage) const;
+  bool answers_latest_request(const message& grant) const;
+  void apply_grant(time_point now, const message& grant);
 
   lease_holder_options options_;
-  std::vector<budget> budgets_;
+  std::vector<quota_definition> quotas_;
   std::string self_;
   std::uint64_t session_;
-  std::uint64_t digest_;
-  std::string answer_to_;
-  std::optional<time_point> joined_;
-  std::string asked_;           // the leader of the latest request
-  std::uint64_t sequence_ = 0;  // of the latest request
-  bool answered_ = true;        // it was
-  time_point sent_{};           // when it was sent
-  time_point next_{};
-  bool soon_ = false;           // ask as soon as may be
-  std::vector<double> leased_;  // beyond the safe share
-  std::vector<bool> short_;     // by budget: asked for more than it holds
-  time_point until_{};
+  std::uint64_t config_digest_;
+  std::string reply_address_;
+  std::optional<time_point> member_since_;
+  // Of the latest request. A grant to an earlier one changes nothing: the allocator has learned from the
+  // latest what this node holds.
+  std::string requested_from_;
+  std::uint64_t sequence_ = 0;
+  bool answered_ = true;
+  time_point request_sent_{};
+
+  time_point next_renewal_{};
+  bool request_early_ = false;  // as soon as the minimum interval allows
+  // By quota: granted beyond the guaranteed share, in force until `lease_expiry_`, which counts from when the
+  // request was sent.
+  std::vector<double> granted_;
+  time_point lease_expiry_{};
+  std::vector<bool> short_of_share_;  // by quota: demand exceeded the share at the last step
   std::vector<envelope> outbox_;
 };
 
--- a/src/quota/quota_coordinator.cpp
+++ b/src/quota/quota_coordinator.cpp
@@ -1,133 +1,171 @@
 #include "quota/quota_coordinator.hpp"
 
 #include <algorithm>
+#include <iterator>
 #include <utility>
 
 namespace marblewharf::quota {
 
 namespace {
 
-constexpr int tries_in_renewal = 4;  // members asked, while nobody says who leads
+// Members tried within a renew interval while it is not known who leads.
+constexpr int tries_per_renew_interval = 4;
 
-// FNV-1a: only equality is asked of it, among files that people wrote.
-void add(std::uint64_t& hash, const std::string& text) {
-  for (const char c : text + '\n') hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ull;
+constexpr std::uint64_t fnv_offset_basis = 0xcbf29ce484222325ull;
+constexpr std::uint64_t fnv_prime = 0x100000001b3ull;
+
+// FNV-1a: it has to tell configurations apart that people wrote, not to resist an attacker.
+void add_line(std::uint64_t& hash, const std::string& text) {
+  for (const char c : text + '\n') hash = (hash ^ static_cast<unsigned char>(c)) * fnv_prime;
 }
 
 }  // namespace
 
-std::uint64_t digest_of(const std::vector<budget>& budgets, const std::set<std::string>& members) {
-  std::uint64_t hash = 0xcbf29ce484222325ull;
-  for (const budget& b : budgets)
-    add(hash, b.name + ' ' + std::to_string(b.whole) + ' ' + std::to_string(b.safe) + ' ' +
-                  std::to_string(b.settle.count()));
-  for (const std::string& m : members) add(hash, m);
+std::uint64_t config_digest(const std::vector<quota_definition>& quotas,
+                            const std::set<std::string>& members) {
+  std::uint64_t hash = fnv_offset_basis;
+  for (const quota_definition& quota : quotas) {
+    add_line(hash, quota.name + ' ' + std::to_string(quota.global_limit) + ' ' +
+                       std::to_string(quota.guaranteed_share) + ' ' +
+                       std::to_string(quota.settling_time.count()));
+  }
+  for (const std::string& member : members) add_line(hash, member);
   return hash;
 }
 
-quota_coordinator::quota_coordinator(quota_coordinator_options o, std::vector<budget> budgets,
+quota_coordinator::quota_coordinator(quota_coordinator_options options, std::vector<quota_definition> quotas,
                                      std::set<std::string> members, std::string self, std::uint64_t session,
                                      time_point now)
-    : options_(o),
+    : options_(options),
       members_(std::move(members)),
       self_(std::move(self)),
       session_(session),
-      digest_(digest_of(budgets, members_)),
-      chair_(o.rules, members_, self_, session, now),
-      holder_({o.rules, o.renew, o.soonest}, std::move(budgets), self_, session, digest_),
-      noted_(holder_.budgets().size(), -1) {}
-
-void quota_coordinator::join(time_point now) {
-  if (std::exchange(joined_, true)) return;
-  // As a voter it begins now: what the process before it promised has to end first.
-  chair_ = leader_election(options_.rules, members_, self_, session_, now);
-  holder_.answer_to({});
-  holder_.join(now);
-  note(now);
+      config_digest_(config_digest(quotas, members_)),
+      election_(options.lease, members_, self_, session, now),
+      lease_holder_({options.lease, options.renew_interval, options.min_request_interval}, std::move(quotas),
+                    self_, session, config_digest_),
+      recorded_shares_(lease_holder_.quotas().size(), -1) {}
+
+void quota_coordinator::become_member(time_point now) {
+  if (std::exchange(is_member_, true)) return;
+  // As a voter it begins now: the votes of the process before it have to expire first.
+  election_ = leader_election(options_.lease, members_, self_, session_, now);
+  lease_holder_.set_reply_address({});
+  lease_holder_.become_member(now);
+  record_share_changes(now);
+}
+
+std::optional<std::string> quota_coordinator::renewal_target(time_point now) {
+  if (is_member_) return election_.leader(now);
+  return next_member_to_try(now);
 }
 
-// Before joining nobody says who leads: the members in turn are asked, and whoever answered last again.
-std::optional<std::string> quota_coordinator::whom_to_ask(time_point now) {
-  if (joined_) return chair_.leader(now);
-  const bool waits = !holder_.answered() && now - holder_.sent() < options_.renew / tries_in_renewal;
-  if (!tried_.empty() && (holder_.answered() || waits)) return tried_;
-  auto next = members_.upper_bound(tried_);
+// A process that is not the member hears from no leader: it tries the members in turn, and stays with the one
+// that answered last.
+std::string quota_coordinator::next_member_to_try(time_point now) {
+  const bool answered = lease_holder_.latest_request_answered();
+  const duration waited = now - lease_holder_.latest_request_sent();
+  const bool may_still_answer = !answered && waited < options_.renew_interval / tries_per_renew_interval;
+  if (!last_tried_.empty() && (answered || may_still_answer)) return last_tried_;
+  auto next = members_.upper_bound(last_tried_);
   if (next == members_.end()) next = members_.begin();
-  return tried_ = *next;
+  last_tried_ = *next;
+  return last_tried_;
 }
 
-std::optional<double> quota_coordinator::committed(std::size_t i, time_point now) const {
-  return allocator_ && chair_.leads(now) ? std::optional(allocator_->committed(i, now)) : std::nullopt;
+std::optional<double> quota_coordinator::committed(std::size_t index, time_point now) const {
+  if (!allocator_ || !is_leader(now)) return std::nullopt;
+  return allocator_->committed(index, now);
 }
 
-time_point quota_coordinator::step(time_point now, const std::vector<use>& uses, bool first) {
-  time_point due = joined_ ? chair_.step(now, first) : now + options_.renew;
-  // The books go with the chair: whoever has it next, this member too, does not know what is granted
-  // meanwhile.
-  if (allocator_ && (!chair_.leads(now) || allocates_in_ != chair_.term())) {
-    mismatched_ += allocator_->mismatched();
+std::uint64_t quota_coordinator::mismatched_requests() const {
+  return mismatched_in_earlier_terms_ + (allocator_ ? allocator_->mismatched_requests() : 0);
+}
+
+// The allocator ends with its term: whoever leads next, this member too, does not know what is granted
+// meanwhile.
+void quota_coordinator::update_allocator(time_point now) {
+  const bool leading = is_leader(now);
+  if (allocator_ && (!leading || allocator_term_ != election_.term())) {
+    mismatched_in_earlier_terms_ += allocator_->mismatched_requests();
     allocator_.reset();
   }
-  if (!allocator_ && chair_.leads(now)) {
-    allocates_in_ = chair_.term();
-    allocator_.emplace(allocator_options{options_.rules, options_.reserve, members_.size()},
-                       holder_.budgets(), digest_, self_, allocates_in_, now);
-  }
-  due = std::min(due, holder_.step(now, whom_to_ask(now), uses));
-  pass(now);
-  note(now);
-  if (now < holder_.until()) due = std::min(due, holder_.until());
+  if (allocator_ || !leading) return;
+  allocator_term_ = election_.term();
+  const allocator_options options{options_.lease, options_.joining_reserve, members_.size()};
+  allocator_.emplace(options, lease_holder_.quotas(), config_digest_, self_, allocator_term_, now);
+}
+
+time_point quota_coordinator::step_as(time_point now, const std::vector<quota_usage>& usage, bool eligible) {
+  time_point due = is_member_ ? election_.step(now, eligible) : now + options_.renew_interval;
+  update_allocator(now);
+  due = std::min(due, lease_holder_.step(now, renewal_target(now), usage));
+  route_messages(now);
+  record_share_changes(now);
+  if (now < lease_expiry()) due = std::min(due, lease_expiry());
   return due;
 }
 
-void quota_coordinator::receive(time_point now, const message& m) {
-  if (!members_.contains(m.from)) return;
-  switch (m.what) {
-    case kind::ask:
-    case kind::promise:
-    case kind::refusal:
-      if (joined_) chair_.receive(now, m);
+void quota_coordinator::receive(time_point now, const message& received) {
+  if (!members_.contains(received.from)) return;
+  switch (received.kind) {
+    case message_kind::vote_request:
+    case message_kind::vote_granted:
+    case message_kind::vote_refused:
+      if (is_member_) election_.receive(now, received);
       break;
-    case kind::request:
-      // Only while the chair is surely this member's: an answer a moment later might be one too many.
-      if (allocator_ && chair_.leads(now) && allocates_in_ == chair_.term()) allocator_->receive(now, m);
+    case message_kind::quota_request:
+      // Only while this member surely leads: a grant a moment later could exceed the limit.
+      if (allocator_ && is_leader(now) && allocator_term_ == election_.term())
+        allocator_->receive(now, received);
       break;
-    case kind::grant:
-    case kind::poke: holder_.receive(now, m); break;
+    case message_kind::quota_grant:
+    case message_kind::renew_hint: lease_holder_.receive(now, received); break;
   }
-  pass(now);
-  note(now);
+  route_messages(now);
+  record_share_changes(now);
 }
 
-// What this member has to say to itself it hears at once.
-void quota_coordinator::pass(time_point now) {
-  for (bool more = true; more;) {
-    more = false;
-    std::vector<envelope> all = chair_.take_outbox();
-    for (envelope& e : holder_.take_outbox()) all.push_back(std::move(e));
-    if (allocator_)
-      for (envelope& e : allocator_->take_outbox()) all.push_back(std::move(e));
-    for (envelope& e : all) {
-      if (e.to != self_ || !joined_) {
-        outbox_.push_back(std::move(e));
-        continue;
-      }
-      more = true;
-      if (e.m.what == kind::request) {
-        if (allocator_ && chair_.leads(now)) allocator_->receive(now, e.m);
+std::vector<envelope> quota_coordinator::collect_messages() {
+  std::vector<envelope> collected = election_.take_outbox();
+  const auto append = [&collected](std::vector<envelope> more) {
+    std::move(more.begin(), more.end(), std::back_inserter(collected));
+  };
+  append(lease_holder_.take_outbox());
+  if (allocator_) append(allocator_->take_outbox());
+  return collected;
+}
+
+void quota_coordinator::deliver_to_self(time_point now, const message& content) {
+  if (content.kind != message_kind::quota_request) {
+    lease_holder_.receive(now, content);
+  } else if (allocator_ && is_leader(now)) {
+    allocator_->receive(now, content);
+  }
+}
+
+// Messages of this member to itself are delivered at once, and may bring further ones.
+void quota_coordinator::route_messages(time_point now) {
+  bool delivered = true;
+  while (delivered) {
+    delivered = false;
+    for (envelope& outgoing : collect_messages()) {
+      if (is_member_ && outgoing.to == self_) {
+        deliver_to_self(now, outgoing.content);
+        delivered = true;
       } else {
-        holder_.receive(now, e.m);
+        outbox_.push_back(std::move(outgoing));
       }
     }
   }
 }
 
-void quota_coordinator::note(time_point now) {
-  for (std::size_t i = 0; i < noted_.size(); ++i) {
-    const double share = holder_.share(i, now);
-    if (share == noted_[i]) continue;
-    noted_[i] = share;
-    changes_.push_back({i, share, holder_.until()});
+void quota_coordinator::record_share_changes(time_point now) {
+  for (std::size_t i = 0; i < recorded_shares_.size(); ++i) {
+    const double share = lease_holder_.share(i, now);
+    if (share == recorded_shares_[i]) continue;
+    recorded_shares_[i] = share;
+    changes_.push_back({i, share, lease_expiry()});
   }
 }
 
--- a/src/quota/wire.cpp
+++ b/src/quota/wire.cpp
@@ -13,84 +13,124 @@
 };
 
 struct wire_message {
-  std::string fleet;
+  std::string cluster_name;
   std::uint32_t version = 0;
-  std::uint8_t what = 0;
+  std::uint8_t kind = 0;
   std::string from;
-  std::uint64_t term = 0, sequence = 0, session = 0, digest = 0;
+  std::uint64_t term = 0, sequence = 0, session = 0, config_digest = 0;
   std::vector<wire_entry> entries;
-  bool leading = false;
-  std::string answer_to;
-  MSGPACK_DEFINE(fleet, version, what, from, term, sequence, session, digest, entries, leading, answer_to)
+  bool sender_is_leader = false;
+  std::string reply_to;
+  MSGPACK_DEFINE(cluster_name, version, kind, from, term, sequence, session, config_digest, entries,
+                 sender_is_leader, reply_to)
 };
 
-constexpr std::uint32_t elements = 11;
-constexpr std::size_t datagram_most = 1400;
-
-// Bounds on what one datagram may ask the decoder to build: a crafted one cannot make it allocate much.
-const msgpack::unpack_limit bounds(/*array*/ 256, /*map*/ 0, /*str*/ datagram_most, /*bin*/ 0, /*ext*/ 0,
-                                   /*depth*/ 4);
-
-bool known(std::uint8_t what) {
-  switch (static_cast<kind>(what)) {
-    case kind::ask:
-    case kind::promise:
-    case kind::refusal:
-    case kind::request:
-    case kind::grant:
-    case kind::poke: return true;
+// Positions of the elements that are read before the message's shape is known, and the number of all.
+constexpr std::uint32_t cluster_name_element = 0;
+constexpr std::uint32_t version_element = 1;
+constexpr std::uint32_t kind_element = 2;
+constexpr std::uint32_t header_elements = 3;
+constexpr std::uint32_t all_elements = 11;
+
+constexpr std::size_t max_datagram_bytes = 1400;
+
+// Limits what one datagram can make the decoder allocate.
+const msgpack::unpack_limit unpack_limits(/*array*/ 256, /*map*/ 0, /*str*/ max_datagram_bytes, /*bin*/ 0,
+                                          /*ext*/ 0, /*depth*/ 4);
+
+bool is_known_kind(std::uint8_t value) {
+  switch (static_cast<message_kind>(value)) {
+    case message_kind::vote_request:
+    case message_kind::vote_granted:
+    case message_kind::vote_refused:
+    case message_kind::quota_request:
+    case message_kind::quota_grant:
+    case message_kind::renew_hint: return true;
   }
   return false;
 }
 
+bool is_quota_message(const msgpack::object& root) {
+  if (root.type != msgpack::type::ARRAY || root.via.array.size < header_elements) return false;
+  const msgpack::object& kind = root.via.array.ptr[kind_element];
+  return kind.type == msgpack::type::POSITIVE_INTEGER &&
+         kind.via.u64 >= static_cast<std::uint8_t>(message_kind::vote_request);
+}
+
+// A share that is no number or below zero would make room for others in the allocator's sums.
+bool is_valid(const wire_entry& entry) {
+  return std::isfinite(entry.held) && std::isfinite(entry.demand) && entry.held >= 0 && entry.demand >= 0 &&
+         entry.leased >= 0 && entry.leased <= entry.held;
+}
+
+std::optional<message> from_wire(const wire_message& wire) {
+  if (!is_known_kind(wire.kind) || wire.entries.size() > max_quotas_per_message) return std::nullopt;
+  message content;
+  content.kind = static_cast<message_kind>(wire.kind);
+  content.from = wire.from;
+  content.term = wire.term;
+  content.sequence = wire.sequence;
+  content.session = wire.session;
+  content.config_digest = wire.config_digest;
+  content.sender_is_leader = wire.sender_is_leader;
+  content.reply_to = wire.reply_to;
+  for (const wire_entry& entry : wire.entries) {
+    if (!is_valid(entry)) return std::nullopt;
+    content.entries.push_back({entry.held, entry.demand, entry.leased});
+  }
+  return content;
+}
+
+wire_message to_wire(const std::string& cluster_name, const message& content) {
+  wire_message wire;
+  wire.cluster_name = cluster_name;
+  wire.version = wire_version;
+  wire.kind = static_cast<std::uint8_t>(content.kind);
+  wire.from = content.from;
+  wire.term = content.term;
+  wire.sequence = content.sequence;
+  wire.session = content.session;
+  wire.config_digest = content.config_digest;
+  wire.sender_is_leader = content.sender_is_leader;
+  wire.reply_to = content.reply_to;
+  for (const quota_entry& entry : content.entries)
+    wire.entries.push_back({entry.held, entry.demand, entry.leased});
+  return wire;
+}
+
+decoded failed(wire_fault fault) {
+  return {std::nullopt, fault};
+}
+
+// Throws what msgpack throws for elements of another type than expected.
+decoded decode_root(const std::string& cluster_name, const msgpack::object& root, bool has_trailing_bytes) {
+  if (!is_quota_message(root)) return failed(wire_fault::other_kind);
+  const msgpack::object* const elements = root.via.array.ptr;
+  if (elements[cluster_name_element].as<std::string>() != cluster_name)
+    return failed(wire_fault::other_cluster);
+  if (elements[version_element].as<std::uint32_t>() != wire_version) return failed(wire_fault::version);
+  if (has_trailing_bytes || root.via.array.size != all_elements) return failed(wire_fault::undecodable);
+  std::optional<message> content = from_wire(root.as<wire_message>());
+  if (!content) return failed(wire_fault::undecodable);
+  return {std::move(content), wire_fault::none};
+}
+
 }  // namespace
 
-std::string encode(const std::string& fleet, const message& m) {
-  wire_message w{fleet,     wire_version, static_cast<std::uint8_t>(m.what),
-                 m.from,    m.term,       m.sequence,
-                 m.session, m.digest,     {},
-                 m.leading, m.answer_to};
-  for (const entry& e : m.entries) w.entries.push_back({e.held, e.demand, e.leased});
+std::string encode(const std::string& cluster_name, const message& content) {
   msgpack::sbuffer buffer;
-  msgpack::pack(buffer, w);
+  msgpack::pack(buffer, to_wire(cluster_name, content));
   return {buffer.data(), buffer.size()};
 }
 
-decoded decode(const std::string& fleet, std::string_view datagram) {
+decoded decode(const std::string& cluster_name, std::string_view datagram) {
   try {
-    std::size_t offset = 0;
+    std::size_t parsed_bytes = 0;
     const msgpack::object_handle handle =
-        msgpack::unpack(datagram.data(), datagram.size(), offset, nullptr, nullptr, bounds);
-    const msgpack::object& o = handle.get();
-    if (o.type != msgpack::type::ARRAY || o.via.array.size < 3 ||
-        o.via.array.ptr[2].type != msgpack::type::POSITIVE_INTEGER ||
-        o.via.array.ptr[2].via.u64 < static_cast<std::uint8_t>(kind::ask))
-      return {std::nullopt, wire_fault::not_ours};
-    if (o.via.array.ptr[0].as<std::string>() != fleet) return {std::nullopt, wire_fault::foreign};
-    if (o.via.array.ptr[1].as<std::uint32_t>() != wire_version) return {std::nullopt, wire_fault::version};
-    if (offset != datagram.size() || o.via.array.size != elements)
-      return {std::nullopt, wire_fault::undecodable};
-    const auto w = o.as<wire_message>();
-    if (!known(w.what) || w.entries.size() > budgets_most) return {std::nullopt, wire_fault::undecodable};
-    message m{static_cast<kind>(w.what),
-              w.from,
-              w.term,
-              w.sequence,
-              w.session,
-              w.digest,
-              {},
-              w.leading,
-              w.answer_to};
-    for (const wire_entry& e : w.entries) {
-      // Guards the books: no number that is none, and no share below zero that would make room for others.
-      if (!std::isfinite(e.held) || !std::isfinite(e.demand) || e.held < 0 || e.demand < 0 ||
-          !(e.leased >= 0) || e.leased > e.held)
-        return {std::nullopt, wire_fault::undecodable};
-      m.entries.push_back({e.held, e.demand, e.leased});
-    }
-    return {std::move(m), wire_fault::none};
+        msgpack::unpack(datagram.data(), datagram.size(), parsed_bytes, nullptr, nullptr, unpack_limits);
+    return decode_root(cluster_name, handle.get(), parsed_bytes != datagram.size());
   } catch (const std::exception&) {
-    return {std::nullopt, wire_fault::not_ours};  // membership counts it, if it cannot read it either
+    return failed(wire_fault::other_kind);  // membership counts it where it cannot read it either
   }
 }
 
--- a/src/quota/wire.hpp
+++ b/src/quota/wire.hpp
@@ -1,7 +1,7 @@
-// Messages on budgets as datagrams, in msgpack (msgpack-cxx), on the socket of membership: the same first
-// three elements (fleet, version, kind), so that each side tells the other's.
+// Encoding of quota messages as datagrams, in msgpack. They share the socket with membership, whose messages
+// begin with the same three elements (fleet, version, kind), so that each side recognises the other's.
 //
-// Free of I/O; any thread. None is ever half taken.
+// Free of I/O and state; any thread. A message is decoded whole or not at all.
 #pragma once
 
 #include <optional>
@@ -13,18 +13,23 @@
 namespace marblewharf::quota {
 
 inline constexpr std::uint32_t wire_version = 2;
-// Budgets in one message: so many fit into a datagram that is not fragmented.
-inline constexpr std::size_t budgets_most = 32;
-
-enum class wire_fault { none, not_ours, foreign, version, undecodable };
+// As many entries fit into a datagram that is not fragmented.
+inline constexpr std::size_t max_quotas_per_message = 32;
+
+enum class wire_fault {
+  none,
+  other_kind,     // no quota message: membership's, or not readable at all
+  other_cluster,  // of a cluster with another name
+  version,        // of another wire version
+  undecodable,    // a quota message with a shape or values that none may have
+};
 
 struct decoded {
-  std::optional<message> m;  // set exactly where fault is none
+  std::optional<message> content;  // set exactly where fault is none
   wire_fault fault = wire_fault::none;
 };
 
-std::string encode(const std::string& fleet, const message& m);
-// not_ours: a datagram of another kind, or of none: for membership to read.
-decoded decode(const std::string& fleet, std::string_view datagram);
+std::string encode(const std::string& cluster_name, const message& content);
+decoded decode(const std::string& cluster_name, std::string_view datagram);
 
 }  // namespace marblewharf::quota
--- a/tests/net/budgets_test.cpp
+++ b/tests/net/budgets_test.cpp
@@ -1,5 +1,5 @@
 // Wholes divided among nine price nodes on loopback, with faults between the processes; an auditor sums what
-// their logs say was in force at every instant (ctest -L budgets).
+// their logs say was in force at every instant (ctest -L quota).
 #include <filesystem>
 #include <map>
 
