--- a/src/admin/console_command.cpp
+++ b/src/admin/console_command.cpp
@@ -1,19 +1,33 @@
 #include "admin/console_command.hpp"
 
+#include <array>
+
 namespace marblewharf::admin {
+namespace {
+
+constexpr std::string_view blanks = " \t";
+
+struct named_command {
+  std::string_view name;
+  console_command command;
+};
+constexpr std::array<named_command, 7> commands{{{"ready", console_command::ready},
+                                                 {"show-stat", console_command::show_stat},
+                                                 {"show-members", console_command::show_members},
+                                                 {"show-zones", console_command::show_zones},
+                                                 {"show-budgets", console_command::show_budgets},
+                                                 {"drain", console_command::drain},
+                                                 {"resume", console_command::resume}}};
+
+}  // namespace
 
 std::optional<console_command> parse_console_command(std::string_view line) {
-  if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
-  const auto first = line.find_first_not_of(" \t");
+  if (line.ends_with('\r')) line.remove_suffix(1);
+  const auto first = line.find_first_not_of(blanks);
   if (first == std::string_view::npos) return std::nullopt;
-  line = line.substr(first, line.find_last_not_of(" \t") - first + 1);
-  if (line == "ready") return console_command::ready;
-  if (line == "show-stat") return console_command::show_stat;
-  if (line == "show-members") return console_command::show_members;
-  if (line == "show-zones") return console_command::show_zones;
-  if (line == "show-budgets") return console_command::show_budgets;
-  if (line == "drain") return console_command::drain;
-  if (line == "resume") return console_command::resume;
+  const std::string_view word = line.substr(first, line.find_last_not_of(blanks) - first + 1);
+  for (const named_command& candidate : commands)
+    if (candidate.name == word) return candidate.command;
   return std::nullopt;
 }
 
--- a/src/admin/console_server.cpp
+++ b/src/admin/console_server.cpp
@@ -1,132 +1,157 @@
 #include "admin/console_server.hpp"
 
 #include <algorithm>
-#include <optional>
+#include <string_view>
 #include <utility>
 
 namespace marblewharf::admin {
+namespace {
 
-using telemetry::log;
+// A command whose answer is a list of lines; none: this node has no such lines, for the `missing` reason.
+std::string answer_lines(const char* title, const std::optional<std::string>& lines, const char* missing) {
+  if (!lines) return std::string("400 ") + missing + "\n";
+  return std::string("200 ") + title + " follow\n" + *lines + "EOF\n";
+}
+
+}  // namespace
 
+// Waits for a line, then for the close by its caller once it was answered.
 class console_server::connection : public net::stream::owner {
  public:
-  connection(console_server& s, const Poco::Net::StreamSocket& socket)
-      : server_(s), stream_(s.reactor_, s.bounds_, *this, socket) {}
+  connection(console_server& server, const Poco::Net::StreamSocket& socket)
+      : server_(server), stream_(server.reactor_, server.bounds_, *this, socket) {}
 
   std::size_t on_bytes(std::string_view bytes) override;
   void on_lost(const char*) override { server_.drop(*this); }
 
-  // Answers once and ends the connection; the other side sees all of the answer before the end.
-  void say(const std::string& text) {
-    if (std::exchange(answered_, true)) return;
-    answered_at_ = net::steady_now();
-    stream_.send(text);
-    stream_.finish();
+  // Answers 400 with the reason, unless it was answered before.
+  void reject(const char* reason);
+
+  bool answered() const { return answered_; }
+  // Whether it brought no whole line within `console_wait`.
+  bool line_overdue(time_point now) const {
+    return !answered_ && now - opened_at_ > server_.bounds_.console_wait;
+  }
+  // Whether it was answered, and the caller has closed or had the time to.
+  bool finished(time_point now) const {
+    if (!answered_) return false;
+    return now - answered_at_ > server_.bounds_.linger || (stream_.flushed() && !stream_.is_open());
   }
-  void refuse(const char* why) {
-    ++server_.counters_.console_bad;
-    log("console", "400: %s", why);
-    say(std::string("400 ") + why + "\n");
+  // Whether it is evicted before another one: answered ones first, of equals the oldest.
+  bool evicted_before(const connection& other) const {
+    if (answered_ != other.answered_) return answered_;
+    return answered_ ? answered_at_ < other.answered_at_ : opened_at_ < other.opened_at_;
   }
+  void close() { stream_.close(); }
 
-  // The least goes first where room is needed: those answered, then those without a whole line, the oldest of
-  // each.
-  std::pair<bool, time_point> rank() const { return {!answered_, answered_ ? answered_at_ : since_}; }
+ private:
+  // Ends the connection behind the answer, so that the caller sees all of it.
+  void respond(const std::string& text);
 
   console_server& server_;
   net::stream stream_;
-  time_point since_ = net::steady_now();
+  time_point opened_at_ = net::steady_now();
   time_point answered_at_{};
   bool answered_ = false;
 };
 
 std::size_t console_server::connection::on_bytes(std::string_view bytes) {
   if (answered_) return bytes.size();
-  const std::size_t end = bytes.find('\n');
-  if (end == std::string_view::npos) {
-    // Guards against a line that never ends: what can be no call is told so at once.
-    if (bytes.size() > server_.bounds_.console_line) refuse("line too long");
+  const std::size_t longest = server_.bounds_.console_line;
+  const std::size_t line_end = bytes.find('\n');
+  if (line_end == std::string_view::npos) {
+    // Guards against a line that never ends.
+    if (bytes.size() > longest) reject("line too long");
     return 0;
   }
-  if (end > server_.bounds_.console_line) {
-    refuse("line too long");
+  if (line_end > longest) {
+    reject("line too long");
     return bytes.size();
   }
-  const std::optional<admin::console_command> call = admin::parse_console_command(bytes.substr(0, end));
-  if (!call) {
-    refuse("unknown call");
+  const std::optional<console_command> command = parse_console_command(bytes.substr(0, line_end));
+  if (command) {
+    respond(server_.answer(*command));
   } else {
-    say(server_.answer(*call));
+    reject("unknown call");
   }
   return bytes.size();
 }
 
-console_server::console_server(net::reactor& r, const limits& bounds, const endpoint& at, admin_handler& d,
-                               telemetry::counters& counters)
-    : reactor_(r), bounds_(bounds), desk_(d), counters_(counters), connections_(r), at_(at) {
+void console_server::connection::reject(const char* reason) {
+  ++server_.counters_.console_bad;
+  telemetry::log("console", "400: %s", reason);
+  respond(std::string("400 ") + reason + "\n");
+}
+
+void console_server::connection::respond(const std::string& text) {
+  if (std::exchange(answered_, true)) return;
+  answered_at_ = net::steady_now();
+  stream_.send(text);
+  stream_.finish();
+}
+
+console_server::console_server(net::reactor& reactor, const limits& bounds, const endpoint& address,
+                               admin_handler& handler, telemetry::counters& counters)
+    : reactor_(reactor),
+      bounds_(bounds),
+      handler_(handler),
+      counters_(counters),
+      connections_(reactor),
+      address_(address) {
   try_listen(net::steady_now());
 }
 
+console_server::~console_server() = default;
+
 void console_server::try_listen(time_point now) {
+  const bool retrying = next_bind_ != time_point::max();
   try {
     listener_.emplace(
-        reactor_, bounds_, at_.host, at_.port,
+        reactor_, bounds_, address_.host, address_.port,
         [this](const Poco::Net::StreamSocket& socket) { accept(socket); }, net::port_sharing::alone);
-    if (next_bind_ != time_point::max())
-      log("console", "%s:%u let go: listening", at_.host.c_str(), unsigned{at_.port});
+    if (retrying)
+      telemetry::log("console", "%s:%u let go: listening", address_.host.c_str(), unsigned{address_.port});
     next_bind_ = time_point::max();
   } catch (const net::address_held&) {
-    // Guards a replacement: the process before this one keeps its console until it leaves.
-    if (next_bind_ == time_point::max())
-      log("console", "%s:%u held by another process; trying again until it lets go", at_.host.c_str(),
-          unsigned{at_.port});
+    // Guards a hot restart: the predecessor keeps its console until it ends.
+    if (!retrying)
+      telemetry::log("console", "%s:%u held by another process; trying again until it lets go",
+                     address_.host.c_str(), unsigned{address_.port});
     next_bind_ = now + bounds_.console_bind_retry;
   }
 }
 
-console_server::~console_server() = default;
-
 void console_server::accept(const Poco::Net::StreamSocket& socket) {
-  if (connections_.size() >= bounds_.console_connections) make_room();
+  if (connections_.size() >= bounds_.console_connections) evict_one();
   connections_.add(std::make_shared<connection>(*this, socket));
 }
 
-// Closes one that was answered and whose caller has not closed, the longest answered first; else the one that
-// has waited longest without a whole line. Guards the console against callers that hold connections, and the
-// process's descriptors against the console.
-void console_server::make_room() {
-  connection* first = nullptr;
-  connections_.each([&](connection& c) {
-    if (first == nullptr || c.rank() < first->rank()) first = &c;
+// Guards the console against callers that keep connections open, and the process's descriptors against the
+// console.
+void console_server::evict_one() {
+  connection* evicted = nullptr;
+  connections_.each([&](connection& candidate) {
+    if (evicted == nullptr || candidate.evicted_before(*evicted)) evicted = &candidate;
   });
-  if (!first->answered_) first->refuse("no whole line in time");
-  drop(*first);
+  if (!evicted->answered()) evicted->reject("no whole line in time");
+  drop(*evicted);
 }
 
-void console_server::drop(connection& c) {
-  c.stream_.close();
-  connections_.drop(c);
+void console_server::drop(connection& closed) {
+  closed.close();
+  connections_.drop(closed);
 }
 
-std::string console_server::answer(admin::console_command call) {
+std::string console_server::answer(console_command command) {
   ++counters_.console_calls;
-  switch (call) {
-    case admin::console_command::ready: return desk_.ready() ? "200 yes\n" : "200 no\n";
-    case admin::console_command::show_stat: return "200 figures follow\n" + desk_.figures() + "EOF\n";
-    case admin::console_command::drain: return "200 " + desk_.drain() + "\n";
-    case admin::console_command::resume: return "200 " + desk_.resume() + "\n";
-    case admin::console_command::show_members: {
-      const std::optional<std::string> lines = desk_.members();
-      return lines ? "200 members follow\n" + *lines + "EOF\n" : "400 no fleet\n";
-    }
-    case admin::console_command::show_zones: {
-      const std::optional<std::string> lines = desk_.zones();
-      return lines ? "200 zones follow\n" + *lines + "EOF\n" : "400 no fleet\n";
-    }
-    case admin::console_command::show_budgets: {
-      const std::optional<std::string> lines = desk_.budgets();
-      return lines ? "200 budgets follow\n" + *lines + "EOF\n" : "400 no budgets\n";
-    }
+  switch (command) {
+    case console_command::ready: return handler_.ready() ? "200 yes\n" : "200 no\n";
+    case console_command::show_stat: return "200 figures follow\n" + handler_.statistics() + "EOF\n";
+    case console_command::drain: return "200 " + handler_.drain() + "\n";
+    case console_command::resume: return "200 " + handler_.resume() + "\n";
+    case console_command::show_members: return answer_lines("members", handler_.members(), "no fleet");
+    case console_command::show_zones: return answer_lines("zones", handler_.zones(), "no fleet");
+    case console_command::show_budgets: return answer_lines("budgets", handler_.budgets(), "no budgets");
   }
   return "400 unknown call\n";
 }
@@ -136,14 +161,16 @@
   if (now < next_sweep_) return std::min(next_sweep_, next_bind_);
   if (listener_) listener_->resume();
   next_sweep_ = now + bounds_.sweep_every;
-  connections_.each([&](connection& c) {
-    if (!c.answered_) {
-      if (now - c.since_ > bounds_.console_wait) c.refuse("no whole line in time");
-    } else if (now - c.answered_at_ > bounds_.linger || (c.stream_.flushed() && !c.stream_.is_open())) {
-      drop(c);
-    }
-  });
+  connections_.each([&](connection& candidate) { close_due(candidate, now); });
   return std::min(next_sweep_, next_bind_);
 }
 
+void console_server::close_due(connection& candidate, time_point now) {
+  if (candidate.line_overdue(now)) {
+    candidate.reject("no whole line in time");
+  } else if (candidate.finished(now)) {
+    drop(candidate);
+  }
+}
+
 }  // namespace marblewharf::admin
--- a/src/admin/console_server.hpp
+++ b/src/admin/console_server.hpp
@@ -1,15 +1,16 @@
-// The operators' console: a second listening address, one line a connection, one answer, then the close.
+// The operators' console: a listening address of its own, where each connection brings one line, gets one
+// answer and is closed.
 //
 // Runs on the reactor's thread beside the fronts, with its own listener and its own bound on connections, so
-// that callers of the console and clients never hold each other up. Owned by the node; the desk it asks
-// outlives it.
+// that console callers and clients never hold each other up.
 #pragma once
 
-#include <functional>
+#include <cstddef>
 #include <memory>
 #include <optional>
 #include <string>
 
+#include "admin/admin_handler.hpp"
 #include "admin/console_command.hpp"
 #include "config/config.hpp"
 #include "net/connections.hpp"
@@ -19,55 +20,40 @@
 
 namespace marblewharf::admin {
 
-// What the console asks of the node. Called on the reactor's thread.
-class admin_handler {
- public:
-  virtual ~admin_handler() = default;
-  virtual bool ready() = 0;           // this process takes clients
-  virtual std::string figures() = 0;  // lines of `name=value`, each ending in "\n"
-  virtual std::string drain() = 0;    // the text after "200 "
-  virtual std::string resume() = 0;   // the same
-  // Lines of the fleet, each ending in "\n"; none where the node is in no fleet.
-  virtual std::optional<std::string> members() = 0;
-  virtual std::optional<std::string> zones() = 0;
-  // The same of budgets; none where none is named.
-  virtual std::optional<std::string> budgets() = 0;
-};
-
 class console_server {
  public:
-  // Binds `at` alone (no SO_REUSEPORT): two processes never share one console, so an answer always comes from
-  // the process that was asked. Where a process before this one still holds the address (a replacement), the
-  // console opens once it lets go, tried again every `console_bind_retry` from step(). Throws
-  // std::runtime_error naming the address that cannot be listened on for any other reason.
-  console_server(net::reactor& r, const limits& bounds, const endpoint& at, admin_handler& d,
+  // Binds `address` without SO_REUSEPORT: two processes never share a console, so an answer always comes from
+  // the process that was asked. Where another process holds the address (the predecessor in a hot restart),
+  // binding is retried from step() every `console_bind_retry`. Throws std::runtime_error naming an address
+  // that cannot be listened on for any other reason. What is passed in by reference outlives the server, but
+  // for `address`.
+  console_server(net::reactor& reactor, const limits& bounds, const endpoint& address, admin_handler& handler,
                  telemetry::counters& counters);
   ~console_server();
   console_server(const console_server&) = delete;
   console_server& operator=(const console_server&) = delete;
 
-  // Ends connections that brought no whole line in time, binds where the address was held; returns when it
-  // wants to be called again.
+  // Closes connections that are due, retries a bind; returns when it wants to be called again.
   time_point step(time_point now);
   bool listening() const { return listener_.has_value(); }
 
  private:
   class connection;
+  void try_listen(time_point now);
   void accept(const Poco::Net::StreamSocket& socket);
-  void drop(connection& c);
-  void make_room();
-  std::string answer(admin::console_command call);
+  void evict_one();
+  void close_due(connection& candidate, time_point now);
+  void drop(connection& closed);
+  std::string answer(console_command command);
 
   net::reactor& reactor_;
   const limits& bounds_;
-  admin_handler& desk_;
+  admin_handler& handler_;
   telemetry::counters& counters_;
   net::connections<connection> connections_;
-  void try_listen(time_point now);
-
-  endpoint at_;
-  std::optional<net::listener> listener_;
-  time_point next_bind_ = time_point::max();
+  endpoint address_;
+  std::optional<net::listener> listener_;     // none: another process holds the address
+  time_point next_bind_ = time_point::max();  // max: bound
   time_point next_sweep_{};
 };
 
--- a/src/admin/statistics.hpp
+++ b/src/admin/statistics.hpp
@@ -1,4 +1,4 @@
-// The figures that the console's `show-stat` gives, as lines of `name=value`. Free of I/O.
+// The figures on requests that the console's `show-stat` gives, as lines of `name=value`. Free of I/O.
 #pragma once
 
 #include <cstddef>
@@ -9,8 +9,9 @@
 
 namespace marblewharf::admin {
 
-// `classes` by the settings' order, as the counters' vectors; `pending` is what was taken and has not ended.
-std::string render_statistics(const telemetry::counters& c, const std::vector<std::string>& classes,
-                              std::size_t pending);
+// `class_names` in the settings' order, which is that of the counters' vectors; a class that the counters do
+// not have yet counts as 0. `pending`: requests whose caller is still owed an answer.
+std::string render_statistics(const telemetry::counters& counters,
+                              const std::vector<std::string>& class_names, std::size_t pending);
 
 }  // namespace marblewharf::admin
--- a/src/lifecycle/drain_state.cpp
+++ b/src/lifecycle/drain_state.cpp
@@ -3,15 +3,16 @@
 namespace marblewharf::lifecycle {
 
 bool drain_state::drain(time_point now) {
-  if (stage_ == stage::draining) return false;
-  stage_ = stage::draining;
-  since_ = now;
-  return true;
+  return change_to(state::draining, now);
 }
 
 bool drain_state::resume(time_point now) {
-  if (stage_ == stage::serving) return false;
-  stage_ = stage::serving;
+  return change_to(state::serving, now);
+}
+
+bool drain_state::change_to(state next, time_point now) {
+  if (state_ == next) return false;
+  state_ = next;
   since_ = now;
   return true;
 }
--- a/src/lifecycle/drain_state.hpp
+++ b/src/lifecycle/drain_state.hpp
@@ -1,6 +1,12 @@
-// Whether the node asks to be taken off the balancers' lists: the operators' drain, apart from SIGTERM.
+// Whether the node asks to be taken off the balancers' lists: the operators' drain, apart from a shutdown.
 //
-// Free of I/O; the caller hands in the time. Not thread-safe: owned by the reactor's thread.
+// Free of I/O; the caller passes the time in. Not thread-safe: owned by the reactor's thread.
+//
+//   state     event   next state
+//   serving   drain   draining
+//   draining  resume  serving
+//
+// Any other event leaves the state, and the time it was entered, as they are.
 #pragma once
 
 #include <chrono>
@@ -10,23 +16,23 @@
 class drain_state {
  public:
   using time_point = std::chrono::nanoseconds;  // steady clock
-  enum class stage { serving, draining };
+  enum class state { serving, draining };
 
-  // `drain` twice keeps the first time; `resume` without a drain changes nothing. Both return whether the
-  // stage changed.
+  // Both return whether the state changed.
   bool drain(time_point now);
   bool resume(time_point now);
 
-  // What health checks answer, given what the module says of itself: bad from the drain on, whatever else
-  // holds.
-  bool healthy(bool module_good) const { return stage_ == stage::serving && module_good; }
+  // What health checks answer: good only while serving, and only as long as the admission policy is healthy.
+  bool healthy(bool policy_healthy) const { return state_ == state::serving && policy_healthy; }
 
-  stage where() const { return stage_; }
-  // When the stage last changed; 0 before any change.
+  state current() const { return state_; }
+  // When the current state was entered; 0 before any change.
   time_point since() const { return since_; }
 
  private:
-  stage stage_ = stage::serving;
+  bool change_to(state next, time_point now);
+
+  state state_ = state::serving;
   time_point since_{};
 };
 
--- a/src/lifecycle/graceful_shutdown.hpp
+++ b/src/lifecycle/graceful_shutdown.hpp
@@ -1,6 +1,17 @@
-// What a node that was told to leave does when: from the notice (SIGTERM) to the end of the process.
+// When a node does what between its shutdown notice (SIGTERM) and the end of the process.
 //
-// Free of I/O; the caller hands in the time. Not thread-safe: owned by the reactor's thread.
+// Free of I/O; the caller passes the time in and acts on what is due. Not thread-safe: owned by the reactor's
+// thread. The process is killed `limits::stop` after the notice; each phase begins at a time before the kill:
+//
+//   phase     begins                                          what happens
+//   serving   at the notice                                   as before it
+//   draining  `leave_early` before the kill, or at the        no connection is accepted, callers are asked to
+//             notice where a successor takes the clients      close theirs
+//   closing   `end_early` before the kill                     the node closes what stands
+//   complete  while draining or closing, once every           the process ends
+//             connection is closed; while closing, from
+//             `exit_early` before the kill on, once every
+//             connection is ended, or `last_rounds` later
 #pragma once
 
 #include <chrono>
@@ -10,32 +21,32 @@
 
 namespace marblewharf::lifecycle {
 
+// How far the connections of all fronts are.
+struct connection_progress {
+  bool all_closed = false;  // none is open, and nothing that was begun for one goes on
+  bool all_ended = false;   // the node has ended each open one: nothing that comes on it is read any more
+};
+
 class graceful_shutdown {
  public:
   using time_point = std::chrono::nanoseconds;  // steady clock
 
-  // How far the connections of all fronts are.
-  struct progress {
-    bool empty = false;  // none stands, and nothing that was begun for them goes on
-    bool ended = false;  // each that stands was ended: nothing that comes on it is taken any more
-  };
-
-  // `noticed` at that time; with a successor the clients are asked to go at once, else as late as may be.
+  // `noticed`: when the notice came. `bounds` outlives this object.
   graceful_shutdown(time_point noticed, bool successor_takes_clients, const limits& bounds);
 
-  // From now on nobody is let in, and callers are asked to close their connections.
-  bool asks_callers_to_go(time_point now) const;
-  // From now on the node itself ends what stands, each connection once nothing is owed on it.
-  bool ends_connections(time_point now);
-  // The process ends. Only once every connection is ended or the time is up: what the reactor's last round
-  // read of a connection that was not ended would get no answer.
-  bool is_over(time_point now, progress connections) const;
+  // Whether no connection is accepted and callers are asked to close theirs.
+  bool drains_connections(time_point now) const;
+  // Whether the node itself ends each connection once nothing is owed on it. Notes when that began.
+  bool closes_connections(time_point now);
+  // Whether the process ends. A request that the reactor's last round read from a connection that was not
+  // ended would get no answer, hence the wait for every connection.
+  bool is_complete(time_point now, connection_progress progress) const;
 
  private:
   const limits& bounds_;
-  time_point stops_at_;  // the kill comes then
+  time_point kill_at_;
   bool successor_takes_clients_;
-  std::optional<time_point> ending_since_;
+  std::optional<time_point> closing_since_;
 };
 
 }  // namespace marblewharf::lifecycle
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -24,7 +24,7 @@
 constexpr int usage_error = 2;
 
 void start(const std::string& operators, const std::string& record) {
-  server::catch_signals();
+  server::install_signal_handlers();
   config settings = load_config();
   if (!operators.empty()) apply_operator_file(settings, operators);
   std::optional<pcap::recorder> recorder;
--- /dev/null
+++ b/src/server/durable_idempotency.cpp
@@ -0,0 +1,94 @@
+#include "server/durable_idempotency.hpp"
+
+#include <chrono>
+#include <cinttypes>
+#include <cstdint>
+#include <exception>
+#include <utility>
+
+#include "net/reactor.hpp"
+#include "server/random_seed.hpp"
+
+namespace marblewharf::server {
+namespace {
+
+idempotency::durable_service_options options_of(const config& settings) {
+  const keyed_config& keyed = *settings.keyed;
+  idempotency::durable_service_options options;
+  options.folder = keyed.folder;
+  options.windows = keyed.windows;
+  for (const auto& request_class : settings.settings.classes) options.classes.push_back(request_class.name);
+  for (const auto& tenant : settings.settings.tenants) options.tenants.push_back(tenant.name);
+  options.longest_key = keyed.longest_key;
+  options.largest_result = settings.bounds.result + settings.bounds.response_head;
+  options.entries = keyed.entries;
+  options.open = settings.bounds.keyed_open;
+  options.reads = settings.bounds.keyed_reads;
+  options.commit_records = settings.bounds.commit_records;
+  options.segment = keyed.segment;
+  options.space = keyed.space;
+  options.retry_disk = keyed.retry_disk;
+  // The outcome of a transaction is looked up in this node's own folder, which needs no inquiry variable.
+  const bool can_inquire = !keyed.inquiry_var.empty() || settings.writes.has_value();
+  options.inquiry_tries = can_inquire ? keyed.inquiry_tries : 0;
+  options.inquiry_pause = keyed.inquiry_pause;
+  options.salt = random_seed();
+  options.unix_now = std::chrono::system_clock::now().time_since_epoch();
+  options.steady_now = net::steady_now();
+  return options;
+}
+
+}  // namespace
+
+durable_idempotency::durable_idempotency(const config& settings, store::file_system& file_system,
+                                         dispatcher& requests, telemetry::counters& counters,
+                                         std::function<void()> notify)
+    : config_(settings),
+      file_system_(file_system),
+      dispatcher_(requests),
+      counters_(counters),
+      notify_(std::move(notify)),
+      deferred_service_(settings.keyed->retry_disk, counters) {
+  dispatcher_.use(deferred_service_, settings.keyed->finish_within);
+  try {
+    open();
+  } catch (const store::held& error) {  // by the predecessor in a hot restart
+    telemetry::log("handover", "%s: keyed requests are refused until it lets go", error.what());
+    next_open_attempt_ = net::steady_now() + settings.keyed->retry_disk;
+  }
+}
+
+// Reads the folder as after a restart: the keys that the predecessor recorded are known from now on.
+void durable_idempotency::open() {
+  durable_service_ =
+      std::make_unique<idempotency::durable_service>(file_system_, options_of(config_), counters_, notify_);
+  durable_service_->report_to(dispatcher_);
+  deferred_service_.take(*durable_service_);
+}
+
+void durable_idempotency::retry_open(time_point now) {
+  next_open_attempt_ = now + config_.keyed->retry_disk;
+  const char* folder = config_.keyed->folder.c_str();
+  try {
+    open();
+    next_open_attempt_ = time_point::max();
+    telemetry::log("handover", "%s taken over: %" PRIu64 " keys known", folder,
+                   static_cast<std::uint64_t>(durable_service_->known().size()));
+  } catch (const store::held&) {
+    durable_service_.reset();
+  } catch (const std::exception& error) {  // the folder cannot be read: keyed requests stay rejected
+    durable_service_.reset();
+    telemetry::log("handover", "%s cannot be taken over: %s", folder, error.what());
+  }
+}
+
+void durable_idempotency::step(time_point now) {
+  if (!durable_service_ && now >= next_open_attempt_) retry_open(now);
+  if (durable_service_) durable_service_->step(now);
+}
+
+std::size_t durable_idempotency::open_requests() const {
+  return durable_service_ ? durable_service_->known().open() : 0;
+}
+
+}  // namespace marblewharf::server
--- /dev/null
+++ b/src/server/hot_restart_file.cpp
@@ -0,0 +1,66 @@
+#include "server/hot_restart_file.hpp"
+
+#include <unistd.h>
+
+#include <cerrno>
+#include <csignal>
+#include <cstdint>
+#include <cstdio>
+#include <cstdlib>
+#include <fstream>
+#include <optional>
+#include <sstream>
+#include <utility>
+
+#include "net/reactor.hpp"
+#include "telemetry/telemetry.hpp"
+
+namespace marblewharf::server {
+namespace {
+
+std::string temporary_folder() {
+  const char* folder = std::getenv("TMPDIR");
+  return folder != nullptr && *folder != '\0' ? folder : "/tmp";
+}
+
+// False only where the system knows no such process: one that may not be signalled lives.
+bool is_alive(std::uint64_t process_id) {
+  return ::kill(static_cast<pid_t>(process_id), 0) == 0 || errno != ESRCH;
+}
+
+bool write_file(const std::string& path, const std::string& text) {
+  std::ofstream out(path, std::ios::trunc);
+  out << text;
+  return static_cast<bool>(out.flush());
+}
+
+}  // namespace
+
+hot_restart_file::hot_restart_file(const config& settings)
+    : path_(lifecycle::mark_path(temporary_folder(), settings.name, settings.listen.host,
+                                 settings.listen.port)),
+      self_{static_cast<std::uint64_t>(::getpid()), net::unix_ms()} {}
+
+void hot_restart_file::write_once() {
+  if (std::exchange(written_, true)) return;
+  // Renamed into place, so that a reader never sees half a mark.
+  const std::string temporary_path = path_ + "." + std::to_string(self_.process_id);
+  if (!write_file(temporary_path, lifecycle::format_mark(self_))) {
+    telemetry::log("handover", "no mark written to %s", temporary_path.c_str());
+    return;
+  }
+  if (std::rename(temporary_path.c_str(), path_.c_str()) != 0) {
+    telemetry::log("handover", "no mark at %s", path_.c_str());
+    std::remove(temporary_path.c_str());
+  }
+}
+
+bool hot_restart_file::successor_took_over() const {
+  std::ifstream in(path_);
+  std::ostringstream text;
+  text << in.rdbuf();
+  const std::optional<lifecycle::hot_restart_mark> mark = lifecycle::parse_mark(text.str());
+  return lifecycle::successor_took_over(self_, mark) && is_alive(mark->process_id);
+}
+
+}  // namespace marblewharf::server
--- /dev/null
+++ b/src/server/node_admin_handler.cpp
@@ -0,0 +1,54 @@
+#include "server/node_admin_handler.hpp"
+
+#include "admin/statistics.hpp"
+#include "net/reactor.hpp"
+
+namespace marblewharf::server {
+
+node_admin_handler::node_admin_handler(const admin_sources& sources, lifecycle::drain_state& drain_state)
+    : sources_(sources), drain_state_(drain_state) {
+  for (const auto& request_class : sources_.settings.settings.classes)
+    class_names_.push_back(request_class.name);
+}
+
+bool node_admin_handler::ready() {
+  return sources_.runtime_link.up() && !sources_.thrift_server.leaving();
+}
+
+std::string node_admin_handler::statistics() {
+  std::string lines =
+      admin::render_statistics(sources_.counters, class_names_, sources_.requests.unanswered());
+  if (sources_.cluster_agent) lines += sources_.cluster_agent->show_figures();
+  if (sources_.fan_out_client) lines += sources_.fan_out_client->figures();
+  if (sources_.transaction_coordinator) lines += sources_.transaction_coordinator->figures();
+  if (sources_.quota_client) lines += sources_.quota_client->show_figures();
+  if (sources_.jobs) lines += sources_.jobs->render_statistics(net::steady_now());
+  return lines;
+}
+
+std::string node_admin_handler::drain() {
+  if (drain_state_.drain(net::steady_now())) telemetry::log("console", "drain: health checks answer bad");
+  return "draining";
+}
+
+std::string node_admin_handler::resume() {
+  if (drain_state_.resume(net::steady_now())) telemetry::log("console", "resume: health checks answer good");
+  return "serving";
+}
+
+std::optional<std::string> node_admin_handler::members() {
+  if (!sources_.cluster_agent) return std::nullopt;
+  return sources_.cluster_agent->show_members();
+}
+
+std::optional<std::string> node_admin_handler::zones() {
+  if (!sources_.cluster_agent) return std::nullopt;
+  return sources_.cluster_agent->show_zones();
+}
+
+std::optional<std::string> node_admin_handler::budgets() {
+  if (!sources_.quota_client) return std::nullopt;
+  return sources_.quota_client->show_budgets();
+}
+
+}  // namespace marblewharf::server
--- /dev/null
+++ b/src/server/price_node.hpp
@@ -0,0 +1,105 @@
+// One price node: all of its parts, and the reactor that drives them.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <optional>
+#include <vector>
+
+#include "admin/console_server.hpp"
+#include "cluster/agent.hpp"
+#include "cluster/quota_client.hpp"
+#include "config/config.hpp"
+#include "core/dispatcher.hpp"
+#include "fan_out/client.hpp"
+#include "idempotency/memory_service.hpp"
+#include "lifecycle/drain_state.hpp"
+#include "net/event_loop_wakeup.hpp"
+#include "net/reactor.hpp"
+#include "net/traffic_observer.hpp"
+#include "registry/registry_client.hpp"
+#include "runtime/link.hpp"
+#include "server/background_jobs.hpp"
+#include "server/durable_idempotency.hpp"
+#include "server/hot_restart_file.hpp"
+#include "server/node_admin_handler.hpp"
+#include "server/shutdown_sequence.hpp"
+#include "store/file_system.hpp"
+#include "telemetry/telemetry.hpp"
+#include "thrift/front.hpp"
+#include "transaction/coordinator.hpp"
+#include "uwsgi/client.hpp"
+#include "uwsgi/front.hpp"
+
+namespace marblewharf::server {
+
+// Everything but the disk and background work runs on the thread that calls run(). Optional parts are empty
+// where the settings do not name them; a node with none of the operator's own settings has none of them.
+class price_node {
+ public:
+  // Opens folders and listening addresses. `settings` and `traffic_observer` (null: none) outlive the node.
+  // Throws what keeps the node from starting.
+  price_node(const config& settings, net::traffic_observer* traffic_observer);
+  price_node(const price_node&) = delete;
+  price_node& operator=(const price_node&) = delete;
+
+  // Serves until the graceful shutdown that a shutdown notice begins is complete, then logs the counters.
+  void run();
+
+ private:
+  // Construction of the optional parts, in the order in which the constructor calls them.
+  void start_cluster_agent();
+  void start_console();
+  void start_uwsgi();
+  backend& make_uwsgi_backend();
+  void start_quota_client();
+  void start_background_jobs();
+  std::function<void()> wake_reactor();
+
+  // One round of the reactor, and its steps in their order; returns when the next round is due.
+  time_point step();
+  void handle_signals(time_point now);
+  std::vector<double> read_gauges(time_point now) const;
+  void step_idempotency(time_point now);
+  time_point step_cluster(time_point now);
+  void update_routes();
+  void maintain_transaction_tables(time_point now);
+  void step_background_jobs(time_point now, const std::vector<double>& gauges);
+  time_point step_connections(time_point now);
+
+  // Members are constructed in this order and destroyed in the reverse one: parts come after those they use.
+  const config& config_;
+  telemetry::counters counters_;
+  net::reactor reactor_;
+  dispatcher dispatcher_;
+  std::unique_ptr<net::event_loop_wakeup> wakeup_;  // null: no part has a thread of its own
+  const std::shared_ptr<store::posix_file_system> file_system_;
+  const std::unique_ptr<durable_idempotency> durable_idempotency_;
+  const std::unique_ptr<idempotency::memory_service> memory_idempotency_;
+  runtime::link runtime_link_;
+  registry::registry_client registry_client_;
+  thrift::server thrift_server_;
+  lifecycle::drain_state drain_state_;
+  std::optional<cluster::agent> cluster_agent_;
+  std::optional<uwsgi::client> uwsgi_client_;
+  std::optional<fan_out::client> fan_out_client_;
+  std::optional<transaction::coordinator> transaction_coordinator_;
+  std::optional<cluster::quota_client> quota_client_;
+  std::optional<background_jobs> background_jobs_;
+  node_admin_handler admin_handler_;
+  std::optional<admin::console_server> console_;
+  std::optional<uwsgi::server> uwsgi_server_;
+  shutdown_sequence shutdown_;
+  std::optional<hot_restart_file> hot_restart_file_;
+
+  std::optional<std::size_t> cores_busy_gauge_;  // index of the gauge that tells how busy the cores are
+  std::uint64_t routed_changes_ = no_changes_routed;
+  bool tables_maintained_ = false;  // the coordinator's tables are, by background jobs
+
+  // Changes of the cluster's view that the upstream routes follow; none yet.
+  static constexpr std::uint64_t no_changes_routed = ~std::uint64_t{0};
+};
+
+}  // namespace marblewharf::server
--- a/src/server/signals.cpp
+++ b/src/server/signals.cpp
@@ -6,44 +6,44 @@
 namespace marblewharf::server {
 namespace {
 
-volatile std::sig_atomic_t leave_noted = 0;
-volatile std::sig_atomic_t counters_noted = 0;
-volatile std::sig_atomic_t reload_noted = 0;
-
-void on_signal(int which) {
-  if (which == SIGUSR1) {
-    counters_noted = 1;
-  } else if (which == SIGHUP) {
-    reload_noted = 1;
+volatile std::sig_atomic_t shutdown_pending = 0;
+volatile std::sig_atomic_t counters_pending = 0;
+volatile std::sig_atomic_t reload_pending = 0;
+
+void on_signal(int signal_number) {
+  if (signal_number == SIGUSR1) {
+    counters_pending = 1;
+  } else if (signal_number == SIGHUP) {
+    reload_pending = 1;
   } else {
-    leave_noted = 1;
+    shutdown_pending = 1;
   }
 }
 
-// Taken back before the request is carried out: a signal that comes meanwhile is a new request.
-bool take(volatile std::sig_atomic_t& noted) {
-  if (noted == 0) return false;
-  noted = 0;
+// Cleared before the request is carried out: a signal that comes meanwhile is a new request.
+bool consume(volatile std::sig_atomic_t& pending) {
+  if (pending == 0) return false;
+  pending = 0;
   return true;
 }
 
 }  // namespace
 
-void catch_signals() {
+void install_signal_handlers() {
   std::signal(SIGPIPE, SIG_IGN);
-  for (const int heeded : {SIGTERM, SIGINT, SIGUSR1, SIGHUP}) std::signal(heeded, on_signal);
+  for (const int signal_number : {SIGTERM, SIGINT, SIGUSR1, SIGHUP}) std::signal(signal_number, on_signal);
 }
 
-bool told_to_leave() {
-  return leave_noted != 0;
+bool shutdown_requested() {
+  return shutdown_pending != 0;
 }
 
-bool take_reload_request() {
-  return take(reload_noted);
+bool consume_reload_request() {
+  return consume(reload_pending);
 }
 
-bool take_counters_request() {
-  return take(counters_noted);
+bool consume_counters_request() {
+  return consume(counters_pending);
 }
 
 }  // namespace marblewharf::server
--- a/tests/lifecycle/units_test.cpp
+++ b/tests/lifecycle/units_test.cpp
@@ -18,7 +18,7 @@
   lifecycle::drain_state d;
   CHECK(d.healthy(true) && !d.healthy(false));
   CHECK(!d.resume(1s));  // resume without a drain changes nothing
-  CHECK(d.where() == lifecycle::drain_state::stage::serving && d.since() == 0s);
+  CHECK(d.current() == lifecycle::drain_state::state::serving && d.since() == 0s);
   CHECK(d.drain(2s) && !d.healthy(true));
   CHECK(!d.drain(3s) && d.since() == 2s);  // twice: the first time stays
   CHECK(d.resume(4s) && d.healthy(true) && d.since() == 4s);
@@ -52,13 +52,13 @@
 
 void handover_marks() {
   const lifecycle::hot_restart_mark old{100, 1'000'000}, successor{200, 1'003'500};
-  CHECK(lifecycle::read_mark(lifecycle::write_mark(successor)) == successor);
-  const std::string whole = lifecycle::write_mark(successor);
-  for (std::size_t cut = 0; cut < whole.size(); ++cut) CHECK(!lifecycle::read_mark(whole.substr(0, cut)));
+  CHECK(lifecycle::parse_mark(lifecycle::format_mark(successor)) == successor);
+  const std::string whole = lifecycle::format_mark(successor);
+  for (std::size_t cut = 0; cut < whole.size(); ++cut) CHECK(!lifecycle::parse_mark(whole.substr(0, cut)));
   for (const char* bad :
        {"marblewharf ready 1 2", "marblewharf ready x 2\n", "marblewharf ready 1\n", "marblewharf ready  2\n",
         "marblewharf ready 1 \n", "marblewharf ready 1 2 3\n", "marblewharf ready -1 2\n", "other 1 2\n"})
-    CHECK(!lifecycle::read_mark(bad));
+    CHECK(!lifecycle::parse_mark(bad));
   CHECK(lifecycle::successor_took_over(old, successor));
   CHECK(!lifecycle::successor_took_over(old, std::nullopt));
   CHECK(!lifecycle::successor_took_over(old, old));        // its own mark
@@ -73,21 +73,22 @@
 void graceful_shutdown() {
   limits bounds;
   bounds.stop = 3200ms;
-  const lifecycle::graceful_shutdown::progress standing{}, ended{.empty = false, .ended = true},
-      empty{.empty = true, .ended = true};
+  const lifecycle::connection_progress open{}, ended{.all_closed = false, .all_ended = true},
+      closed{.all_closed = true, .all_ended = true};
   lifecycle::graceful_shutdown alone(10s, false, bounds);
-  CHECK(!alone.asks_callers_to_go(12s) && !alone.is_over(12s, empty));  // still serving
-  CHECK(alone.asks_callers_to_go(12600ms) && alone.is_over(12600ms, empty));
-  CHECK(!alone.ends_connections(12900ms) && !alone.is_over(12900ms, ended));
-  CHECK(alone.ends_connections(12950ms) &&
-        !alone.is_over(12950ms, ended));  // callers may see the end and close
-  CHECK(alone.is_over(13050ms, ended) && !alone.is_over(13050ms, standing));
-  CHECK(alone.is_over(13100ms, standing));  // the kill is near
+  CHECK(!alone.drains_connections(12s) && !alone.is_complete(12s, closed));  // still serving
+  CHECK(alone.drains_connections(12600ms) && alone.is_complete(12600ms, closed));
+  CHECK(!alone.closes_connections(12900ms) && !alone.is_complete(12900ms, ended));
+  CHECK(alone.closes_connections(12950ms) &&
+        !alone.is_complete(12950ms, ended));  // callers may see the end and close
+  CHECK(alone.is_complete(13050ms, ended) && !alone.is_complete(13050ms, open));
+  CHECK(alone.is_complete(13100ms, open));  // the kill is near
   lifecycle::graceful_shutdown replaced(10s, true, bounds);
-  CHECK(replaced.asks_callers_to_go(10s) && replaced.is_over(10s, empty) && !replaced.is_over(10s, ended));
+  CHECK(replaced.drains_connections(10s) && replaced.is_complete(10s, closed) &&
+        !replaced.is_complete(10s, ended));
   lifecycle::graceful_shutdown late(10s, false, bounds);  // stood still until after the kill was due
-  CHECK(late.asks_callers_to_go(14s) && late.ends_connections(14s));
-  CHECK(!late.is_over(14s, standing) && late.is_over(14010ms, ended) && late.is_over(14050ms, standing));
+  CHECK(late.drains_connections(14s) && late.closes_connections(14s));
+  CHECK(!late.is_complete(14s, open) && late.is_complete(14010ms, ended) && late.is_complete(14050ms, open));
 }
 
 }  // namespace
