--- a/src/store/tables.cpp
+++ b/src/store/tables.cpp
@@ -578,8 +578,7 @@
     std::string to = folder;
     to += '/';
     to += name;
-    if (log::number_of(name) || name.ends_with(".seg.aged"))
-      copy(fs, from, fs.size_of(from), to);
+    if (log::number_of(name) || name.ends_with(".seg.aged")) copy(fs, from, fs.size_of(from), to);
   }
   fs.sync_folder(folder);
   if (inspect_tables(fs, folder, now).log.records != before.log.records)
--- a/tests/idempotency/store_test.cpp
+++ b/tests/idempotency/store_test.cpp
@@ -476,7 +476,8 @@
   }
   table.set_disk({true, 250, 4'000'000'000});
   const key_claim filled = table.claim({3, 3}, 5, 3, 10s, 0);
-  CHECK(filled.status == claim_status::no_capacity && filled.retry_after == 4s);  // when the next segment goes
+  CHECK(filled.status == claim_status::no_capacity &&
+        filled.retry_after == 4s);  // when the next segment goes
   table.set_disk({true, 5000, 0});
   CHECK(table.claim({3, 3}, 5, 3, 10s, 0).status == claim_status::primary);
   CHECK(table.claim({4, 4}, 5, 4, 10s, 0).status == claim_status::no_capacity);  // three entries are known
--- a/tests/quota/wire_test.cpp
+++ b/tests/quota/wire_test.cpp
@@ -1,10 +1,11 @@
 // Quota messages as datagrams (ctest -L quota).
+#include "membership/wire.hpp"
+
 #include <cmath>
 #include <cstdio>
 #include <limits>
 
 #include "../check.hpp"
-#include "membership/wire.hpp"
 #include "quota/wire.hpp"
 
 using namespace marblewharf::quota;
