--- a/tests/admission_policy/golden_scenarios.cpp
+++ b/tests/admission_policy/golden_scenarios.cpp
@@ -136,6 +136,13 @@
   settings only_with_calls = with_calls(base, 2);
   for (class_settings& one : only_with_calls.classes) one.weight_without_call = 0;
 
+  settings only_keyed = base;
+  only_keyed.classes = {base.classes[1]};
+  settings jammed = with_calls(base, 12);
+  jammed.cores = 4;
+  jammed.memory_kb = 0;
+  jammed.concurrency_ceiling_per_core = 12;
+
   std::vector<golden_scenario> all = {
       {"plain", one_class, {}, {1, 2}},
       {"expected_work", base, {.states_work = true}, {1, 2}},
@@ -152,8 +159,22 @@
       {"tight_memory", tight_memory, {}, {1, 2}},
       {"large_requests", tight_memory, {.most_kb = 400, .burst = 3}, {1, 2}},
       {"many_callers", base, {.callers = 5000}, {1, 2}},
-      {"hanging_runs", patient, {.steps = 4000, .hangs = true}, {1, 2}},
+      {"hanging_runs", patient, {.steps = 4000, .overload_slowdown = 100}, {1, 2}},
       {"required_calls", only_with_calls, {.work_ms = 20, .slow_dependency = true}, {1, 2}},
+      {"unlinked_duplicates",
+       only_keyed,
+       {.steps = 4000, .marks_retries = true, .slow_reads = true, .slow_reads_one_in = 2},
+       {1, 2}},
+      {"read_delays",
+       with_signal(base, signal_kind::level),
+       {.steps = 4000, .work_ms = 10, .slow_reads = true, .slow_reads_one_in = 20, .slow_read_most_ms = 280},
+       {1, 2}},
+      {"returning_callers", base, {.steps = 4000, .callers = 700}, {1, 2}},
+      {"slowed_runs", with_tenants(base), {.steps = 4000, .overload_slowdown = 2}, {1, 2}},
+      {"jammed_dependency",
+       jammed,
+       {.steps = 6000, .arrival_gap_us = 6000, .work_ms = 8, .slow_dependency = true},
+       {1, 2}},
       {"many_cores", many_cores, {.arrival_gap_us = 3000}, {1, 2}},
       {"rate_quotas", with_tenants(base), {.updates_quota = true}, {1, 2}},
       {"signal_level", with_signal(base, signal_kind::level), {}, {1}},
--- a/tests/admission_policy/simulated_host.cpp
+++ b/tests/admission_policy/simulated_host.cpp
@@ -141,7 +141,8 @@
   attempt.rank = below(100) / 100.0;
   attempt.write = below(3) == 0;
   attempt.read_delay = settings_.tick * below(4);
-  if (profile_.slow_reads && below(12) == 0) attempt.read_delay = 1ms * below(1500);
+  if (profile_.slow_reads && below(profile_.slow_reads_one_in) == 0)
+    attempt.read_delay = 1ms * below(profile_.slow_read_most_ms);
   if (profile_.states_work && below(10) != 0) attempt.expected_work = 1ms * (1 + below(2 * profile_.work_ms));
   if (profile_.states_timeout && below(3) != 0) attempt.client_timeout = 1ms * (50 + below(4000));
   if (below(5) == 0) mark_duplicate(attempt);
@@ -241,7 +242,7 @@
 void simulated_host::start_slice(live_request& request) {
   request.where = stage::running;
   const unsigned sharing_cores = std::max(settings_.cores, running());
-  const unsigned slowdown = profile_.hangs && overloaded() ? 100 : 1;
+  const unsigned slowdown = overloaded() ? profile_.overload_slowdown : 1;
   plan_for(request, request.slice * sharing_cores * slowdown / settings_.cores, entry_kind::slice_end);
 }
 
@@ -310,7 +311,8 @@
   request.where = stage::in_call;
   ++calls_in_flight_;
   duration takes = 1ms * (5 + below(40));
-  if (profile_.slow_dependency && overloaded()) takes = takes * (1 + calls_in_flight_);
+  if (profile_.slow_dependency && overloaded())
+    takes = takes * (1 + calls_in_flight_) / profile_.calls_at_full_speed;
   if (limit > 0ns && takes > limit) {
     plan_for(request, limit, entry_kind::call_end, outcome::timeout);
     return;
--- a/tests/admission_policy/simulated_host.hpp
+++ b/tests/admission_policy/simulated_host.hpp
@@ -23,15 +23,18 @@
   unsigned most_kb = 33;           // the largest memory that a request reserves
   unsigned burst = 1;              // first attempts that come at once
   unsigned cancels_one_in = 25;    // one in so many requests is cancelled by its client
-  bool hangs = false;              // in overload phases runs take a hundred times as long
+  unsigned overload_slowdown = 1;  // in overload phases runs take this many times as long
   bool states_work = false;        // arrivals carry their expected work
   bool states_timeout = false;     // arrivals carry their client's timeout
   bool marks_retries = false;      // retries carry their mark
-  bool slow_reads = false;         // some arrivals have waited long to be read
-  bool updates_quota = false;      // quota updates come every few hundred milliseconds
-  bool stalls = false;             // now and then nothing is handed over for a while
-  bool slow_dependency = false;    // calls take longer the more of them are in flight
-  duration shutdown_after{};       // 0 = no shutdown notice
+  bool slow_reads = false;         // some arrivals have waited long to be read:
+  unsigned slow_reads_one_in = 12;
+  unsigned slow_read_most_ms = 1500;
+  bool updates_quota = false;    // quota updates come every few hundred milliseconds
+  bool stalls = false;           // now and then nothing is handed over for a while
+  bool slow_dependency = false;  // calls take longer the more of them are in flight:
+  unsigned calls_at_full_speed = 1;
+  duration shutdown_after{};  // 0 = no shutdown notice
 };
 
 // Drives a policy with `given` settings; the same seed gives the same events on every platform.
