--- a/include/marblewharf/gathering.hpp
+++ b/include/marblewharf/gathering.hpp
@@ -85,7 +85,7 @@
  public:
   // Throws std::invalid_argument for a plan that could not be kept: unknown names, a source twice in one
   // chain of fallbacks, budgets that do not fit the latency objective `aim`.
-  gathering(std::vector<source> sources, std::vector<part_of> parts, std::chrono::nanoseconds aim,
+  gathering(std::vector<source> sources, const std::vector<part_of>& parts, std::chrono::nanoseconds aim,
             std::size_t cache_bytes = std::size_t{1} << 20, std::uint64_t seed = 0);
   // Waits for calls that still run.
   ~gathering();
--- a/include/marblewharf/middleware.hpp
+++ b/include/marblewharf/middleware.hpp
@@ -65,9 +65,9 @@
  public:
   // The server's threads wait in the gate, so it needs more of them than handlers are to run at once. Throws
   // std::invalid_argument, naming the setting, when the settings cannot be used.
-  explicit gate(admission_policy::settings settings, std::uint64_t seed = 0);
+  explicit gate(const admission_policy::settings& settings, std::uint64_t seed = 0);
   // Reads the folder first: throws std::runtime_error, naming file and reason, where it cannot be used.
-  gate(admission_policy::settings settings, keyed_settings keys, std::uint64_t seed = 0);
+  gate(const admission_policy::settings& settings, keyed_settings keys, std::uint64_t seed = 0);
   ~gate();
   gate(const gate&) = delete;
   gate& operator=(const gate&) = delete;
--- a/src/core/admission.cpp
+++ b/src/core/admission.cpp
@@ -29,7 +29,8 @@
 
 }  // namespace
 
-admission::admission(admission_policy::settings settings, std::uint64_t seed, time_point server_started)
+admission::admission(const admission_policy::settings& settings, std::uint64_t seed,
+                     time_point server_started)
     : policy_(settings, seed, server_started),
       class_writes_(class_writes_of(settings)),
       due_(time_point::max()) {
--- a/src/core/admission.hpp
+++ b/src/core/admission.hpp
@@ -17,7 +17,7 @@
  public:
   // `server_started`: when the server behind this node started; in the past for one that has been up for a
   // while. Throws std::invalid_argument, naming the setting, when the settings cannot be used.
-  admission(admission_policy::settings settings, std::uint64_t seed, time_point server_started);
+  admission(const admission_policy::settings& settings, std::uint64_t seed, time_point server_started);
 
   // The policy sees facts at the next tick(), in the order in which they were reported.
   void report(const arrived& fact);
--- a/src/core/request_table.cpp
+++ b/src/core/request_table.cpp
@@ -48,7 +48,7 @@
   return last_id_;
 }
 
-request_entry& request_table::add(front& from, backend& to, request details) {
+request_entry& request_table::add(front& from, backend& to, request&& details) {
   const request_id id = next_id();
   const auto [added, is_new] = entries_.try_emplace(id, id, from, to, std::move(details));
   return added->second;
--- a/src/core/request_table.hpp
+++ b/src/core/request_table.hpp
@@ -61,7 +61,7 @@
   request_table(std::size_t request_classes, telemetry::counters& counters);
 
   // Entries keep their address until they are removed.
-  request_entry& add(front& from, backend& to, request details);
+  request_entry& add(front& from, backend& to, request&& details);
   request_entry* find(request_id id);  // null: no such request
   void remove(request_id id) { entries_.erase(id); }
 
--- a/src/middleware/exchange.cpp
+++ b/src/middleware/exchange.cpp
@@ -44,10 +44,10 @@
   return body_;
 }
 
-void captured_response::sendFile(const std::string& path, const std::string& mediaType) {
+void captured_response::sendFile(const std::string& path, const std::string& media_type) {
   std::ifstream file(path, std::ios::binary);
   if (!file) throw Poco::OpenFileException(path);
-  setContentType(mediaType);
+  setContentType(media_type);
   send() << file.rdbuf();
 }
 
--- a/src/middleware/exchange.hpp
+++ b/src/middleware/exchange.hpp
@@ -39,7 +39,7 @@
  public:
   void sendContinue() override {}  // the body was read before the handler began
   std::ostream& send() override;
-  void sendFile(const std::string& path, const std::string& mediaType) override;
+  void sendFile(const std::string& path, const std::string& media_type) override;
   void sendBuffer(const void* buffer, std::size_t length) override;
   void redirect(const std::string& uri, HTTPStatus status = HTTP_FOUND) override;
   void requireAuthentication(const std::string& realm) override;
--- a/src/middleware/gate.cpp
+++ b/src/middleware/gate.cpp
@@ -66,7 +66,7 @@
 
 }  // namespace
 
-gate_impl::gate_impl(admission_policy::settings settings, std::optional<keyed_settings> keys,
+gate_impl::gate_impl(const admission_policy::settings& settings, std::optional<keyed_settings> keys,
                      std::uint64_t seed)
     : cores_(settings.cores),
       gauges_(settings.gauges),
--- a/src/middleware/gate.hpp
+++ b/src/middleware/gate.hpp
@@ -46,7 +46,8 @@
 class gate_impl : private front, private backend {
  public:
   // Throws std::invalid_argument for settings, std::runtime_error for a folder that cannot be used.
-  gate_impl(admission_policy::settings settings, std::optional<keyed_settings> keys, std::uint64_t seed);
+  gate_impl(const admission_policy::settings& settings, std::optional<keyed_settings> keys,
+            std::uint64_t seed);
   ~gate_impl() override;
 
   // The settings of a class whose requests have keys; null: they have none.
--- a/src/middleware/gathering.cpp
+++ b/src/middleware/gathering.cpp
@@ -9,231 +9,214 @@
 #include <utility>
 
 #include "fan_out/state_machine.hpp"
+#include "middleware/gathering_plan.hpp"
 
 namespace marblewharf::middleware {
 namespace {
 
+constexpr duration min_timer_wait = std::chrono::microseconds(100);
+constexpr duration max_timer_wait = std::chrono::milliseconds(100);
+
 time_point steady_now() {
   return std::chrono::steady_clock::now().time_since_epoch();
 }
 
-std::size_t find_source(const std::vector<source>& all, const std::string& name) {
-  const auto at = std::find_if(all.begin(), all.end(), [&](const source& s) { return s.name == name; });
-  if (at == all.end()) throw std::invalid_argument("no source: " + name);
-  return static_cast<std::size_t>(at - all.begin());
-}
-
-std::vector<marblewharf::upstream::dependency_rules> rules_of(const std::vector<source>& all) {
-  std::vector<marblewharf::upstream::dependency_rules> rules;
-  for (const source& s : all) {
-    if (s.endpoints.empty()) throw std::invalid_argument("no endpoint: " + s.name);
-    if (s.threads == 0) throw std::invalid_argument("no thread: " + s.name);
-    marblewharf::upstream::dependency_rules r;
-    r.name = s.name;
-    r.endpoints = s.endpoints.size();
-    r.budget = s.budget;
-    r.tries = s.tries;
-    r.hedge_share = s.hedge_share;
-    if (s.hedge_share <= 0) r.hedge_quantile = 0;
-    r.most_in_flight = s.threads;
-    if (!s.where.empty() && s.where.size() != s.endpoints.size())
-      throw std::invalid_argument("where does not name as many as endpoints: " + s.name);
-    static_assert(static_cast<int>(nearness::elsewhere) == static_cast<int>(failover::level::rest));
-    for (const nearness n : s.where) r.near.where.push_back(static_cast<failover::level>(n));
-    r.near.rules = {s.near.overprovisioning, s.near.panic_threshold, s.near.most_each};
-    rules.push_back(std::move(r));
-  }
-  return rules;
-}
-
-std::vector<marblewharf::upstream::request_plan> plan_of(const std::vector<source>& sources,
-                                                         const std::vector<part_of>& parts, duration aim) {
-  marblewharf::upstream::request_plan p;
-  p.latency_objective = aim;
-  p.reserve = {};
-  for (const part_of& part : parts) {
-    marblewharf::upstream::part_plan one{part.name, find_source(sources, part.source), part.required, {}};
-    for (const stand_in_for& s : part.stand_ins) {
-      if (!s.source.empty())
-        one.stand_ins.push_back(
-            {marblewharf::upstream::fallback::kind::dependency, find_source(sources, s.source), {}, {}});
-      else if (s.oldest.count() > 0)
-        one.stand_ins.push_back({marblewharf::upstream::fallback::kind::stale, 0, s.oldest, {}});
-      else
-        one.stand_ins.push_back({marblewharf::upstream::fallback::kind::fixed, 0, {}, s.fixed});
-    }
-    p.parts.push_back(std::move(one));
-  }
-  try {
-    marblewharf::upstream::check_plans({p}, rules_of(sources));
-  } catch (const marblewharf::upstream::bad_plan& e) {
-    const std::string at = e.part_at < 0 ? "" : parts[static_cast<std::size_t>(e.part_at)].name + " ";
-    throw std::invalid_argument("part " + at + e.what());
+part_state state_of(fan_out::part_is how) {
+  switch (how) {
+    case fan_out::part_is::fresh: return part_state::fresh;
+    case fan_out::part_is::stale: return part_state::stale;
+    case fan_out::part_is::stand_in: return part_state::stand_in;
+    case fan_out::part_is::missing: break;
   }
-  return {p};
+  return part_state::missing;
 }
 
 }  // namespace
 
-// The conductor under a lock; a thread that lets time pass for it; for each source threads of its own, so
-// that one that hangs takes none of the others'.
+// The fan-out state machine under a lock. Each source has worker threads of its own, so that one that hangs
+// blocks none of the others; one more thread drives the timers.
 class gathering::impl {
  public:
-  impl(std::vector<source> sources, const std::vector<part_of>& parts, duration aim, std::size_t cache,
-       std::uint64_t seed)
+  impl(std::vector<source> sources, const std::vector<part_of>& parts, duration latency_objective,
+       std::size_t cache_bytes, std::uint64_t seed)
       : sources_(std::move(sources)),
-        state_machine_(plan_of(sources_, parts, aim), rules_of(sources_), cache, seed),
+        state_machine_(detail::plans_of(sources_, parts, latency_objective), detail::rules_of(sources_),
+                       cache_bytes, seed),
         pools_(sources_.size()) {
     for (std::size_t i = 0; i < sources_.size(); ++i) {
       for (unsigned n = 0; n < sources_[i].threads; ++n) threads_.emplace_back([this, i] { work(i); });
     }
-    threads_.emplace_back([this] { let_time_pass(); });
+    threads_.emplace_back([this] { drive_timers(); });
   }
+
   ~impl() {
     {
-      const std::lock_guard lock(guard_);
+      const std::lock_guard lock(mutex_);
       stopping_ = true;
-      for (auto& [id, flag] : flags_) *flag = true;
+      for (auto& [id, cancelled] : cancel_flags_) *cancelled = true;
     }
     changed_.notify_all();
-    for (std::thread& t : threads_) t.join();
+    for (std::thread& each : threads_) each.join();
   }
 
   gathered gather(std::uint64_t subject, duration within) {
-    std::unique_lock lock(guard_);
-    do {
-      ++last_id_;
-    } while (last_id_ == 0 || waiting_.contains(last_id_));
-    const fan_out::gathering_id id = last_id_;
-    waiter w;
-    waiting_.emplace(id, &w);
+    std::unique_lock lock(mutex_);
+    const fan_out::gathering_id id = next_id();
+    pending_gathering pending;
+    pending_.emplace(id, &pending);
     const time_point now = steady_now();
     state_machine_.begin(id, 0, subject, now + within, now);
-    apply();
+    apply_actions();
     changed_.notify_all();
-    changed_.wait(lock, [&w] { return w.done; });
-    waiting_.erase(id);
-    return std::move(w.result);
+    changed_.wait(lock, [&pending] { return pending.done; });
+    pending_.erase(id);
+    return std::move(pending.result);
   }
 
   void set_reachable(const std::string& name, std::size_t endpoint, bool reachable) {
-    const std::lock_guard lock(guard_);
-    const std::size_t at = find_source(sources_, name);
-    if (endpoint >= sources_[at].where.size())
+    const std::lock_guard lock(mutex_);
+    const std::size_t which = detail::find_source(sources_, name);
+    if (endpoint >= sources_[which].where.size())
       throw std::invalid_argument("no place of an endpoint: " + name);
-    state_machine_.set_reachable(at, endpoint, reachable);
+    state_machine_.set_reachable(which, endpoint, reachable);
   }
 
  private:
-  struct waiter {
+  using cancel_flag = std::shared_ptr<std::atomic<bool>>;
+
+  struct pending_gathering {
     bool done = false;
     gathered result;
   };
-  struct task {
+  struct call_task {
     fan_out::start_call call;
     time_point until{};
-    std::shared_ptr<std::atomic<bool>> cancelled;
+    cancel_flag cancelled;
   };
-  struct pool {
-    std::deque<task> tasks;
-    unsigned busy = 0;
+  struct worker_pool {
+    std::deque<call_task> tasks;
+    unsigned busy = 0;  // threads in a call
+  };
+  struct call_result {
+    fan_out::call_end end = fan_out::call_end::failed;
+    std::string bytes;
+    duration retry_after{};  // where it ended as not_now
   };
 
-  void apply() {
-    while (auto next = state_machine_.pick()) {
-      if (auto* s = std::get_if<fan_out::start_call>(&*next)) {
-        pool& p = pools_[s->dependency];
-        // Threads may still be in calls that nobody waits for: then this one cannot begin.
-        if (p.busy + p.tasks.size() >= sources_[s->dependency].threads) {
-          state_machine_.on_result(s->id, fan_out::call_end::failed, {}, {}, steady_now());
-          continue;
-        }
-        task t{*s, steady_now() + s->budget, std::make_shared<std::atomic<bool>>(false)};
-        flags_[s->id] = t.cancelled;
-        p.tasks.push_back(std::move(t));
-      } else if (const auto* c = std::get_if<fan_out::cancel_call>(&*next)) {
-        if (const auto at = flags_.find(c->id); at != flags_.end()) *at->second = true;
-      } else if (auto* f = std::get_if<fan_out::finished>(&*next)) {
-        const auto at = waiting_.find(f->id);
-        if (at == waiting_.end()) continue;
-        gathered& g = at->second->result;
-        g.complete = f->complete;
-        g.failed = f->lacks >= 0;
-        for (fan_out::part_result& p : f->parts) {
-          const part_state state = p.how == fan_out::part_is::fresh      ? part_state::fresh
-                                   : p.how == fan_out::part_is::stale    ? part_state::stale
-                                   : p.how == fan_out::part_is::stand_in ? part_state::stand_in
-                                                                         : part_state::missing;
-          g.parts.push_back({state, p.age, std::move(p.bytes)});
-        }
-        at->second->done = true;
-      }
+  // Ids wrap around: 0 is none, and one that is still pending is passed over.
+  fan_out::gathering_id next_id() {
+    do {
+      ++last_id_;
+    } while (last_id_ == 0 || pending_.contains(last_id_));
+    return last_id_;
+  }
+
+  // ---- Actions of the state machine, with the lock held ---------------------------------------------------
+
+  void apply_actions() {
+    while (std::optional<fan_out::action> next = state_machine_.pick())
+      std::visit([this](auto& action) { apply(action); }, *next);
+  }
+
+  // The pool's threads may all be in calls that were cancelled and have not returned: no room for a new one.
+  void apply(const fan_out::start_call& action) {
+    worker_pool& pool = pools_[action.dependency];
+    if (pool.busy + pool.tasks.size() >= sources_[action.dependency].threads) {
+      state_machine_.on_result(action.id, fan_out::call_end::failed, {}, {}, steady_now());
+      return;
     }
+    call_task task{action, steady_now() + action.budget, std::make_shared<std::atomic<bool>>(false)};
+    cancel_flags_[action.id] = task.cancelled;
+    pool.tasks.push_back(std::move(task));
+  }
+
+  void apply(const fan_out::cancel_call& action) {
+    const auto found = cancel_flags_.find(action.id);
+    if (found != cancel_flags_.end()) *found->second = true;
   }
 
+  void apply(fan_out::finished& action) {
+    const auto found = pending_.find(action.id);
+    if (found == pending_.end()) return;
+    gathered& result = found->second->result;
+    result.complete = action.complete;
+    result.failed = action.lacks >= 0;
+    for (fan_out::part_result& each : action.parts)
+      result.parts.push_back({state_of(each.how), each.age, std::move(each.bytes)});
+    found->second->done = true;
+  }
+
+  void apply(const fan_out::notable&) {}  // for the daemon's log
+
+  // ---- Threads --------------------------------------------------------------------------------------------
+
   void work(std::size_t which) {
-    std::unique_lock lock(guard_);
-    pool& mine = pools_[which];
+    std::unique_lock lock(mutex_);
+    worker_pool& pool = pools_[which];
     while (true) {
-      changed_.wait(lock, [&] { return stopping_ || !mine.tasks.empty(); });
+      changed_.wait(lock, [this, &pool] { return stopping_ || !pool.tasks.empty(); });
       if (stopping_) return;
-      const task t = std::move(mine.tasks.front());
-      mine.tasks.pop_front();
-      ++mine.busy;
-      fan_out::call_end how = fan_out::call_end::failed;
-      std::string bytes;
-      duration come_back{};
-      if (!*t.cancelled) {
-        const source_call& call = sources_[which].endpoints[t.call.endpoint];
+      const call_task task = std::move(pool.tasks.front());
+      pool.tasks.pop_front();
+      ++pool.busy;
+      call_result result;
+      if (!*task.cancelled) {
         lock.unlock();
-        try {
-          bytes = call({std::chrono::steady_clock::time_point(t.until), t.cancelled.get()});
-          how = fan_out::call_end::good;
-        } catch (const not_now& e) {
-          how = fan_out::call_end::not_now;
-          come_back = e.after;
-        } catch (...) {  // whatever it is, the call brought nothing
-        }
+        result = make_call(sources_[which].endpoints[task.call.endpoint], task);
         lock.lock();
       }
-      --mine.busy;
-      flags_.erase(t.call.id);
-      state_machine_.on_result(t.call.id, how, std::move(bytes), come_back, steady_now());
-      apply();
+      --pool.busy;
+      cancel_flags_.erase(task.call.id);
+      state_machine_.on_result(task.call.id, result.end, std::move(result.bytes), result.retry_after,
+                               steady_now());
+      apply_actions();
       changed_.notify_all();
     }
   }
 
-  void let_time_pass() {
-    std::unique_lock lock(guard_);
+  // Without the lock.
+  static call_result make_call(const source_call& call, const call_task& task) {
+    call_result result;
+    try {
+      result.bytes = call({std::chrono::steady_clock::time_point(task.until), task.cancelled.get()});
+      result.end = fan_out::call_end::good;
+    } catch (const not_now& advice) {
+      result.end = fan_out::call_end::not_now;
+      result.retry_after = advice.after;
+    } catch (...) {  // any other exception of the embedder's function is a failed call
+      result.end = fan_out::call_end::failed;
+    }
+    return result;
+  }
+
+  void drive_timers() {
+    std::unique_lock lock(mutex_);
     while (!stopping_) {
       const time_point now = steady_now();
       if (state_machine_.due() <= now) {
         state_machine_.step(now);
-        apply();
+        apply_actions();
         changed_.notify_all();
       }
-      const duration wait =
-          std::clamp<duration>(state_machine_.due() - steady_now(), std::chrono::microseconds(100),
-                               std::chrono::milliseconds(100));
-      changed_.wait_for(lock, wait);
+      const duration until_due = state_machine_.due() - steady_now();
+      changed_.wait_for(lock, std::clamp<duration>(until_due, min_timer_wait, max_timer_wait));
     }
   }
 
   const std::vector<source> sources_;
-  std::mutex guard_;
+  std::mutex mutex_;  // guards all below
   std::condition_variable changed_;
   fan_out::state_machine state_machine_;
-  std::vector<pool> pools_;
-  std::unordered_map<fan_out::gathering_id, waiter*> waiting_;
-  std::unordered_map<fan_out::call_id, std::shared_ptr<std::atomic<bool>>> flags_;  // of calls under way
+  std::vector<worker_pool> pools_;                                         // by source
+  std::unordered_map<fan_out::gathering_id, pending_gathering*> pending_;  // owned by the threads that wait
+  std::unordered_map<fan_out::call_id, cancel_flag> cancel_flags_;         // of calls under way
   fan_out::gathering_id last_id_ = 0;
   bool stopping_ = false;
   std::vector<std::thread> threads_;
 };
 
-gathering::gathering(std::vector<source> sources, std::vector<part_of> parts, std::chrono::nanoseconds aim,
-                     std::size_t cache_bytes, std::uint64_t seed)
+gathering::gathering(std::vector<source> sources, const std::vector<part_of>& parts,
+                     std::chrono::nanoseconds aim, std::size_t cache_bytes, std::uint64_t seed)
     : impl_(std::make_unique<impl>(std::move(sources), parts, aim, cache_bytes, seed)) {}
 gathering::~gathering() = default;
 
--- a/src/middleware/middleware.cpp
+++ b/src/middleware/middleware.cpp
@@ -18,10 +18,10 @@
 
 // ---- gate -------------------------------------------------------------------------------------------------
 
-gate::gate(admission_policy::settings settings, std::uint64_t seed)
-    : impl_(std::make_unique<detail::gate_impl>(std::move(settings), std::nullopt, seed)) {}
-gate::gate(admission_policy::settings settings, keyed_settings keys, std::uint64_t seed)
-    : impl_(std::make_unique<detail::gate_impl>(std::move(settings), std::move(keys), seed)) {}
+gate::gate(const admission_policy::settings& settings, std::uint64_t seed)
+    : impl_(std::make_unique<detail::gate_impl>(settings, std::nullopt, seed)) {}
+gate::gate(const admission_policy::settings& settings, keyed_settings keys, std::uint64_t seed)
+    : impl_(std::make_unique<detail::gate_impl>(settings, std::move(keys), seed)) {}
 gate::~gate() = default;
 
 void gate::drain(std::chrono::nanoseconds left) {
