--- a/src/fan_out/client.cpp
+++ b/src/fan_out/client.cpp
@@ -3,7 +3,7 @@
 #include <Poco/Exception.h>
 
 #include <algorithm>
-#include <charconv>
+#include <array>
 #include <utility>
 
 #include "fan_out/response_assembly.hpp"
@@ -15,83 +15,115 @@
 
 namespace {
 
-constexpr duration usual_come_back = std::chrono::seconds(1);  // where it is not said
-constexpr unsigned busy_status = 503, too_many_status = 429;
+constexpr const char* path_var = "PATH_INFO";
 
-std::vector<int> plans_by_class(const config& c) {
-  std::vector<int> by_class(c.settings.classes.size(), -1);
-  for (std::size_t p = 0; p < c.dependencies->plans.size(); ++p) {
-    for (std::size_t i = 0; i < by_class.size(); ++i) {
-      if (c.settings.classes[i].name == c.dependencies->plans[p].request_class)
-        by_class[i] = static_cast<int>(p);
+std::vector<std::optional<std::size_t>> plans_by_class(const config& settings) {
+  const auto& classes = settings.settings.classes;
+  const std::vector<upstream::request_plan>& plans = settings.dependencies->plans;
+  std::vector<std::optional<std::size_t>> by_class(classes.size());
+  for (std::size_t plan = 0; plan < plans.size(); ++plan) {
+    for (std::size_t i = 0; i < classes.size(); ++i) {
+      if (classes[i].name == plans[plan].request_class) by_class[i] = plan;
     }
   }
   return by_class;
 }
 
+// When the sub-responses of a request are wanted at the latest: the plan's reserve is left for the answer to
+// reach the client within the class's objective.
+time_point assembly_deadline(const request& what, const admission_policy::class_settings& request_class,
+                             const upstream::request_plan& plan) {
+  const bool has_objective = request_class.latency_objective.count() > 0;
+  return what.arrived + (has_objective ? request_class.latency_objective : request_class.deadline) -
+         plan.reserve;
+}
+
+struct interpreted_response {
+  call_end end = call_end::failed;
+  duration retry_after{};  // of a rejection
+  std::string bytes;       // of a success
+};
+
+// 2xx: success; 503 and 429: a rejection, with the retry-after that it states; all else: a failure.
+interpreted_response interpret_response(uwsgi::exchange_end end, const uwsgi::response_head* head,
+                               std::string_view response) {
+  constexpr duration default_retry_after = std::chrono::seconds(1);
+  constexpr unsigned first_success_status = 200;
+  constexpr unsigned last_success_status = 299;
+  constexpr unsigned too_many_requests_status = 429;
+  constexpr unsigned unavailable_status = 503;
+  if (end != uwsgi::exchange_end::whole) return {};
+  if (head->status >= first_success_status && head->status <= last_success_status)
+    return {call_end::good, {}, std::string(response.substr(head->size))};
+  if (head->status == unavailable_status || head->status == too_many_requests_status)
+    return {call_end::not_now, head->retry_after ? duration(*head->retry_after) : default_retry_after, {}};
+  return {};
+}
+
 }  // namespace
 
-client::client(net::reactor& r, const config& settings, dispatcher& d, backend& behind)
-    : reactor_(r),
+client::client(net::reactor& reactor, const config& settings, dispatcher& requests, backend& behind)
+    : reactor_(reactor),
       config_(settings),
-      dispatcher_(d),
+      dispatcher_(requests),
       behind_(behind),
       state_machine_(settings.dependencies->plans, settings.dependencies->rules, settings.dependencies->cache,
                      settings.seed),
-      plan_of_(plans_by_class(settings)) {}
+      plan_of_class_(plans_by_class(settings)) {}
 
 client::~client() = default;
 
+// ---- backend ----------------------------------------------------------------------------------------------
+
 void client::run(request_id id, const request& what) {
-  const int plan = plan_of_[what.request_class];
-  if (plan < 0) {
+  const std::optional<std::size_t> plan = plan_of_class_[what.request_class];
+  if (!plan) {
     behind_.run(id, what);
     return;
   }
-  const time_point now = net::steady_now();
-  runs_[id] = {what, static_cast<std::size_t>(plan), now, {}, false};
+  runs_[id] = {what, *plan, net::steady_now(), {}, false};
   dispatcher_.on_call_needed(id);
   reactor_.wake();
 }
 
 void client::place_call(request_id id, duration limit) {
-  const auto at = runs_.find(id);
-  if (at == runs_.end()) return;
+  const auto found = runs_.find(id);
+  if (found == runs_.end()) return;
+  const run_state& run = found->second;
   const time_point now = net::steady_now();
-  const auto& c = config_.settings.classes[at->second.what.request_class];
-  const upstream::request_plan& p = state_machine_.plan_at(at->second.plan);
-  const time_point aim = at->second.what.arrived +
-                         (c.latency_objective.count() > 0 ? c.latency_objective : c.deadline) - p.reserve;
-  begin(id, std::min(now + limit, std::max(now, aim)));
+  const time_point assembly = assembly_deadline(run.what, config_.settings.classes[run.what.request_class],
+                                                state_machine_.plan_at(run.plan));
+  begin_fan_out(id, std::min(now + limit, std::max(now, assembly)));
 }
 
-// The answer goes without calls: its time is over at once, and what needs none stands in.
+// The request goes on without calls: its deadline is now, so that only fallbacks without a call are used.
 void client::skip_call(request_id id) {
-  begin(id, net::steady_now());
+  begin_fan_out(id, net::steady_now());
 }
 
-void client::begin(request_id id, time_point by) {
-  const auto at = runs_.find(id);
-  if (at == runs_.end() || at->second.gathering) return;
+void client::begin_fan_out(request_id id, time_point deadline) {
+  const auto found = runs_.find(id);
+  if (found == runs_.end() || found->second.fan_out_begun) return;
+  run_state& run = found->second;
   const time_point now = net::steady_now();
-  at->second.gathering = true;
-  at->second.called = now;
-  state_machine_.begin(id, at->second.plan, at->second.what.content, by, now);
-  apply();
+  run.fan_out_begun = true;
+  run.fan_out_begun_at = now;
+  state_machine_.begin(id, run.plan, run.what.content, deadline, now);
+  apply_actions();
 }
 
 void client::pause(request_id id) {
-  const auto at = runs_.find(id);
-  if (at == runs_.end()) {
+  const auto found = runs_.find(id);
+  if (found == runs_.end()) {
     behind_.pause(id);
     return;
   }
-  const duration ran = net::steady_now() - at->second.begun;
+  const duration elapsed = net::steady_now() - found->second.begun_at;
   state_machine_.cancel(id, net::steady_now());
-  runs_.erase(at);
-  apply();
+  runs_.erase(found);
+  apply_actions();
   reactor_.wake();
-  dispatcher_.on_end(id, run_end::aborted, {}, ran);
+  dispatcher_.on_end(id, run_end::aborted, {}, elapsed);
 }
 
 void client::resume(request_id id) {
@@ -100,139 +132,154 @@
 
 time_point client::step(time_point now) {
   if (state_machine_.due() <= now) state_machine_.step(now);
-  apply();
+  apply_actions();
   return state_machine_.due();
 }
 
-// What an action leads to may bring more actions: they are carried out in their order.
-void client::apply() {
+// ---- Actions ----------------------------------------------------------------------------------------------
+
+// An action may lead to more actions: they are carried out in their order, by the outermost call.
+void client::apply_actions() {
   if (std::exchange(applying_, true)) return;
   while (const auto next = state_machine_.pick()) {
-    std::visit([this](const auto& a) { apply(a); }, *next);
+    std::visit([this](const auto& wanted) { apply(wanted); }, *next);
   }
   applying_ = false;
 }
 
-void client::apply(const start_call& a) {
-  const auto at = runs_.find(a.gathering);
-  if (at == runs_.end()) return;
-  const dependency_config& d = config_.dependencies->endpoints[a.dependency];
-  const endpoint& to = d.at[a.endpoint];
-  std::string bytes;
-  if (const auto p = uwsgi::next_packet(at->second.what.payload, config_.bounds)) {
-    std::vector<std::pair<std::string, std::string>> vars = p->vars;
-    const std::string& budget = config_.dependencies->budget_var;
-    if (!budget.empty()) {
-      std::erase_if(vars, [&](const auto& v) { return v.first == budget; });
-      vars.emplace_back(budget, std::to_string(a.budget / std::chrono::milliseconds(1)));
-    }
-    if (!d.path.empty()) {
-      std::erase_if(vars, [](const auto& v) { return v.first == "PATH_INFO"; });
-      vars.emplace_back("PATH_INFO", d.path);
-    }
-    bytes = uwsgi::encode_packet(vars, p->body);
-  }
-  const call_id id = a.id;
+// The client's request, with the dependency's path and the call's budget.
+std::string client::encode_call(const request& what, const start_call& start) const {
+  const auto packet = uwsgi::next_packet(what.payload, config_.bounds);
+  if (!packet) return {};
+  std::vector<std::pair<std::string, std::string>> vars = packet->vars;
+  const auto replace_var = [&vars](const std::string& name, std::string value) {
+    std::erase_if(vars, [&](const auto& var) { return var.first == name; });
+    vars.emplace_back(name, std::move(value));
+  };
+  const std::string& budget_var = config_.dependencies->budget_var;
+  if (!budget_var.empty())
+    replace_var(budget_var, std::to_string(start.budget / std::chrono::milliseconds(1)));
+  const std::string& path = config_.dependencies->endpoints[start.dependency].path;
+  if (!path.empty()) replace_var(path_var, path);
+  return uwsgi::encode_packet(vars, packet->body);
+}
+
+void client::apply(const start_call& start) {
+  const auto found = runs_.find(start.gathering);
+  if (found == runs_.end()) return;
+  const dependency_config& dependency = config_.dependencies->endpoints[start.dependency];
+  const call_id id = start.id;
+  const auto on_end = [this, id](uwsgi::exchange_end end, const uwsgi::response_head* head,
+                                 std::string_view response) { on_exchange_ended(id, end, head, response); };
+  std::string bytes = encode_call(found->second.what, start);
   try {
-    calls_[id] = std::make_shared<uwsgi::exchange>(
-        reactor_, config_.bounds, to, std::move(bytes),
-        [this, id](uwsgi::exchange_end how, const uwsgi::response_head* head, std::string_view response) {
-          on_exchanged(id, how, head, response);
-        });
+    calls_[id] = std::make_shared<uwsgi::exchange>(reactor_, config_.bounds, dependency.at[start.endpoint],
+                                                   std::move(bytes), on_end);
   } catch (const Poco::Exception& e) {
-    log("dependency", "%s: no connection: %s", d.name.c_str(), e.displayText().c_str());
+    log("dependency", "%s: no connection: %s", dependency.name.c_str(), e.displayText().c_str());
     calls_.erase(id);
     state_machine_.on_result(id, call_end::failed, {}, {}, net::steady_now());
   }
 }
 
-void client::apply(const cancel_call& a) {
-  const auto at = calls_.find(a.id);
-  if (at == calls_.end()) return;
-  at->second->close();
-  reactor_.retire(std::move(at->second));
-  calls_.erase(at);
-}
-
-void client::on_exchanged(call_id id, uwsgi::exchange_end how, const uwsgi::response_head* head,
-                          std::string_view response) {
-  const auto at = calls_.find(id);
-  if (at == calls_.end()) return;
-  at->second->close();
-  reactor_.retire(std::move(at->second));
-  calls_.erase(at);
-  call_end end = call_end::failed;
-  duration come_back{};
-  std::string bytes;
-  if (how == uwsgi::exchange_end::whole && head->status >= 200 && head->status <= 299) {
-    end = call_end::good;
-    bytes = response.substr(head->size);
-  } else if (how == uwsgi::exchange_end::whole &&
-             (head->status == busy_status || head->status == too_many_status)) {
-    end = call_end::not_now;
-    come_back = head->retry_after ? duration(*head->retry_after) : usual_come_back;
-  }
-  reactor_.wake();
-  state_machine_.on_result(id, end, std::move(bytes), come_back, net::steady_now());
-  apply();
+void client::apply(const cancel_call& cancel) {
+  const auto found = calls_.find(cancel.id);
+  if (found == calls_.end()) return;
+  found->second->close();
+  reactor_.retire(std::move(found->second));
+  calls_.erase(found);
 }
 
-void client::apply(const finished& a) {
-  const auto at = runs_.find(a.id);
-  if (at == runs_.end()) return;
-  const run_state run = std::move(at->second);
-  runs_.erase(at);
+void client::apply(const finished& end) {
+  const auto found = runs_.find(end.id);
+  if (found == runs_.end()) return;
+  const run_state run = std::move(found->second);
+  runs_.erase(found);
   const time_point now = net::steady_now();
-  dispatcher_.on_call_ended(a.id, now - run.called);
+  dispatcher_.on_call_ended(end.id, now - run.fan_out_begun_at);
   reactor_.wake();
-  if (a.lacks >= 0) {
-    dispatcher_.on_end(a.id, run_end::failed, {}, now - run.begun);
-  } else {
-    dispatcher_.on_end(a.id, run_end::succeeded, assemble_response(state_machine_.plan_at(run.plan), a.parts),
-                       now - run.begun);
+  const duration elapsed = now - run.begun_at;
+  if (end.lacks) {
+    dispatcher_.on_end(end.id, run_end::failed, {}, elapsed);
+    return;
   }
+  const std::string response = assemble_response(state_machine_.plan_at(run.plan), end.parts);
+  dispatcher_.on_end(end.id, run_end::succeeded, response, elapsed);
+}
+
+void client::apply(const endpoint_changed& change) {
+  log("dependency", "%s: endpoint %zu %s", config_.dependencies->endpoints[change.dependency].name.c_str(),
+      change.endpoint, change.reason.c_str());
 }
 
-void client::apply(const notable& a) {
-  log("dependency", "%s: %s", config_.dependencies->endpoints[a.dependency].name.c_str(), a.what.c_str());
+void client::on_exchange_ended(call_id id, uwsgi::exchange_end end, const uwsgi::response_head* head,
+                               std::string_view response) {
+  const auto found = calls_.find(id);
+  if (found == calls_.end()) return;
+  found->second->close();
+  reactor_.retire(std::move(found->second));
+  calls_.erase(found);
+  interpreted_response result = interpret_response(end, head, response);
+  reactor_.wake();
+  state_machine_.on_result(id, result.end, std::move(result.bytes), result.retry_after, net::steady_now());
+  apply_actions();
 }
 
+// ---- The cluster's view, figures --------------------------------------------------------------------------
+
 void client::routes_changed(const std::function<bool(const std::string&)>& routable) {
-  for (std::size_t d = 0; d < config_.dependencies->endpoints.size(); ++d) {
-    const std::vector<std::string>& places = config_.dependencies->endpoints[d].places;
-    for (std::size_t e = 0; e < places.size(); ++e) state_machine_.set_reachable(d, e, routable(places[e]));
+  for (std::size_t dependency = 0; dependency < config_.dependencies->endpoints.size(); ++dependency) {
+    const std::vector<std::string>& places = config_.dependencies->endpoints[dependency].places;
+    for (std::size_t i = 0; i < places.size(); ++i)
+      state_machine_.set_reachable(dependency, i, routable(places[i]));
   }
 }
 
 std::string client::figures() const {
-  std::string out;
+  constexpr std::array<const char*, failover::levels> level_names = {"zone", "region", "rest"};
+  std::string lines;
   for (std::size_t i = 0; i < config_.dependencies->endpoints.size(); ++i) {
-    const dependency_config& d = config_.dependencies->endpoints[i];
-    if (d.places.empty()) continue;
-    const auto& at = state_machine_.counts(i).at_level;
-    const char* const names[] = {"zone", "region", "rest"};
-    for (std::size_t l = 0; l < at.size(); ++l)
-      out += "dependency." + d.name + ".calls_" + names[l] + "=" + std::to_string(at[l]) + "\n";
+    const dependency_config& dependency = config_.dependencies->endpoints[i];
+    if (dependency.places.empty()) continue;
+    const auto& at_level = state_machine_.counts(i).at_level;
+    for (std::size_t level = 0; level < at_level.size(); ++level)
+      lines += "dependency." + dependency.name + ".calls_" + level_names[level] + "=" +
+               std::to_string(at_level[level]) + "\n";
   }
-  return out;
+  return lines;
 }
 
 void client::print() const {
   for (std::size_t i = 0; i < config_.dependencies->endpoints.size(); ++i) {
     const dependency_counts& n = state_machine_.counts(i);
-    const auto count = [](std::uint64_t v) { return static_cast<unsigned long long>(v); };
-    log("dependencies",
-        "%s calls=%llu retries=%llu hedges=%llu good=%llu failed=%llu late=%llu not_now=%llu no_room=%llu "
-        "held_out=%llu allowed=%u in_flight=%u fresh=%llu stale=%llu stand_in=%llu missing=%llu "
-        "stale_age_ms=%llu spent_ms=%llu "
-        "zone=%llu region=%llu rest=%llu",
-        config_.dependencies->endpoints[i].name.c_str(), count(n.calls), count(n.retries), count(n.hedges),
-        count(n.good), count(n.failed), count(n.late), count(n.not_now), count(n.no_room), count(n.held_out),
-        state_machine_.allowed(i), state_machine_.in_flight(i), count(n.fresh), count(n.stale),
-        count(n.stand_in), count(n.missing),
-        count(static_cast<std::uint64_t>(n.stale_age / std::chrono::milliseconds(1))),
-        count(static_cast<std::uint64_t>(n.spent / std::chrono::milliseconds(1))), count(n.at_level[0]),
-        count(n.at_level[1]), count(n.at_level[2]));
+    std::string line = config_.dependencies->endpoints[i].name;
+    const auto add = [&line](const char* name, std::uint64_t value) {
+      line += std::string(" ") + name + "=" + std::to_string(value);
+    };
+    const auto milliseconds = [](duration d) {
+      return static_cast<std::uint64_t>(d / std::chrono::milliseconds(1));
+    };
+    add("calls", n.calls);
+    add("retries", n.retries);
+    add("hedges", n.hedges);
+    add("good", n.succeeded);
+    add("failed", n.failed);
+    add("late", n.timed_out);
+    add("not_now", n.rejected);
+    add("no_room", n.without_capacity);
+    add("held_out", n.ejections);
+    add("allowed", state_machine_.allowed(i));
+    add("in_flight", state_machine_.in_flight(i));
+    add("fresh", n.fresh);
+    add("stale", n.stale);
+    add("stand_in", n.fallback);
+    add("missing", n.missing);
+    add("stale_age_ms", milliseconds(n.stale_age));
+    add("spent_ms", milliseconds(n.time_in_calls));
+    add("zone", n.at_level[0]);
+    add("region", n.at_level[1]);
+    add("rest", n.at_level[2]);
+    log("dependencies", "%s", line.c_str());
   }
 }
 
--- a/src/fan_out/client.hpp
+++ b/src/fan_out/client.hpp
@@ -1,13 +1,18 @@
-// Runs requests of planned classes by gathering their parts from dependencies that speak uwsgi; all others go
-// on to the backend behind it. The conductor decides, this makes the calls.
+// The fan-out client: a backend that runs requests of planned classes as sub-requests to dependencies that
+// speak uwsgi; all other requests go to the backend behind it. The state machine decides, this makes the
+// calls.
 //
-// A run's gathering is one call to the decision module: it says when it may begin and for how long, or that
-// the answer goes without it; then only what stands in without a call is used.
+// The fan-out of a request is one dependency call to the dispatcher: that says when it may begin and for how
+// long, or that the request goes on without it; then only fallbacks that need no call are used.
+//
+// Owned by the event loop's thread.
 #pragma once
 
 #include <functional>
 #include <memory>
+#include <optional>
 #include <string>
+#include <string_view>
 #include <unordered_map>
 #include <vector>
 
@@ -21,7 +26,8 @@
 
 class client : public backend {
  public:
-  client(net::reactor& r, const config& settings, dispatcher& d, backend& behind);
+  // `requests`: where ends are reported. `behind`: runs the requests of classes without a plan.
+  client(net::reactor& reactor, const config& settings, dispatcher& requests, backend& behind);
   ~client() override;
 
   // backend
@@ -32,54 +38,55 @@
   void place_call(request_id id, duration limit) override;
   void skip_call(request_id id) override;
 
-  // Lets time pass; returns when it wants to be called again.
+  // Does what is due; returns when it wants to be called again.
   time_point step(time_point now);
 
   std::size_t running() const { return runs_.size(); }
   const state_machine& decisions() const { return state_machine_; }
-  // A line of counters for each dependency.
+  // Logs a line of counters for each dependency.
   void print() const;
-  // The view of the fleet has changed: `routable` tells of a place (a zone or a member) whether calls may go
-  // there.
+  // The cluster's view has changed. `routable`: whether calls may go to a place (a zone or a member).
   void routes_changed(const std::function<bool(const std::string&)>& routable);
-  // This node's share of calls at a dependency, and what it has and wants of them.
+  // This node's quota share of calls in flight at a dependency.
   void set_share(std::size_t dependency, double most) { state_machine_.set_share(dependency, most); }
+  // What fan-out has and wants of a dependency's calls.
   struct calls {
-    std::size_t in_flight = 0, waiting = 0;
-    std::uint64_t turned_away = 0;  // since the start, for want of room
+    std::size_t in_flight = 0;
+    std::size_t waiting = 0;
+    std::uint64_t turned_away = 0;  // for want of capacity, since the start
   };
   calls calls_at(std::size_t dependency) const {
     return {state_machine_.in_flight(dependency), state_machine_.waiting(dependency),
-            state_machine_.counts(dependency).no_room};
+            state_machine_.counts(dependency).without_capacity};
   }
-  // For show-stat, of dependencies whose endpoints have places: calls by nearness.
+  // Lines for show-stat: calls by locality, of dependencies whose endpoints have places.
   std::string figures() const;
 
  private:
   struct run_state {
     request what;
     std::size_t plan = 0;
-    time_point begun{};
-    time_point called{};
-    bool gathering = false;
+    time_point begun_at{};
+    time_point fan_out_begun_at{};
+    bool fan_out_begun = false;
   };
-  struct outgoing;
 
-  void apply();
-  void apply(const start_call& a);
-  void apply(const cancel_call& a);
-  void apply(const finished& a);
-  void apply(const notable& a);
-  void on_exchanged(call_id id, uwsgi::exchange_end how, const uwsgi::response_head* head,
-                    std::string_view response);
-  void begin(request_id id, time_point by);
+  void begin_fan_out(request_id id, time_point deadline);
+  void apply_actions();
+  void apply(const start_call& start);
+  void apply(const cancel_call& cancel);
+  void apply(const finished& end);
+  void apply(const endpoint_changed& change);
+  std::string encode_call(const request& what, const start_call& start) const;
+  void on_exchange_ended(call_id id, uwsgi::exchange_end end, const uwsgi::response_head* head,
+                         std::string_view response);
 
   net::reactor& reactor_;
   const config& config_;
   dispatcher& dispatcher_;
   backend& behind_;
   state_machine state_machine_;
-  std::vector<int> plan_of_;  // by class; -1 = none
+  std::vector<std::optional<std::size_t>> plan_of_class_;
   std::unordered_map<request_id, run_state> runs_;
   std::unordered_map<call_id, std::shared_ptr<uwsgi::exchange>> calls_;
   bool applying_ = false;
--- /dev/null
+++ b/src/fan_out/dependency_state.cpp
@@ -0,0 +1,67 @@
+#include "fan_out/dependency_state.hpp"
+
+namespace marblewharf::fan_out {
+namespace {
+
+// In the middle: a dependency that is slow already does not get at once all calls that it takes when it is
+// well.
+double first_limit(const upstream::dependency_rules& rules) {
+  return (rules.least_in_flight + rules.most_in_flight) / 4;
+}
+
+}  // namespace
+
+dependency_state::dependency_state(const upstream::dependency_rules& rules)
+    : rules_(rules),
+      endpoints_(rules.endpoints, rules.health, rules.near),
+      limit_(rules.least_in_flight, rules.most_in_flight, first_limit(rules)),
+      retries_(rules.retry_share, rules.retry_floor),
+      hedges_(rules.hedge_share, 0) {}
+
+unsigned dependency_state::allowed() const {
+  return share_ < limit_.allowed() ? static_cast<unsigned>(share_) : limit_.allowed();
+}
+
+time_point dependency_state::begin_sub_request(time_point request_deadline, time_point now) {
+  retries_.on_first(now);
+  hedges_.on_first(now);
+  return std::min(now + rules_.budget, request_deadline);
+}
+
+bool dependency_state::take_retry(unsigned attempts, time_point deadline, time_point now) {
+  return attempts < rules_.tries && now + expected_latency() < deadline && retries_.take(now);
+}
+
+std::optional<duration> dependency_state::hedge_delay() const {
+  if (rules_.hedge_quantile <= 0 || rules_.endpoints <= 1) return std::nullopt;
+  return latency_.quantile(rules_.hedge_quantile);
+}
+
+void dependency_state::on_call_started(std::size_t endpoint) {
+  endpoints_.on_start(endpoint);
+  ++in_flight_;
+  ++counts_.calls;
+  if (!rules_.near.where.empty()) ++counts_.at_level[static_cast<std::size_t>(rules_.near.where[endpoint])];
+}
+
+void dependency_state::on_call_ended(std::size_t endpoint, time_point now, duration took,
+                                     upstream::call_outcome outcome) {
+  endpoints_.on_end(endpoint, now, took, outcome);
+  --in_flight_;
+  counts_.time_in_calls += took;
+}
+
+void dependency_state::on_success(time_point now, duration took) {
+  ++counts_.succeeded;
+  latency_.add(took);
+  limit_.on_end(now, took, in_flight_, false);
+}
+
+upstream::call_outcome dependency_state::on_timeout(time_point now, duration took) {
+  ++counts_.timed_out;
+  if (took <= limit_.healthy()) return upstream::call_outcome::cancelled;
+  limit_.on_end(now, took, in_flight_, true);
+  return upstream::call_outcome::failed;
+}
+
+}  // namespace marblewharf::fan_out
--- a/src/fan_out/response_assembly.cpp
+++ b/src/fan_out/response_assembly.cpp
@@ -6,22 +6,30 @@
 namespace marblewharf::fan_out {
 namespace {
 
-// No line of any part begins with it.
-std::string boundary_for(const std::vector<part_result>& parts) {
-  std::string boundary = "part";
-  for (unsigned n = 0;; ++n) {
-    const std::string tried = boundary + std::to_string(n);
-    const bool stands = std::any_of(parts.begin(), parts.end(), [&](const part_result& p) {
-      return p.bytes.find("--" + tried) != std::string::npos;
+// A boundary that occurs in no part.
+std::string choose_boundary(const std::vector<part_result>& parts) {
+  for (unsigned number = 0;; ++number) {
+    std::string boundary = "part" + std::to_string(number);
+    const bool occurs = std::any_of(parts.begin(), parts.end(), [&](const part_result& part) {
+      return part.bytes.find("--" + boundary) != std::string::npos;
     });
-    if (!stands) return tried;
+    if (!occurs) return boundary;
   }
 }
 
+std::string encode_part(const std::string& name, const part_result& part) {
+  std::string encoded = "Part: " + name + "\r\nPart-State: " + name_of(part.how) + "\r\n";
+  if (part.how == part_is::stale) {
+    const auto age = std::chrono::ceil<std::chrono::seconds>(part.age);
+    encoded += "Age: " + std::to_string(age.count()) + "\r\n";
+  }
+  return encoded + "Content-Length: " + std::to_string(part.bytes.size()) + "\r\n\r\n" + part.bytes + "\r\n";
+}
+
 }  // namespace
 
-const char* name_of(part_is how) {
-  switch (how) {
+const char* name_of(part_is state) {
+  switch (state) {
     case part_is::missing: return "missing";
     case part_is::fresh: return "fresh";
     case part_is::stale: return "stale";
@@ -30,22 +38,16 @@
   return "missing";
 }
 
-std::string assemble_response(const upstream::request_plan& p, const std::vector<part_result>& parts) {
-  const std::string boundary = boundary_for(parts);
-  bool partial = false;
+std::string assemble_response(const upstream::request_plan& plan, const std::vector<part_result>& parts) {
+  const std::string boundary = choose_boundary(parts);
   std::string body;
-  for (std::size_t i = 0; i < parts.size(); ++i) {
-    const part_result& part = parts[i];
-    partial = partial || part.how != part_is::fresh;
-    body +=
-        "--" + boundary + "\r\nPart: " + p.parts[i].name + "\r\nPart-State: " + name_of(part.how) + "\r\n";
-    if (part.how == part_is::stale)
-      body += "Age: " + std::to_string(std::chrono::ceil<std::chrono::seconds>(part.age).count()) + "\r\n";
-    body += "Content-Length: " + std::to_string(part.bytes.size()) + "\r\n\r\n" + part.bytes + "\r\n";
-  }
+  for (std::size_t i = 0; i < parts.size(); ++i)
+    body += "--" + boundary + "\r\n" + encode_part(plan.parts[i].name, parts[i]);
   body += "--" + boundary + "--\r\n";
+  const bool complete = std::all_of(parts.begin(), parts.end(),
+                                    [](const part_result& part) { return part.how == part_is::fresh; });
   return "HTTP/1.1 200 OK\r\nContent-Type: multipart/mixed; boundary=" + boundary +
-         "\r\nPartial: " + (partial ? "yes" : "no") + "\r\nContent-Length: " + std::to_string(body.size()) +
+         "\r\nPartial: " + (complete ? "no" : "yes") + "\r\nContent-Length: " + std::to_string(body.size()) +
          "\r\n\r\n" + body;
 }
 
--- a/src/fan_out/response_assembly.hpp
+++ b/src/fan_out/response_assembly.hpp
@@ -1,18 +1,20 @@
-// Parts to one response: HTTP-shaped, `multipart/mixed` (RFC 2046), each part with its state and its length,
-// whatever bytes it has. docs/dependencies.md has the form.
+// Assembles sub-responses into one response: HTTP-shaped, `multipart/mixed` (RFC 2046), each part with its
+// state and its length. docs/dependencies.md has the form.
 #pragma once
 
 #include <string>
 #include <vector>
 
-#include "fan_out/state_machine.hpp"
+#include "fan_out/messages.hpp"
+#include "upstream/plan.hpp"
 
 namespace marblewharf::fan_out {
 
-// Of a gathering that lacks no required part. `Partial: yes` stands in its head where not all parts are
-// fresh.
-std::string assemble_response(const upstream::request_plan& p, const std::vector<part_result>& parts);
+// Of a request that lacks no required sub-response. The head has `Partial: yes` where not all are fresh.
+// `parts`: in the order of the plan.
+std::string assemble_response(const upstream::request_plan& plan, const std::vector<part_result>& parts);
 
-const char* name_of(part_is how);
+// As the header Part-State has it.
+const char* name_of(part_is state);
 
 }  // namespace marblewharf::fan_out
--- a/src/fan_out/state_machine.hpp
+++ b/src/fan_out/state_machine.hpp
@@ -1,189 +1,155 @@
-// Decides on the calls of all requests that gather parts: which goes where and when, how often, how long it
-// is waited for, and what stands in. Free of I/O; time and randomness are handed in. Facts go in (begin,
-// on_result, cancel, step), actions come out in their order (pick). One thread at a time.
+// Decides on the calls of all fan-out requests: which sub-request calls which endpoint and when, retries,
+// hedged requests, deadlines and fallbacks. Free of I/O; time and randomness are handed in. Events go in
+// (begin, on_result, cancel, step), actions come out in their order (pick). One thread at a time.
 //
-// What it promises, whatever comes: one `finished` for each gathering that was not cancelled, no later than
-// its end; no call is waited for past its budget; further attempts and second copies stay within their
-// shares; calls in flight within each dependency's limit; whatever call is still out when its part has come
-// or its gathering is over is cancelled.
+// Life of a sub-request:
+//
+// | state                | event                                           | next state                     |
+// | -------------------- | ----------------------------------------------- | ------------------------------ |
+// | (begin, or fallback) | a call can end in time, there is capacity       | calling                        |
+// |                      | no capacity                                     | queued                         |
+// |                      | all endpoints ejected, one is back in time      | waiting for an endpoint        |
+// |                      | a call cannot end in time                       | falls back                     |
+// | queued               | capacity                                        | calling                        |
+// |                      | the latest start has passed                     | falls back                     |
+// | waiting              | the endpoint may be back                        | as at the begin                |
+// | calling              | success                                         | done                           |
+// |                      | failure or timeout, another call in flight      | calling                        |
+// |                      | failure or timeout, a retry is allowed          | as at the begin                |
+// |                      | failure or timeout, else                        | falls back                     |
+// | falls back           | the next fallback is a dependency               | as at the begin                |
+// |                      | it is a stale or fixed response that is there   | done                           |
+// |                      | none is left                                    | done, the response is missing  |
+//
+// A request ends when all sub-requests are done, or a required one is missing.
+//
+// Invariants: one `finished` for each request that was not cancelled, no later than its deadline; no call is
+// waited for past its budget; retries and hedges stay within their budgets; calls in flight stay within each
+// dependency's limit; a call still in flight when its sub-request is done is cancelled.
 #pragma once
 
-#include <array>
 #include <cstdint>
 #include <deque>
-#include <limits>
 #include <map>
 #include <optional>
 #include <random>
 #include <string>
 #include <unordered_map>
-#include <variant>
 #include <vector>
 
+#include "fan_out/dependency_state.hpp"
+#include "fan_out/messages.hpp"
 #include "fan_out/response_cache.hpp"
-#include "upstream/adaptive_limit.hpp"
-#include "upstream/endpoint_set.hpp"
-#include "upstream/latency_estimator.hpp"
 #include "upstream/plan.hpp"
-#include "upstream/retry_budget.hpp"
 
 namespace marblewharf::fan_out {
 
-using gathering_id = std::uint32_t;
-using call_id = std::uint64_t;
-
-// How a call ended.
-enum class call_end {
-  good,
-  failed,   // it says so, cannot be read, or hung up
-  not_now,  // it asked to be left alone for a while, and did nothing
-};
-
-enum class part_is { missing, fresh, stale, stand_in };
-struct part_result {
-  part_is how = part_is::missing;
-  duration age{};  // stale
-  std::string bytes;
-};
-
-struct start_call {
-  call_id id = 0;
-  gathering_id gathering = 0;
-  std::size_t dependency = 0;
-  std::size_t endpoint = 0;
-  duration budget{};  // what is left for it
-};
-struct cancel_call {
-  call_id id = 0;
-};
-struct finished {
-  gathering_id id = 0;
-  bool complete = false;           // all parts are fresh
-  int lacks = -1;                  // the required part that is missing: the answer is a failure
-  std::vector<part_result> parts;  // in the order of the plan
-};
-struct notable {
-  std::size_t dependency = 0;
-  std::string what;
-};  // for the log
-using action = std::variant<start_call, cancel_call, finished, notable>;
-
-struct dependency_counts {
-  std::uint64_t calls = 0, retries = 0, hedges = 0, good = 0, failed = 0, late = 0, not_now = 0;
-  std::uint64_t no_room = 0;                                      // parts that the limit let wait in vain
-  std::uint64_t held_out = 0;                                     // times that an endpoint was
-  std::uint64_t fresh = 0, stale = 0, stand_in = 0, missing = 0;  // parts
-  std::chrono::nanoseconds stale_age{};                           // of the stale parts, together
-  std::chrono::nanoseconds spent{};                               // in calls
-  std::array<std::uint64_t, failover::levels> at_level{};         // calls by nearness, where places are known
-};
-
 class state_machine {
  public:
-  // Plans and rules that check_plans() takes.
+  // Throws upstream::bad_plan for plans that check_plans() does not take. `cache_bytes`: of stale responses.
   state_machine(std::vector<upstream::request_plan> plans, std::vector<upstream::dependency_rules> rules,
                 std::size_t cache_bytes, std::uint64_t seed);
 
-  // `subject`: what the request is about, for stale parts. `by`: when `finished` is wanted at the latest.
+  // `which`: the plan. `subject`: what the request is about; stale responses are of the same subject. `by`:
+  // the deadline, at which `finished` is wanted at the latest.
   void begin(gathering_id id, std::size_t which, std::uint64_t subject, time_point by, time_point now);
+  // `come_back`: the retry-after of a call that was rejected.
   void on_result(call_id id, call_end how, std::string bytes, duration come_back, time_point now);
-  void cancel(gathering_id id, time_point now);  // its caller has gone: no `finished`
+  // The client is gone: no `finished` comes.
+  void cancel(gathering_id id, time_point now);
+  // Runs the timers that are due.
   void step(time_point now);
   time_point due() const { return timers_.empty() ? time_point::max() : timers_.begin()->first; }
 
-  // Whether calls may go to an endpoint, as the view of the fleet has it (its zone declared out, its member
-  // suspected).
+  // The next action; none: an event has to happen first.
+  std::optional<action> pick();
+
+  // Whether calls may go to an endpoint, by the cluster's view.
   void set_reachable(std::size_t dependency, std::size_t endpoint, bool reachable) {
-    dependencies_[dependency].where.set_reachable(endpoint, reachable);
+    dependencies_[dependency].endpoints().set_reachable(endpoint, reachable);
   }
-
-  // A bound beside the limit that adapts: this node's share of calls that a fleet divides. Below one, parts
-  // are not waited for: what stands in does so at once.
-  void set_share(std::size_t dependency, double most) { dependencies_[dependency].share = most; }
-  std::size_t waiting(std::size_t of) const { return dependencies_[of].waiting.size(); }
-
-  std::optional<action> pick();
+  // This node's quota share of calls in flight, beside the limit that adapts. Below one, sub-requests fall
+  // back at once.
+  void set_share(std::size_t dependency, double most) { dependencies_[dependency].set_share(most); }
 
   const upstream::request_plan& plan_at(std::size_t i) const { return plans_[i]; }
-  // By dependency.
-  const dependency_counts& counts(std::size_t of) const { return dependencies_[of].counts; }
-  unsigned allowed(std::size_t of) const { return dependencies_[of].allowed(); }
-  unsigned in_flight(std::size_t of) const { return dependencies_[of].in_flight; }
-  const upstream::endpoint_set& endpoints_of(std::size_t of) const { return dependencies_[of].where; }
-  std::size_t open() const { return gatherings_.size(); }
+  const dependency_counts& counts(std::size_t dependency) const { return dependencies_[dependency].counts(); }
+  unsigned allowed(std::size_t dependency) const { return dependencies_[dependency].allowed(); }
+  unsigned in_flight(std::size_t dependency) const { return dependencies_[dependency].in_flight(); }
+  std::size_t waiting(std::size_t dependency) const { return dependencies_[dependency].queue().size(); }
+  // Requests that have not ended.
+  std::size_t open() const { return requests_.size(); }
 
  private:
-  struct source {
-    upstream::dependency_rules rules;
-    upstream::endpoint_set where;
-    upstream::adaptive_limit limit;
-    upstream::latency_estimator times;
-    upstream::retry_budget retries, hedges;
-    unsigned in_flight = 0;
-    std::deque<std::pair<gathering_id, std::size_t>> waiting;  // parts, for room in flight
-    dependency_counts counts;
-    double share = std::numeric_limits<double>::infinity();
-    unsigned allowed() const {
-      return share < limit.allowed() ? static_cast<unsigned>(share) : limit.allowed();
-    }
-  };
-  struct part_run {
+  struct sub_request {
     bool done = false;
-    std::size_t step = 0;                  // 0 = its dependency, then its stand-ins
-    std::size_t from = 0;                  // the dependency of this step
-    unsigned tries = 0;                    // of this step
-    time_point give_up{};                  // of this step
-    bool waits = false;                    // in the dependency's queue
-    std::optional<std::size_t> not_there;  // the endpoint that failed last
-    std::vector<call_id> calls;            // in flight
-    part_result result;
+    std::size_t source = 0;  // 0: its own dependency; then its fallbacks, in their order
+    // Of this source:
+    std::size_t dependency = 0;
+    unsigned attempts = 0;  // hedges aside
+    time_point deadline{};
+    bool queued = false;
+    std::optional<std::size_t> avoided_endpoint;  // the one that failed last
+    std::vector<call_id> calls;                   // in flight
+    part_result response;
   };
-  struct gathering {
+  struct open_request {
     std::size_t plan = 0;
     std::uint64_t subject = 0;
-    time_point by{};
-    std::size_t open = 0;  // parts
-    std::vector<part_run> parts;
+    time_point deadline{};
+    std::size_t open_sub_requests = 0;
+    std::vector<sub_request> sub_requests;  // in the order of the plan
   };
   struct call {
-    gathering_id gathering = 0;
+    gathering_id request = 0;
     std::size_t part = 0;
     std::size_t dependency = 0;
     std::size_t endpoint = 0;
-    time_point begun{};
+    time_point begun_at{};
   };
-  enum class timer { call_over, hedge, try_again, part_over };
-  struct due_timer {
-    timer what{};
-    call_id call = 0;            // call_over, hedge
-    gathering_id gathering = 0;  // try_again, part_over
+  enum class timer_kind { call_deadline, hedge, place_again, sub_request_deadline };
+  struct timer {
+    timer_kind kind{};
+    call_id call = 0;          // call_deadline, hedge
+    gathering_id request = 0;  // place_again, sub_request_deadline
     std::size_t part = 0;
   };
 
-  gathering* find(gathering_id id);
+  // Requests and sub-requests (state_machine.cpp).
+  open_request* find(gathering_id id);
+  sub_request& sub_request_of(gathering_id id, std::size_t part) { return find(id)->sub_requests[part]; }
+  void try_source(gathering_id id, std::size_t part, time_point now);
+  void try_dependency(gathering_id id, std::size_t part, std::size_t dependency, time_point now);
+  void try_stale(gathering_id id, std::size_t part, duration oldest, time_point now);
+  void fall_back(gathering_id id, std::size_t part, time_point now);
+  void complete(gathering_id id, std::size_t part, part_result response, time_point now);
+  void count_response(std::size_t dependency, const part_result& response);
+  void finish(gathering_id id, std::optional<std::size_t> missing_required, time_point now);
+  void on_response(const call& ended, std::string bytes, time_point now);
+  void on_call_deadline(call_id id, time_point now);
+  void on_sub_request_timer(const timer& due, time_point due_at, time_point now);
+
+  // Placement of calls (call_placement.cpp).
   void place(gathering_id id, std::size_t part, time_point now);
+  void wait_for_capacity(gathering_id id, std::size_t part, time_point now);
+  void drop_stale_queue_entries(std::size_t dependency);
+  void wait_for_endpoint(gathering_id id, std::size_t part, time_point now);
   void start(gathering_id id, std::size_t part, std::size_t endpoint, time_point now);
-  void begin_step(gathering_id id, std::size_t part, time_point now);
-  void next_step(gathering_id id, std::size_t part, time_point now);
-  void after_failure(gathering_id id, std::size_t part, std::size_t endpoint, time_point now);
-  void settle(gathering_id id, std::size_t part, part_result result, time_point now);
-  void end_call(std::map<call_id, call>::iterator at, time_point now, upstream::call_outcome outcome);
-  void cancel_calls(part_run& p, time_point now);
-  void finish(gathering_id id, int lacks, time_point now);
-  void admit_waiting(std::size_t dependency, time_point now);
-  void admit_all(time_point now);
-  void send_copy(call_id id, time_point now);
-  // Not the median of many: after a stall that would keep calls back long after the dependency is well.
-  duration expected(const source& d) const { return d.times.recent(); }
-  void note_changes(std::size_t dependency);
+  void send_hedge(call_id id, time_point now);
+  void retry_or_fall_back(gathering_id id, std::size_t part, std::size_t failed_endpoint, time_point now);
+  void end_call(std::map<call_id, call>::iterator ended, time_point now, upstream::call_outcome outcome);
+  void cancel_calls(sub_request& sub, time_point now);
+  void start_queued(std::size_t dependency, time_point now);
+  void start_all_queued(time_point now);
+  void report_endpoint_changes(std::size_t dependency);
 
   std::vector<upstream::request_plan> plans_;
-  std::vector<source> dependencies_;
+  std::vector<dependency_state> dependencies_;
   response_cache cache_;
   std::mt19937_64 random_;
-  std::unordered_map<gathering_id, gathering> gatherings_;
+  std::unordered_map<gathering_id, open_request> requests_;
   std::map<call_id, call> calls_;
-  std::multimap<time_point, due_timer> timers_;
+  std::multimap<time_point, timer> timers_;
   std::deque<action> actions_;
   call_id last_call_ = 0;
 };
--- a/tests/fan_out/decisions_test.cpp
+++ b/tests/fan_out/decisions_test.cpp
@@ -424,7 +424,7 @@
   const part_result stale = ask();
   CHECK(stale.how == part_is::stale && stale.bytes == "part of 0" && stale.age > 0s && stale.age < 30s);
   w.run_until(w.now + 31s);
-  CHECK(ask().bytes == "none" && w.done.at(id).complete == false && w.done.at(id).lacks < 0);
+  CHECK(ask().bytes == "none" && w.done.at(id).complete == false && !w.done.at(id).lacks);
   // A required part that is missing ends it at once.
   world r({four_parts(true)}, four_rules(), 4);
   r.behave = [&](const start_call& s) {
@@ -433,7 +433,7 @@
   };
   r.begin(1, 2900ms);
   r.run_until(r.now + 3s);
-  CHECK(r.done.at(1).lacks == 1 && r.took.at(1) < 100ms);
+  CHECK(r.done.at(1).lacks == 1u && r.took.at(1) < 100ms);
 }
 
 void plans_that_could_not_be_kept() {
