--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -15,34 +15,33 @@
 
 namespace marblewharf {
 
-std::string fleet_config::region_of(const std::string& named) const {
-  for (const fleet_zone& z : zones)
-    if (z.name == named) return z.region;
-  return {};
-}
 namespace {
 
-constexpr std::size_t least_descriptors = 128;  // with fewer there is no room for clients
+constexpr std::size_t least_descriptors = 128;  // with fewer there are none left for clients
+constexpr double default_stop_ms = 3200;
+constexpr double longest_stop_ms = 600'000;
 
-const json::value* member(const json::value& in, const std::string& key) {
-  const json::value* found = in.find(key);
+// The member of an object; null where it is absent or null.
+const json::value* member(const json::value& object, const std::string& key) {
+  const json::value* found = object.find(key);
   return found != nullptr && found->what != json::kind::null ? found : nullptr;
 }
 
-std::string text_of(const json::value& in, const std::string& key) {
-  const json::value* v = member(in, key);
-  if (v == nullptr) throw bad_config(key + " is missing");
-  if (v->what != json::kind::string || v->text.empty()) throw bad_config(key + " is no text");
-  return v->text;
+std::string text_of(const json::value& object, const std::string& key) {
+  const json::value* found = member(object, key);
+  if (found == nullptr) throw bad_config(key + " is missing");
+  if (found->what != json::kind::string || found->text.empty()) throw bad_config(key + " is no text");
+  return found->text;
 }
 
-double number_of(const json::value& in, const std::string& key, const std::string& path, double absent,
+// `path`: the key as messages name it. `absent`: the value where there is none.
+double number_of(const json::value& object, const std::string& key, const std::string& path, double absent,
                  double least, double most) {
-  const json::value* v = member(in, key);
-  if (v == nullptr) return absent;
+  const json::value* found = member(object, key);
+  if (found == nullptr) return absent;
   double parsed = 0;
-  const char* end = v->text.data() + v->text.size();
-  if (v->what != json::kind::number || std::from_chars(v->text.data(), end, parsed).ptr != end)
+  const char* end = found->text.data() + found->text.size();
+  if (found->what != json::kind::number || std::from_chars(found->text.data(), end, parsed).ptr != end)
     throw bad_config(path + " is no number");
   if (!(parsed >= least && parsed <= most)) {
     std::ostringstream why;
@@ -53,40 +52,48 @@
 }
 
 endpoint to_endpoint(const std::string& text, const std::string& key) {
-  const std::size_t colon = text.rfind(':');
-  unsigned port = 0;
-  const char* end = text.data() + text.size();
-  if (colon == std::string::npos || colon == 0 ||
-      std::from_chars(text.data() + colon + 1, end, port).ptr != end || port > 65535) {
-    throw bad_config(key + " is no host:port");
-  }
-  return {text.substr(0, colon), static_cast<std::uint16_t>(port)};
+  const std::optional<endpoint> parsed = parse_endpoint(text);
+  if (!parsed) throw bad_config(key + " is no host:port");
+  return *parsed;
 }
 
-endpoint endpoint_of(const json::value& in, const std::string& key) {
-  return to_endpoint(text_of(in, key), key);
+endpoint endpoint_of(const json::value& object, const std::string& key) {
+  return to_endpoint(text_of(object, key), key);
 }
 
-// The nested settings as the paths of the simulator's first message.
-void flatten(const json::value& v, const std::string& path, admission_policy::setting_paths& out) {
-  switch (v.what) {
+void flatten(const json::value& value, const std::string& path, admission_policy::setting_paths& paths);
+
+std::string join_path(const std::string& path, const std::string& key) {
+  return path.empty() ? key : path + "." + key;
+}
+
+// An array of objects becomes their count and a path for each member, any other array one list of texts.
+void flatten_array(const json::value& array, const std::string& path,
+                   admission_policy::setting_paths& paths) {
+  const std::vector<json::value>& items = array.items;
+  if (!items.empty() && items.front().what == json::kind::object) {
+    paths[path + ".count"] = std::to_string(items.size());
+    for (std::size_t index = 0; index < items.size(); ++index)
+      flatten(items[index], path + "." + std::to_string(index), paths);
+    return;
+  }
+  std::string joined;
+  for (const json::value& item : items) {
+    if (!joined.empty()) joined += ",";
+    joined += item.text;
+  }
+  paths[path] = joined;
+}
+
+// Nested settings as paths, the form in which the simulator passes them.
+void flatten(const json::value& value, const std::string& path, admission_policy::setting_paths& paths) {
+  switch (value.what) {
     case json::kind::object:
-      for (const auto& [key, item] : v.members) flatten(item, path.empty() ? key : path + "." + key, out);
-      break;
-    case json::kind::array: {
-      if (!v.items.empty() && v.items.front().what == json::kind::object) {
-        out[path + ".count"] = std::to_string(v.items.size());
-        for (std::size_t i = 0; i < v.items.size(); ++i)
-          flatten(v.items[i], path + "." + std::to_string(i), out);
-        break;
-      }
-      std::string joined;
-      for (const json::value& item : v.items) joined += (joined.empty() ? "" : ",") + item.text;
-      out[path] = joined;
+      for (const auto& [key, item] : value.members) flatten(item, join_path(path, key), paths);
       break;
-    }
+    case json::kind::array: flatten_array(value, path, paths); break;
     case json::kind::null: break;
-    default: out[path] = v.text;
+    default: paths[path] = value.text;
   }
 }
 
@@ -96,67 +103,76 @@
   return (sign >= 0 && sign < first_printable) || sign == del;
 }
 
-// Names go over wires and into log lines as they are: any text but control signs, and each only once.
+// Names go over wires and into log lines as they are: any text without control characters, each only once.
 void check_name(const std::string& name, const std::string& key, std::set<std::string>& taken) {
   if (name.empty()) throw bad_config(key + " is missing");
   if (std::any_of(name.begin(), name.end(), is_control)) throw bad_config(key + " has a control sign in it");
   if (!taken.insert(name).second) throw bad_config(key + " is there twice: " + name);
 }
 
-// What the module cannot do without or would misread, by the operators' names and not the module's.
-void check_settings(const admission_policy::settings& s) {
-  if (s.cores == 0) throw bad_config("settings.Extra.NCores is missing or 0");
-  if (s.classes.empty()) throw bad_config("settings.Classes has no class");
-  std::set<std::string> class_names, tenant_names;
-  for (std::size_t i = 0; i < s.classes.size(); ++i) {
-    const std::string at = "settings.Classes." + std::to_string(i) + ".";
-    check_name(s.classes[i].name, at + "Name", class_names);
-    if (s.classes[i].deadline.count() <= 0) throw bad_config(at + "Deadline is missing or 0");
-    if (s.classes[i].deadline < s.classes[i].latency_objective)
-      throw bad_config(at + "Deadline is under its Objective");
+void check_classes(const std::vector<admission_policy::class_settings>& classes) {
+  if (classes.empty()) throw bad_config("settings.Classes has no class");
+  std::set<std::string> names;
+  for (std::size_t index = 0; index < classes.size(); ++index) {
+    const admission_policy::class_settings& request_class = classes[index];
+    const std::string path = "settings.Classes." + std::to_string(index) + ".";
+    check_name(request_class.name, path + "Name", names);
+    if (request_class.deadline.count() <= 0) throw bad_config(path + "Deadline is missing or 0");
+    if (request_class.deadline < request_class.latency_objective)
+      throw bad_config(path + "Deadline is under its Objective");
   }
-  for (std::size_t i = 0; i < s.tenants.size(); ++i)
-    check_name(s.tenants[i].name, "settings.Tenants." + std::to_string(i) + ".Name", tenant_names);
 }
 
-admission_policy::settings settings_of(const json::value& all) {
-  const json::value* given = member(all, "settings");
+// Values that the admission policy needs or would misread; messages name the platform's keys.
+void check_settings(const admission_policy::settings& settings) {
+  if (settings.cores == 0) throw bad_config("settings.Extra.NCores is missing or 0");
+  check_classes(settings.classes);
+  std::set<std::string> names;
+  for (std::size_t index = 0; index < settings.tenants.size(); ++index)
+    check_name(settings.tenants[index].name, "settings.Tenants." + std::to_string(index) + ".Name", names);
+}
+
+admission_policy::settings settings_of(const json::value& file) {
+  const json::value* given = member(file, "settings");
   if (given == nullptr || given->what != json::kind::object) throw bad_config("settings is no object");
   admission_policy::setting_paths paths;
   flatten(*given, "", paths);
-  admission_policy::settings s;
+  admission_policy::settings settings;
   try {
-    s = admission_policy::settings_from(paths);
-  } catch (const std::invalid_argument& e) {
-    throw bad_config(std::string("settings.") + e.what());
+    settings = admission_policy::settings_from(paths);
+  } catch (const std::invalid_argument& error) {
+    throw bad_config(std::string("settings.") + error.what());
   }
-  check_settings(s);
-  return s;
+  check_settings(settings);
+  return settings;
 }
 
-std::uint64_t seed_of(const json::value& all) {
-  const json::value* v = member(all, "seed");
-  if (v == nullptr) return 0;
+std::uint64_t seed_of(const json::value& file) {
+  constexpr int hexadecimal = 16;
+  const json::value* found = member(file, "seed");
+  if (found == nullptr) return 0;
   std::uint64_t seed = 0;
-  const char* end = v->text.data() + v->text.size();
-  if (v->what != json::kind::string || std::from_chars(v->text.data(), end, seed, 16).ptr != end)
+  const char* end = found->text.data() + found->text.size();
+  if (found->what != json::kind::string ||
+      std::from_chars(found->text.data(), end, seed, hexadecimal).ptr != end)
     throw bad_config("seed is no hexadecimal text");
   return seed;
 }
 
+// `what`: the text as messages name it.
 json::value parse_object(const std::string& text, const std::string& what) {
-  json::value all;
+  json::value parsed;
   try {
-    all = json::parse(text);
-  } catch (const json::bad_json& e) {
-    throw bad_config(what + " is no JSON, " + e.what());
+    parsed = json::parse(text);
+  } catch (const json::bad_json& error) {
+    throw bad_config(what + " is no JSON, " + error.what());
   }
-  if (all.what != json::kind::object) throw bad_config(what + " is no object");
-  return all;
+  if (parsed.what != json::kind::object) throw bad_config(what + " is no object");
+  return parsed;
 }
 
-void read_limits(const json::value& all, limits& bounds) {
-  const json::value* given = member(all, "limits");
+void read_limits(const json::value& file, limits& bounds) {
+  const json::value* given = member(file, "limits");
   if (given == nullptr || given->what != json::kind::object) throw bad_config("limits is no object");
   const auto limit = [given](const char* key, double least, double most) {
     const std::string path = std::string("limits.") + key;
@@ -164,36 +180,40 @@
     return number_of(*given, key, path, 0, least, most);
   };
   constexpr double least_cores = 0.001;
-  constexpr double for_buffers = 0.25;   // of the memory
-  constexpr double for_results = 0.125;  // the same
-  constexpr double bytes_each_mb = 1 << 20;
+  constexpr double least_memory_mb = 16;
+  constexpr double largest_limit = 1e6;
+  constexpr double buffers_share = 0.25;   // of the memory
+  constexpr double results_share = 0.125;  // the same
+  constexpr double bytes_per_mb = 1 << 20;
   limit("cores", least_cores,
-        1e6);  // one thread of ours stays under a core; what is wrong is told all the same
-  const double memory = limit("memory_mb", 16, 1e6) * bytes_each_mb;
-  bounds.buffered = static_cast<std::size_t>(for_buffers * memory);
-  bounds.kept_results = static_cast<std::size_t>(for_results * memory);
-  bounds.descriptors = static_cast<std::size_t>(limit("sockets", least_descriptors, 1e6));
+        largest_limit);  // checked only: the node's one busy thread needs less than a core
+  const double memory_bytes = limit("memory_mb", least_memory_mb, largest_limit) * bytes_per_mb;
+  bounds.buffered = static_cast<std::size_t>(buffers_share * memory_bytes);
+  bounds.kept_results = static_cast<std::size_t>(results_share * memory_bytes);
+  bounds.descriptors = static_cast<std::size_t>(limit("sockets", least_descriptors, largest_limit));
 }
 
 std::optional<repeats_config> repeats_of(const admission_policy::settings& settings, const limits& bounds) {
-  repeats_config r;
-  r.memory = bounds.kept_results;
-  bool any = false;
-  for (const admission_policy::class_settings& c : settings.classes) {
-    const bool keyed =
-        c.effect == admission_policy::request_effect::keyed && c.idempotency_window.count() > 0;
-    r.windows.push_back(keyed ? c.idempotency_window + bounds.rule_slack : std::chrono::nanoseconds{});
-    r.longest_wait = std::max(r.longest_wait, c.deadline);
-    any = any || keyed;
+  repeats_config repeats;
+  repeats.memory = bounds.kept_results;
+  bool any_keyed = false;
+  for (const admission_policy::class_settings& request_class : settings.classes) {
+    const bool keyed = request_class.effect == admission_policy::request_effect::keyed &&
+                       request_class.idempotency_window.count() > 0;
+    repeats.windows.push_back(keyed ? request_class.idempotency_window + bounds.rule_slack
+                                    : std::chrono::nanoseconds{});
+    repeats.longest_wait = std::max(repeats.longest_wait, request_class.deadline);
+    any_keyed = any_keyed || keyed;
   }
-  return any ? std::optional(std::move(r)) : std::nullopt;
+  if (!any_keyed) return std::nullopt;
+  return repeats;
 }
 
-// What the program needs itself comes first, then the console, and the clients have the rest.
-void divide_descriptors(config& c) {
-  limits& bounds = c.bounds;
+// The program's own come first, then the console's; clients have the rest.
+void divide_descriptors(config& settings) {
+  limits& bounds = settings.bounds;
   std::size_t console = 0;
-  if (c.console) {
+  if (settings.console) {
     bounds.console_connections =
         std::min(bounds.console_connections, bounds.descriptors / bounds.console_share);
     console = bounds.console_connections;
@@ -201,67 +221,76 @@
   bounds.connections = bounds.descriptors - bounds.own_descriptors - console;
 }
 
-// A process may have fewer descriptors than the platform's settings say.
-void heed_own_descriptors(limits& bounds) {
-  rlimit own{};
-  if (::getrlimit(RLIMIT_NOFILE, &own) != 0 || own.rlim_cur >= bounds.descriptors) return;
-  if (own.rlim_cur < least_descriptors)
-    throw bad_config("limits.sockets: this process may open " + std::to_string(own.rlim_cur) +
+// The system may grant the process fewer descriptors than the platform's settings.
+void apply_descriptor_limit(limits& bounds) {
+  rlimit granted{};
+  if (::getrlimit(RLIMIT_NOFILE, &granted) != 0 || granted.rlim_cur >= bounds.descriptors) return;
+  if (granted.rlim_cur < least_descriptors)
+    throw bad_config("limits.sockets: this process may open " + std::to_string(granted.rlim_cur) +
                      " files, and needs " + std::to_string(least_descriptors));
-  bounds.descriptors = own.rlim_cur;
+  bounds.descriptors = granted.rlim_cur;
 }
 
 }  // namespace
 
+std::string fleet_config::region_of(const std::string& zone_name) const {
+  for (const fleet_zone& candidate : zones)
+    if (candidate.name == zone_name) return candidate.region;
+  return {};
+}
+
 config read_config(const std::string& text) {
-  const json::value all = parse_object(text, "the configuration");
-  config c;
-  c.name = text_of(all, "name");
-  // A word of the reports to the catalog, and part of a file's name.
-  const auto fits = [](char sign) { return sign > ' ' && sign <= '~' && sign != '/'; };
-  if (!std::all_of(c.name.begin(), c.name.end(), fits))
+  const json::value file = parse_object(text, "the configuration");
+  config settings;
+  settings.name = text_of(file, "name");
+  // A word of the reports to the registry, and part of a file's name.
+  const auto allowed = [](char sign) { return sign > ' ' && sign <= '~' && sign != '/'; };
+  if (!std::all_of(settings.name.begin(), settings.name.end(), allowed))
     throw bad_config("name has a space, a slash or a sign that is not ASCII in it");
-  c.listen = endpoint_of(all, "listen");
-  c.runtime = endpoint_of(all, "runtime");
-  c.directory = endpoint_of(all, "directory");
-  if (member(all, "console") != nullptr) c.console = endpoint_of(all, "console");
-  c.seed = seed_of(all);
-  const double stop_ms = number_of(all, "stop_ms", "stop_ms", 3200, 1, 600000);
-  c.bounds.stop = std::chrono::milliseconds(std::lround(stop_ms));
-  read_limits(all, c.bounds);
-  divide_descriptors(c);
-  c.settings = settings_of(all);
-  c.repeats = repeats_of(c.settings, c.bounds);
-  return c;
+  settings.listen = endpoint_of(file, "listen");
+  settings.runtime = endpoint_of(file, "runtime");
+  settings.directory = endpoint_of(file, "directory");
+  if (member(file, "console") != nullptr) settings.console = endpoint_of(file, "console");
+  settings.seed = seed_of(file);
+  const double stop_ms = number_of(file, "stop_ms", "stop_ms", default_stop_ms, 1, longest_stop_ms);
+  settings.bounds.stop = std::chrono::milliseconds(std::lround(stop_ms));
+  read_limits(file, settings.bounds);
+  divide_descriptors(settings);
+  settings.settings = settings_of(file);
+  settings.repeats = repeats_of(settings.settings, settings.bounds);
+  return settings;
 }
 
-void turn_on_uwsgi(config& c, uwsgi_config mapping) {
+void turn_on_uwsgi(config& settings, uwsgi_config uwsgi) {
   // A quarter for its callers and a quarter for what runs on its servers; Thrift keeps the half that
   // balancers open at the most.
-  c.bounds.uwsgi_connections = c.bounds.connections / 4;
-  c.bounds.connections -= 2 * c.bounds.uwsgi_connections;
-  c.uwsgi = std::move(mapping);
+  constexpr std::size_t uwsgi_parts = 4;
+  limits& bounds = settings.bounds;
+  bounds.uwsgi_connections = bounds.connections / uwsgi_parts;
+  bounds.connections -= 2 * bounds.uwsgi_connections;
+  settings.uwsgi = std::move(uwsgi);
 }
 
-void turn_on_keys(config& c, keyed_config keys) {
-  for (std::size_t i = 0; i < keys.windows.size(); ++i) {
-    if (keys.windows[i].count() == 0) continue;
-    // The module keeps a key while its request can be open; from then on the folder knows it.
-    c.settings.classes[i].effect = admission_policy::request_effect::keyed;
-    c.settings.classes[i].idempotency_window = c.settings.classes[i].deadline;
+void turn_on_keys(config& settings, keyed_config keyed) {
+  for (std::size_t index = 0; index < keyed.windows.size(); ++index) {
+    if (keyed.windows[index].count() == 0) continue;
+    admission_policy::class_settings& request_class = settings.settings.classes[index];
+    request_class.effect = admission_policy::request_effect::keyed;
+    // The policy tracks a key while its request can be open; from then on the folder does.
+    request_class.idempotency_window = request_class.deadline;
   }
-  c.keyed = std::move(keys);
-  c.repeats.reset();
+  settings.keyed = std::move(keyed);
+  settings.repeats.reset();
 }
 
-void turn_on_dependencies(config& c, dependencies_config all) {
-  if (!c.uwsgi) throw bad_config("parts are gathered for uwsgi requests, and uwsgi is off");
-  for (const upstream::request_plan& p : all.plans) {
-    for (admission_policy::class_settings& k : c.settings.classes)
-      k.calls_dependency = k.calls_dependency || k.name == p.request_class;
+void turn_on_dependencies(config& settings, dependencies_config dependencies) {
+  if (!settings.uwsgi) throw bad_config("parts are gathered for uwsgi requests, and uwsgi is off");
+  for (const upstream::request_plan& plan : dependencies.plans) {
+    for (admission_policy::class_settings& request_class : settings.settings.classes)
+      if (request_class.name == plan.request_class) request_class.calls_dependency = true;
   }
-  c.uwsgi->hash_content = true;
-  c.dependencies = std::move(all);
+  settings.uwsgi->hash_content = true;
+  settings.dependencies = std::move(dependencies);
 }
 
 std::string read_file(const char* path, const char* what) {
@@ -275,12 +304,13 @@
 config load_config() {
   const char* path = std::getenv("PROXY_CONFIG");
   if (path == nullptr) throw bad_config("PROXY_CONFIG is not set");
-  config c = read_config(read_file(path, "PROXY_CONFIG"));
+  config settings = read_config(read_file(path, "PROXY_CONFIG"));
   const char* console = std::getenv("PROXY_CONSOLE");
-  if (!c.console && console != nullptr && *console != '\0') c.console = to_endpoint(console, "PROXY_CONSOLE");
-  heed_own_descriptors(c.bounds);
-  divide_descriptors(c);
-  return c;
+  if (!settings.console && console != nullptr && *console != '\0')
+    settings.console = to_endpoint(console, "PROXY_CONSOLE");
+  apply_descriptor_limit(settings.bounds);
+  divide_descriptors(settings);
+  return settings;
 }
 
 }  // namespace marblewharf
--- a/src/config/operator_file.hpp
+++ b/src/config/operator_file.hpp
@@ -1,6 +1,6 @@
-// The operator's file: settings of our own parts, in lines of `name = value` within sections, `#` comments,
-// and units (`90s`, `64MiB`). libconfuse reads it; what a value means is decided here, and whatever is wrong
-// with one is said with file, line and key.
+// The operator's file: settings beyond the platform's configuration, as `name = value` lines within sections,
+// with
+// `#` comments and units (`90s`, `64MiB`). Readers of the sections are in config/sections.
 #pragma once
 
 #include <string>
@@ -9,7 +9,8 @@
 
 namespace marblewharf {
 
-// Adds what the file says to a configuration that was read from the platform. Throws bad_config.
-void apply_operator_file(config& c, const std::string& path);
+// Adds what the file at `path` says to a configuration that was read from the platform. Throws
+// operator_file_error naming file, line and key of the first fault; `settings` is then not to be used.
+void apply_operator_file(config& settings, const std::string& path);
 
 }  // namespace marblewharf
--- /dev/null
+++ b/src/config/sections/keyed.cpp
@@ -0,0 +1,88 @@
+#include "config/sections/keyed.hpp"
+
+#include <confuse.h>
+
+#include <algorithm>
+#include <cstdint>
+#include <utility>
+
+#include "config/sections/limits.hpp"
+
+namespace marblewharf::sections {
+namespace {
+
+using namespace std::chrono_literals;
+
+// The folder needs room for this many segments at least.
+constexpr std::uint64_t least_segments = 4;
+
+bool any_keyed(const std::vector<std::chrono::nanoseconds>& windows) {
+  return std::any_of(windows.begin(), windows.end(), [](auto window) { return window.count() > 0; });
+}
+
+void read_key_sources(const section& keyed, const config& platform, keyed_config& settings) {
+  settings.uwsgi_var = keyed.text("uwsgi_var");
+  settings.thrift_field = keyed.text("thrift_field");
+  if (settings.uwsgi_var.empty() && settings.thrift_field.empty())
+    keyed.fail("uwsgi_var", "and thrift_field are both missing");
+  if (platform.uwsgi && settings.uwsgi_var.empty()) keyed.fail("uwsgi_var", "is missing, and uwsgi is on");
+  settings.longest_key = keyed.count("longest_key", 8, 1024);
+}
+
+void read_folder_bounds(const section& keyed, keyed_config& settings) {
+  settings.segment = keyed.bytes("segment", std::uint64_t{64} << 10, std::uint64_t{1} << 30);
+  settings.space = keyed.bytes("space", least_segments * settings.segment, std::uint64_t{1} << 50);
+  settings.entries = keyed.count("entries", 16, 100'000'000);
+}
+
+void read_inquiries(const section& keyed, const config& platform, keyed_config& settings) {
+  settings.inquiry_var = keyed.text("inquiry_var");
+  settings.inquiry_value = keyed.text("inquiry_value");
+  if (settings.inquiry_var.empty() != settings.inquiry_value.empty())
+    keyed.fail("inquiry_var", "and inquiry_value go together");
+  if (!settings.inquiry_var.empty() && !platform.uwsgi) keyed.fail("inquiry_var", "is set, and uwsgi is off");
+  settings.inquiry_tries = keyed.small_count("inquiry_tries", 1, 100);
+  settings.inquiry_pause = keyed.duration("inquiry_pause", 1ms, 60s);
+}
+
+}  // namespace
+
+schema keyed_schema() {
+  static cfg_opt_t options[] = {CFG_STR("folder", nullptr, CFGF_NONE),
+                                CFG_STR("scrub", "0s", CFGF_NONE),
+                                CFG_STR("uwsgi_var", nullptr, CFGF_NONE),
+                                CFG_STR("thrift_field", nullptr, CFGF_NONE),
+                                CFG_STR("longest_key", "255", CFGF_NONE),
+                                CFG_STR("space", "1GiB", CFGF_NONE),
+                                CFG_STR("entries", "1000000", CFGF_NONE),
+                                CFG_STR("segment", "8MiB", CFGF_NONE),
+                                CFG_STR("finish_within", "10s", CFGF_NONE),
+                                CFG_STR("retry_disk", "500ms", CFGF_NONE),
+                                CFG_STR("inquiry_var", nullptr, CFGF_NONE),
+                                CFG_STR("inquiry_value", nullptr, CFGF_NONE),
+                                CFG_STR("inquiry_tries", "3", CFGF_NONE),
+                                CFG_STR("inquiry_pause", "200ms", CFGF_NONE),
+                                CFG_END()};
+  return {.name = "keyed", .options = options};
+}
+
+void read_keyed(const parsed_file& file, config& settings, std::vector<std::chrono::nanoseconds> windows) {
+  if (!file.has("keyed")) {
+    if (any_keyed(windows)) file.fail("keyed", "is missing, and a class has keyed = yes");
+    return;
+  }
+  const section keyed = file.only("keyed");
+  keyed_config read;
+  read.windows = std::move(windows);
+  read.folder = keyed.required_text("folder");
+  read_key_sources(keyed, settings, read);
+  read_folder_bounds(keyed, read);
+  read.finish_within = keyed.duration("finish_within", 0s, one_hour);
+  read.retry_disk = keyed.duration("retry_disk", 10ms, one_hour);
+  read_inquiries(keyed, settings, read);
+  read.scrub = keyed.duration("scrub", 0s, longest_background_period);
+  if (!any_keyed(read.windows)) keyed.fail(nullptr, "is on, and no class has keyed = yes");
+  turn_on_keys(settings, std::move(read));
+}
+
+}  // namespace marblewharf::sections
--- /dev/null
+++ b/src/config/sections/parsed_file.cpp
@@ -0,0 +1,105 @@
+#include "config/sections/parsed_file.hpp"
+
+#include <confuse.h>
+
+#include <cerrno>
+#include <cstdarg>
+#include <cstdio>
+#include <cstring>
+#include <optional>
+#include <utility>
+
+#include "config/operator_file_error.hpp"
+
+namespace marblewharf::sections {
+namespace {
+
+struct syntax_fault {
+  int line = 0;
+  std::string text;
+};
+
+// What libconfuse's callbacks report while it parses. It passes them no context, so each thread parses one
+// file at a time and finds its notes here.
+struct parse_notes {
+  option_lines& lines;
+  std::optional<syntax_fault> first_fault;
+};
+thread_local parse_notes* current_notes = nullptr;
+
+int note_line(cfg_t* parsed, cfg_opt_t* option) {
+  current_notes->lines[option] = parsed->line;
+  return 0;
+}
+
+[[gnu::format(printf, 2, 0)]] void note_fault(cfg_t* parsed, const char* format, va_list arguments) {
+  if (current_notes->first_fault) return;
+  constexpr std::size_t longest_text = 512;
+  char text[longest_text];
+  std::vsnprintf(text, sizeof text, format, arguments);
+  current_notes->first_fault = {parsed != nullptr ? parsed->line : 0, text};
+}
+
+cfg_t* make_parser(const std::vector<schema>& schemas) {
+  constexpr cfg_flag_t titled_flags = CFGF_MULTI | CFGF_TITLE | CFGF_NO_TITLE_DUPES;
+  std::vector<cfg_opt_t> kinds;
+  for (const schema& kind : schemas) {
+    const cfg_flag_t flags = kind.titled ? titled_flags : CFGF_NODEFAULT;
+    kinds.push_back(CFG_SEC(kind.name, kind.options, flags));
+  }
+  kinds.push_back(CFG_END());
+  cfg_t* parser = cfg_init(kinds.data(), CFGF_NONE);  // copies the table
+  cfg_set_error_function(parser, note_fault);
+  for (const schema& kind : schemas) {
+    for (const cfg_opt_t* option = kind.options; option->name != nullptr; ++option)
+      cfg_set_validate_func(parser, (std::string(kind.name) + "|" + option->name).c_str(), note_line);
+  }
+  return parser;
+}
+
+}  // namespace
+
+void parsed_file::free_parsed::operator()(cfg_t* parsed) const {
+  cfg_free(parsed);
+}
+
+parsed_file::parsed_file(std::string path, const std::vector<schema>& schemas)
+    : path_(std::move(path)), parsed_(make_parser(schemas)) {
+  parse_notes notes{lines_, std::nullopt};
+  current_notes = &notes;
+  const int outcome = cfg_parse(parsed_.get(), path_.c_str());
+  current_notes = nullptr;
+  if (outcome == CFG_FILE_ERROR)
+    throw operator_file_error({.file = path_,
+                               .line = std::nullopt,
+                               .key = {},
+                               .problem = std::string("cannot be read: ") + std::strerror(errno),
+                               .found = {}});
+  if (outcome == CFG_SUCCESS) return;
+  const syntax_fault fault = notes.first_fault.value_or(syntax_fault{0, "no settings"});
+  throw operator_file_error(
+      {.file = path_, .line = fault.line, .key = {}, .problem = fault.text, .found = {}});
+}
+
+bool parsed_file::has(const char* kind) const {
+  return cfg_size(parsed_.get(), kind) > 0;
+}
+
+section parsed_file::only(const char* kind) const {
+  return {cfg_getsec(parsed_.get(), kind), lines_, path_, kind};
+}
+
+void parsed_file::each(const char* kind,
+                       const std::function<void(const section& one, const std::string& title)>& visit) const {
+  for (unsigned index = 0; index < cfg_size(parsed_.get(), kind); ++index) {
+    cfg_t* one = cfg_getnsec(parsed_.get(), kind, index);
+    const std::string title = cfg_title(one);
+    visit(section(one, lines_, path_, std::string(kind) + " \"" + title + "\""), title);
+  }
+}
+
+void parsed_file::fail(const char* kind, const std::string& problem) const {
+  throw operator_file_error({.file = path_, .line = 0, .key = kind, .problem = problem, .found = {}});
+}
+
+}  // namespace marblewharf::sections
--- /dev/null
+++ b/src/config/sections/uwsgi.cpp
@@ -0,0 +1,42 @@
+#include "config/sections/uwsgi.hpp"
+
+#include <confuse.h>
+
+#include <cstdint>
+#include <utility>
+
+namespace marblewharf::sections {
+namespace {
+
+constexpr std::uint64_t bytes_per_kb = 1024;
+constexpr std::uint64_t least_reserved_bytes = 100;
+constexpr std::uint64_t most_reserved_bytes = 2000 * bytes_per_kb;
+
+}  // namespace
+
+schema uwsgi_schema() {
+  static cfg_opt_t options[] = {CFG_STR("listen", nullptr, CFGF_NONE),
+                                CFG_STR_LIST("servers", nullptr, CFGF_NONE),
+                                CFG_STR("class_var", nullptr, CFGF_NONE),
+                                CFG_STR("tenant_var", nullptr, CFGF_NONE),
+                                CFG_STR("cost_var", nullptr, CFGF_NONE),
+                                CFG_STR("held", "40KiB", CFGF_NONE),
+                                CFG_END()};
+  return {.name = "uwsgi", .options = options};
+}
+
+uwsgi_config read_uwsgi(const parsed_file& file, uwsgi_config mappings) {
+  const section uwsgi = file.only("uwsgi");
+  uwsgi_config settings = std::move(mappings);
+  settings.listen = uwsgi.address("listen", uwsgi.required_text("listen"));
+  settings.servers = uwsgi.addresses("servers");
+  if (settings.servers.empty()) uwsgi.fail("servers", "names no server");
+  settings.request_class.var = uwsgi.required_text("class_var");
+  settings.tenant.var = uwsgi.required_text("tenant_var");
+  settings.cost.var = uwsgi.text("cost_var");
+  const std::uint64_t reserved_bytes = uwsgi.bytes("held", least_reserved_bytes, most_reserved_bytes);
+  settings.reserved_kb = static_cast<double>(reserved_bytes) / static_cast<double>(bytes_per_kb);
+  return settings;
+}
+
+}  // namespace marblewharf::sections
--- a/tests/net/settings_test.cpp
+++ b/tests/net/settings_test.cpp
@@ -6,6 +6,7 @@
 #include <map>
 
 #include "config/operator_file.hpp"
+#include "config/operator_file_error.hpp"
 #include "config/units.hpp"
 #include "harness.hpp"
 
@@ -145,6 +146,37 @@
   }
 }
 
+// The same faults as typed values: file, line, key, problem and what was found.
+void faults_are_typed() {
+  const auto typed_fault = [](const std::string& text) {
+    try {
+      read(text);
+    } catch (const operator_file_error& error) {
+      return error.fault();
+    }
+    CHECK(false);
+    return operator_file_fault{};
+  };
+  const std::string file = work_folder() + "/node.conf";
+  const operator_file_fault value = typed_fault("uwsgi {\n\n  listen = nowhere\n}\n");
+  CHECK(value.file == file && value.line == 3 && value.key == "uwsgi.listen");
+  CHECK(value.problem == "is no host:port" && value.found == "nowhere" && !value.at_section_end);
+  const operator_file_fault absent = typed_fault("keyed {\n  folder = a\n}\n");
+  CHECK(absent.line == 3 && absent.key == "keyed.uwsgi_var" && absent.found.empty() && absent.at_section_end);
+  const operator_file_fault unknown = typed_fault("uwsgi {\n  listne = x\n}\n");
+  CHECK(unknown.line == 2 && unknown.key.empty() && unknown.problem == "no such option 'listne'");
+  const operator_file_fault missing = typed_fault("class kurs-meldung {\n  keyed = yes\n}\n");
+  CHECK(missing.line == 0 && missing.key == "keyed");
+  CHECK(missing.problem == "is missing, and a class has keyed = yes");
+  try {
+    config c = platform();
+    apply_operator_file(c, work_folder() + "/none.conf");
+    CHECK(false);
+  } catch (const operator_file_error& error) {
+    CHECK(!error.fault().line && error.fault().file == work_folder() + "/none.conf");
+  }
+}
+
 // The examples under deploy/ are files that a node starts with.
 void examples() {
   for (const char* name : {"marblewharf.conf", "marblewharf-keyed.conf", "marblewharf-dependencies.conf",
@@ -174,6 +206,7 @@
 int main(int, char** argv) {
   const std::map<std::string, void (*)()> tests = {{"means", means_what_it_says},
                                                    {"faults", names_file_line_and_key},
+                                                   {"typed_faults", faults_are_typed},
                                                    {"units", units},
                                                    {"examples", examples}};
   tests.at(argv[1])();
