--- a/src/runtime/link.hpp
+++ b/src/runtime/link.hpp
@@ -1,116 +1,122 @@
-// The link to the runtime that owns the cores: runs what the dispatcher hands over, across lost links.
+// The link to the runtime that owns the cores: runs what the dispatcher hands over, across lost connections.
 //
-// A lost link loses commands, not runs. Commands on a link are carried out in their order, so the answer to a
-// `gauges` shows that every start before it arrived. After a reconnect the same question, asked behind the
-// replayed notices, shows that every end until then is known; only then is anything settled that was on its
-// way when the link broke.
+// A lost connection loses commands, not runs. The answer to a gauge question shows that every start before it
+// has arrived (runtime/gauge_questions.hpp). After a reconnect the same question, asked behind the repeated
+// notices, shows that every end until then is known; only then is settled what was in flight when the
+// connection broke (runtime/tracked_run.hpp).
 //
 // A move to another address loses nothing: commands are held back, a question shows that all before it have
-// arrived, and only then the new link takes the place of the old one.
+// arrived, and only then the new connection takes the place of the old one.
+//
+//   state         event                                               next state
+//   down          `reconnect_every` has passed since the last attempt  connecting
+//   connecting    the connection is open                               syncing
+//   connecting    no connection within `connect`                       down
+//   syncing       ready notice                                         catching_up
+//   catching_up   answer to the question behind the repeated notices   up
+//   up            a new address is to be tried                         handing_over
+//   handing_over  the new connection is open                           syncing
+//   handing_over  it fails, or is not open within `hand_over`          up
+//   any           ready notice                                         catching_up
+//   any           the connection is lost, or moved while not up        down
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
 
-#include <memory>
+#include <cstdint>
 #include <string>
+#include <string_view>
 #include <unordered_map>
-#include <utility>
 #include <vector>
 
 #include "config/config.hpp"
 #include "core/dispatcher.hpp"
-#include "net/stream.hpp"
+#include "net/reactor.hpp"
+#include "runtime/command_sequence.hpp"
 #include "runtime/messages.hpp"
+#include "runtime/start_estimate.hpp"
+#include "runtime/tracked_run.hpp"
+#include "runtime/transport.hpp"
 #include "telemetry/telemetry.hpp"
 
 namespace marblewharf::runtime {
 
-class link : public backend {
+// Owned by the reactor's thread.
+class link : public backend, private transport_observer {
  public:
-  link(net::reactor& r, const config& settings, dispatcher& d, telemetry::counters& counters);
+  // All that is passed in outlives the link. Throws bad_config where the runtime's host is unknown.
+  link(net::reactor& reactor, const config& settings, dispatcher& requests, telemetry::counters& counters);
   ~link() override;
 
+  // backend
   void run(request_id id, const request& what) override;
   void pause(request_id id) override;
   void resume(request_id id) override;
 
-  // From now on the runtime is there. Runs and the serial of the last notice carry on.
-  void move(const Poco::Net::SocketAddress& to);
+  // From now on the runtime is at `address`. Runs and the serial of the last notice carry on.
+  void move(const Poco::Net::SocketAddress& address);
 
   // Connects, asks for the gauges; returns when it wants to be called again.
   time_point step(time_point now);
 
-  // The runtime has answered and runs what it is handed.
+  // Whether the runtime has answered and runs what it is handed.
   bool up() const { return state_ == state::up || state_ == state::handing_over; }
 
-  // The last gauges; none where they are too old to tell anything.
-  std::vector<double> gauges(time_point now) const;
+  // The last gauges; empty where they are too old to tell anything.
+  std::vector<double> gauges(time_point now) const { return commands_.questions().gauges(now); }
 
  private:
-  class connection;
   enum class state { down, connecting, syncing, catching_up, up, handing_over };
-  enum class sent { no, on_its_way, arrived };
-
-  struct call {
-    request_id id{};
-    std::string label;
-    unsigned request_class = 0;
-    std::string payload;  // until its start has arrived
-    sent start = sent::no;
-    std::uint64_t fence = 0;  // the question whose answer shows that all said of it arrived
-    bool stopped = false;     // wanted
-    bool told_stopped = false;
-    bool sure = true;      // what it was told last has arrived
-    bool probing = false;  // stopped for a moment, to learn whether its start ever arrived
-    std::vector<std::pair<request_id, request>> rivals;  // under the same label, until one is known to run
-  };
-  using calls = std::unordered_map<std::string, call>;
-
-  void on_open(const connection& which);
-  std::size_t on_bytes(std::string_view bytes);
-  void on_lost(const connection& which, const char* why);
-  void lose(const char* why);
-  void drop(std::shared_ptr<connection>& which);
-  void hand_over(time_point now);
-  void stay(time_point now);
-  void on(const ready& n);
-  void on(const end& n);
-  void on(const load& n);
-  void on(const nack& n);
-  void on(const info& n);
-  bool fresh(std::uint64_t serial);
-  void say(const std::string& line);
-  void send_start(call& c);
+
+  // transport_observer
+  void on_connected() override;
+  void on_line(std::string_view line) override;
+  void on_connection_lost(const char* reason) override;
+  void on_successor_lost() override;
+
+  void on_notice(const ready_notice& notice);
+  void on_notice(const end_notice& notice);
+  void on_notice(const gauges_notice& notice);
+  void on_notice(const nack_notice& notice);
+  void on_notice(const info_notice& notice);
+  // False for a notice that was sent again, and read before.
+  bool is_new(std::uint64_t serial);
+
+  void connect(time_point now);
+  void begin_hand_over(time_point now);
+  void connect_successor(time_point now);
+  void keep_current_connection(time_point now);
+
+  void ask_and_settle(time_point now);
+  void send_held_back();
+  void set_stop_wanted(request_id id, bool stop);
+
+  void on_delivered(std::uint64_t question);
+  void mark_delivered(run_table::iterator position);
   void settle();
-  void say_held_back();
-  void on_arrived(std::uint64_t asked);
-  void withdraw(call& c, request_id rival);
-  void set_stopped(request_id id, bool stopped);
-  void say_stopped(call& c);
-  void ask(time_point now);
-  void finish(calls::iterator at, run_end how, std::string_view result, duration elapsed);
+  std::vector<std::string> recover_runs();
+  void recover(tracked_run& run, recovery how);
+  void lose_all_runs();
+  void withdraw_rival(tracked_run& run, request_id rival);
+  void finish(run_table::iterator position, run_end how, std::string_view result, duration elapsed);
 
   net::reactor& reactor_;
   const config& config_;
   dispatcher& dispatcher_;
   telemetry::counters& counters_;
-  Poco::Net::SocketAddress to_;
-  std::shared_ptr<connection> connection_;
-  std::shared_ptr<connection> successor_;  // to a new address, until it stands
-  bool moving_ = false;
+  Poco::Net::SocketAddress address_;
+  transport transport_;
+  command_sequence commands_;
   state state_ = state::down;
-  calls calls_;  // by label
-  std::unordered_map<request_id, std::string> labels_;
-  std::uint64_t last_serial_ = 0;
-  std::uint64_t questions_ = 0;  // asked for gauges so often
-  std::uint64_t settle_at_ = 0;  // the question behind the replayed notices
-  time_point runtime_start_{};   // 0 = not heard yet
-  time_point synced_at_{};       // of the present link
-  time_point next_try_{};
-  time_point since_{};  // of connecting or handing over
-  time_point next_question_{};
-  std::vector<double> gauges_;
-  time_point gauges_at_{};
+  bool moving_ = false;  // up on a connection to an earlier address
+  run_table runs_;
+  std::unordered_map<request_id, std::string> labels_;  // of runs and their rivals
+  std::uint64_t last_serial_ = 0;                       // of the notices read
+  std::uint64_t settling_question_ = 0;  // its answer ends catching_up, or lets the new connection begin
+  start_estimate runtime_start_;
+  time_point sync_sent_at_{};
+  time_point next_attempt_{};  // to connect, or to hand over
+  time_point attempt_began_{};
 };
 
 }  // namespace marblewharf::runtime
--- a/src/runtime/messages.cpp
+++ b/src/runtime/messages.cpp
@@ -1,47 +1,46 @@
 #include "runtime/messages.hpp"
 
-#include <algorithm>
-#include <array>
 #include <charconv>
-#include <cmath>
+#include <chrono>
 
 #include "json/json.hpp"
+#include "runtime/base64.hpp"
 
 namespace marblewharf::runtime {
 namespace {
 
-constexpr std::string_view alphabet = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
+constexpr double longest_elapsed_ms = 1e12;
 
-const json::value& member(const json::value& in, const char* name, json::kind what) {
-  const json::value* found = in.find(name);
-  if (found == nullptr || found->what != what)
+const json::value& member(const json::value& message, const char* name, json::kind kind) {
+  const json::value* found = message.find(name);
+  if (found == nullptr || found->what != kind)
     throw bad_line(std::string("the field ") + name + " is missing or of another type");
   return *found;
 }
 
-std::string text(const json::value& in, const char* name) {
-  return member(in, name, json::kind::string).text;
+std::string text(const json::value& message, const char* name) {
+  return member(message, name, json::kind::string).text;
 }
 
-double to_number(const json::value& v) {
+double to_number(const json::value& number) {
   double parsed = 0;
-  if (std::from_chars(v.text.data(), v.text.data() + v.text.size(), parsed).ec != std::errc{})
+  const char* end = number.text.data() + number.text.size();
+  if (std::from_chars(number.text.data(), end, parsed).ec != std::errc{})
     throw bad_line("a number out of range");
   return parsed;
 }
 
-std::uint64_t serial(const json::value& in) {
-  const std::string& digits = member(in, "serial", json::kind::number).text;
+std::uint64_t serial(const json::value& message) {
+  const std::string& digits = member(message, "serial", json::kind::number).text;
   std::uint64_t parsed = 0;
-  const char* last = digits.data() + digits.size();
-  if (std::from_chars(digits.data(), last, parsed).ptr != last)
-    throw bad_line("the field serial is no count");
+  const char* end = digits.data() + digits.size();
+  if (std::from_chars(digits.data(), end, parsed).ptr != end) throw bad_line("the field serial is no count");
   return parsed;
 }
 
-duration elapsed(const json::value& in) {
-  const double ms = to_number(member(in, "duration", json::kind::number));
-  if (!(ms >= 0 && ms < 1e12)) throw bad_line("the field duration is out of range");
+duration elapsed(const json::value& message) {
+  const double ms = to_number(member(message, "duration", json::kind::number));
+  if (!(ms >= 0 && ms < longest_elapsed_ms)) throw bad_line("the field duration is out of range");
   return std::chrono::duration_cast<duration>(std::chrono::duration<double, std::milli>(ms));
 }
 
@@ -53,101 +52,82 @@
   throw bad_line("an end that is not known: " + word);
 }
 
-std::string command(std::string_view msg, std::string_view call) {
-  return "{\"msg\":\"" + std::string(msg) + "\",\"call\":" + json::quote(call) + "}\n";
+std::string decode_blob(const std::string& blob) {
+  try {
+    return from_base64(blob);
+  } catch (const bad_base64& error) {
+    throw bad_line(error.what());
+  }
 }
 
-}  // namespace
+end_notice decode_end(const json::value& message) {
+  end_notice decoded{
+      serial(message), text(message, "call"), how_of(text(message, "how")), elapsed(message), {}};
+  const json::value* blob = message.find("blob");
+  if (blob != nullptr && blob->what == json::kind::string) decoded.result = decode_blob(blob->text);
+  return decoded;
+}
+
+gauges_notice decode_gauges(const json::value& message) {
+  gauges_notice decoded{text(message, "cookie"), {}};
+  for (const json::value& gauge : member(message, "stats", json::kind::array).items)
+    decoded.gauges.push_back(to_number(gauge));
+  return decoded;
+}
 
-std::optional<notice> decode(std::string_view line) {
-  json::value all;
+nack_notice decode_nack(const json::value& message) {
+  const json::value* label = message.find("call");
+  return {text(message, "how"), label != nullptr ? label->text : std::string()};
+}
+
+json::value parse(std::string_view line) {
   try {
-    all = json::parse(line);
-  } catch (const json::bad_json& e) {
-    throw bad_line(e.what());
-  }
-  const std::string msg = text(all, "msg");
-  if (msg == "ready") return ready{text(all, "how") == "starting", elapsed(all)};
-  if (msg == "end") {
-    end e{serial(all), text(all, "call"), how_of(text(all, "how")), elapsed(all), {}};
-    if (const json::value* blob = all.find("blob"); blob != nullptr && blob->what == json::kind::string)
-      e.result = from_base64(blob->text);
-    return e;
-  }
-  if (msg == "load") {
-    load l{text(all, "cookie"), {}};
-    for (const json::value& v : member(all, "stats", json::kind::array).items)
-      l.stats.push_back(to_number(v));
-    return l;
-  }
-  if (msg == "nack") {
-    const json::value* call = all.find("call");
-    return nack{text(all, "how"), call != nullptr ? call->text : std::string()};
+    return json::parse(line);
+  } catch (const json::bad_json& error) {
+    throw bad_line(error.what());
   }
-  if (msg == "info") return info{serial(all), text(all, "how")};
-  return std::nullopt;
 }
 
-std::string encode_sync(std::uint64_t serial) {
-  return "{\"msg\":\"sync\",\"serial\":" + std::to_string(serial) + "}\n";
+std::string encode_about_run(std::string_view name, std::string_view label) {
+  return "{\"msg\":\"" + std::string(name) + "\",\"call\":" + json::quote(label) + "}\n";
 }
 
-std::string encode_start(std::string_view call, std::string_view service, std::string_view body) {
-  return "{\"msg\":\"start\",\"call\":" + json::quote(call) + ",\"service\":" + json::quote(service) +
-         ",\"blob\":\"" + to_base64(body) + "\"}\n";
+std::string encode_one(const sync_command& sync) {
+  return "{\"msg\":\"sync\",\"serial\":" + std::to_string(sync.last_serial) + "}\n";
 }
 
-std::string encode_stop(std::string_view call) {
-  return command("stop", call);
+std::string encode_one(const start_command& start) {
+  return "{\"msg\":\"" + std::string(start_command_name) + "\",\"call\":" + json::quote(start.label) +
+         ",\"service\":" + json::quote(start.service) + ",\"blob\":\"" + to_base64(start.body) + "\"}\n";
 }
 
-std::string encode_cont(std::string_view call) {
-  return command("cont", call);
+std::string encode_one(const stop_command& stop) {
+  return encode_about_run("stop", stop.label);
 }
 
-std::string encode_gauges(std::string_view cookie) {
-  return "{\"msg\":\"gauges\",\"cookie\":" + json::quote(cookie) + "}\n";
+std::string encode_one(const continue_command& resumed) {
+  return encode_about_run("cont", resumed.label);
 }
 
-std::string to_base64(std::string_view bytes) {
-  std::string out;
-  out.reserve((bytes.size() + 2) / 3 * 4);
-  for (std::size_t i = 0; i < bytes.size(); i += 3) {
-    std::uint32_t group = 0;
-    const std::size_t have = std::min<std::size_t>(3, bytes.size() - i);
-    for (std::size_t j = 0; j < 3; ++j)
-      group = group << 8 | (j < have ? static_cast<std::uint8_t>(bytes[i + j]) : 0u);
-    for (std::size_t j = 0; j < 4; ++j)
-      out.push_back(j <= have ? alphabet[group >> (18 - 6 * j) & 0x3f] : '=');
-  }
-  return out;
-}
-
-std::string from_base64(std::string_view text) {
-  static const std::array<int, 256> digits = [] {
-    std::array<int, 256> table;
-    table.fill(-1);
-    for (std::size_t i = 0; i < alphabet.size(); ++i)
-      table[static_cast<std::uint8_t>(alphabet[i])] = static_cast<int>(i);
-    return table;
-  }();
-  if (text.size() % 4 != 0) throw bad_line("base64 of a broken length");
-  std::size_t padding = 0;
-  while (padding < 2 && padding < text.size() && text[text.size() - 1 - padding] == '=') ++padding;
-  std::string out;
-  out.reserve(text.size() / 4 * 3);
-  std::uint32_t group = 0;
-  for (std::size_t i = 0; i < text.size(); ++i) {
-    const bool pad = i >= text.size() - padding;
-    const int digit = pad ? 0 : digits[static_cast<std::uint8_t>(text[i])];
-    if (digit < 0) throw bad_line("no base64 at character " + std::to_string(i));
-    group = group << 6 | static_cast<std::uint32_t>(digit);
-    if (i % 4 != 3) continue;
-    for (int shift = 16; shift >= 0; shift -= 8) out.push_back(static_cast<char>(group >> shift & 0xff));
-    group = 0;
-  }
-  out.resize(out.size() - padding);
-  return out;
+std::string encode_one(const gauges_command& gauges) {
+  return "{\"msg\":\"gauges\",\"cookie\":" + json::quote(gauges.cookie) + "}\n";
+}
+
+}  // namespace
+
+std::optional<any_notice> decode(std::string_view line) {
+  const json::value message = parse(line);
+  const std::string kind = text(message, "msg");
+  if (kind == "ready") return ready_notice{text(message, "how") == "starting", elapsed(message)};
+  if (kind == "end") return decode_end(message);
+  if (kind == "load") return decode_gauges(message);
+  if (kind == "nack") return decode_nack(message);
+  if (kind == "info") return info_notice{serial(message), text(message, "how")};
+  return std::nullopt;
+}
+
+std::string encode(const any_command& command) {
+  return std::visit([](const auto& one) { return encode_one(one); }, command);
 }
 
 }  // namespace marblewharf::runtime
--- a/src/runtime/messages.hpp
+++ b/src/runtime/messages.hpp
@@ -1,4 +1,4 @@
-// The runtime's JSON lines: typed values to lines and back. No sockets here.
+// The messages between this process and the runtime, and their lines of JSON. Free of I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,47 +13,76 @@
 
 namespace marblewharf::runtime {
 
+// A line that is no message; what() says why.
 struct bad_line : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// Notices of the runtime.
-struct ready {
-  bool starting = false;  // else it was running already when it came up: warm
-  duration up{};          // since its start
+// Notices from the runtime. Those with a serial are sent again after a reconnect, in the order of their
+// serials.
+
+// The first notice on a connection, in answer to sync_command.
+struct ready_notice {
+  bool starting = false;  // false: it was running already when this process connected
+  duration uptime{};
 };
-struct end {
+// A run has ended.
+struct end_notice {
   std::uint64_t serial = 0;
-  std::string call;
+  std::string label;
   run_end how{};
   duration elapsed{};
   std::string result;
 };
-struct load {
-  std::string cookie;
-  std::vector<double> stats;
+// The answer to gauges_command; all commands before that one have been carried out.
+struct gauges_notice {
+  std::string cookie;  // the command's
+  std::vector<double> gauges;
 };
-struct nack {
-  std::string command;
-  std::string call;
+// A command was rejected.
+struct nack_notice {
+  std::string command;  // its name on the wire
+  std::string label;    // of the run it was about; empty: none
 };
-struct info {
+// A text for the log.
+struct info_notice {
   std::uint64_t serial = 0;
   std::string text;
 };
-using notice = std::variant<ready, end, load, nack, info>;
+using any_notice = std::variant<ready_notice, end_notice, gauges_notice, nack_notice, info_notice>;
+
+// Reads a line without its newline; none for a kind of message that is not known here. Throws bad_line.
+std::optional<any_notice> decode(std::string_view line);
 
-// A line without its newline; none for a message that is not known here. Throws bad_line.
-std::optional<notice> decode(std::string_view line);
+// Commands to the runtime, which knows runs by label. The texts that they refer to outlive the call of
+// encode().
+
+// The first command on a connection: asks for the notices behind this serial.
+struct sync_command {
+  std::uint64_t last_serial = 0;
+};
+struct start_command {
+  std::string_view label;
+  std::string_view service;
+  std::string_view body;
+};
+// Pauses a run or ends it for good, as the runtime's settings say.
+struct stop_command {
+  std::string_view label;
+};
+// Goes on with a run that was paused.
+struct continue_command {
+  std::string_view label;
+};
+struct gauges_command {
+  std::string cookie;
+};
+using any_command = std::variant<sync_command, start_command, stop_command, continue_command, gauges_command>;
 
-// Commands, with their newline.
-std::string encode_sync(std::uint64_t serial);
-std::string encode_start(std::string_view call, std::string_view service, std::string_view body);
-std::string encode_stop(std::string_view call);
-std::string encode_cont(std::string_view call);
-std::string encode_gauges(std::string_view cookie);
+// The command's line with its newline.
+std::string encode(const any_command& command);
 
-std::string to_base64(std::string_view bytes);
-std::string from_base64(std::string_view text);  // throws bad_line
+// The name on the wire of a start_command, by which a nack_notice refers to it.
+inline constexpr std::string_view start_command_name = "start";
 
 }  // namespace marblewharf::runtime
--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -6,6 +6,7 @@
 #include "harness.hpp"
 #include "json/json.hpp"
 #include "pcap/reassembly.hpp"
+#include "runtime/base64.hpp"
 #include "runtime/messages.hpp"
 #include "thrift/request.hpp"
 #include "uwsgi/packet.hpp"
