--- a/src/middleware/gathering.cpp
+++ b/src/middleware/gathering.cpp
@@ -146,7 +146,7 @@
     found->second->done = true;
   }
 
-  void apply(const fan_out::notable&) {}  // for the daemon's log
+  void apply(const fan_out::endpoint_changed&) {}  // for the daemon's log
 
   // ---- Threads --------------------------------------------------------------------------------------------
 
