--- /dev/null
+++ b/tests/admission_policy/dependency_call_admission_test.cpp
@@ -0,0 +1,117 @@
+#include "admission_policy/dependency_call_admission.hpp"
+
+#include <gtest/gtest.h>
+
+#include "harness.hpp"
+
+namespace admission_policy::testing {
+namespace {
+
+settings with_fair_calls(double fair_concurrent_calls) {
+  settings given = plain_settings();
+  given.classes[0].calls_dependency = true;
+  given.fair_concurrent_calls = fair_concurrent_calls;
+  given.calls_period = 2s;
+  given.abandoned_call_duration = 200ms;
+  return given;
+}
+
+call_ended succeeded(duration elapsed) {
+  return {1, outcome::ok, elapsed};
+}
+
+request run_until(time_point useful_until) {
+  request made;
+  made.useful_until = useful_until;
+  made.answer_by = useful_until;
+  return made;
+}
+
+TEST(DependencyCallAdmission, KeepsCallsBelowItsShareOfTheFairShare) {
+  const dependency_call_admission calls(with_fair_calls(5));
+  EXPECT_TRUE(calls.may_place(3));
+  EXPECT_FALSE(calls.may_place(4));
+}
+
+TEST(DependencyCallAdmission, PlacesOneCallUnderASmallShareUntilThePeriodIsUsedUp) {
+  dependency_call_admission calls(with_fair_calls(0.5));  // 0.8 call seconds in 2 s
+  EXPECT_TRUE(calls.may_place(0));
+  EXPECT_FALSE(calls.may_place(1));
+  calls.account(1, 0ns, 700ms);
+  EXPECT_FALSE(calls.may_place(0));
+  calls.account(0, 700ms, 2800ms);
+  EXPECT_TRUE(calls.may_place(0));
+}
+
+TEST(DependencyCallAdmission, CountsAnAbandonedCallForAWhile) {
+  dependency_call_admission calls(with_fair_calls(1));
+  calls.abandoned(0ns);
+  EXPECT_FALSE(calls.may_place(0));
+  calls.account(0, 0ns, 200ms);
+  EXPECT_TRUE(calls.may_place(0));
+}
+
+TEST(DependencyCallAdmission, IsJammedWhenRoundTripsGrowFarBeyondTheBest) {
+  dependency_call_admission calls(with_fair_calls(10));
+  for (int i = 0; i < 10; ++i) calls.call_ended(succeeded(10ms), false, 10ms * i);
+  EXPECT_FALSE(calls.jammed());
+  for (int i = 0; i < 10; ++i) calls.call_ended(succeeded(100ms), false, 1s + 10ms * i);
+  EXPECT_TRUE(calls.jammed());
+}
+
+TEST(DependencyCallAdmission, TakesAboutTwoSecondsOfTheCapAsDebt) {
+  dependency_call_admission calls(with_fair_calls(4));  // a cap of 1 call in the mean
+  calls.call_ended(succeeded(100ms), false, 0ns);
+  calls.account(3, 0ns, 5s);  // debt: 10 call seconds, of which 2 count
+  EXPECT_NEAR(calls.wait_seconds(0, 0), 2, 1e-9);
+}
+
+TEST(DependencyCallAdmission, TriesACallThreeTimesAndFailsIt) {
+  const dependency_call_admission calls(with_fair_calls(4));
+  const class_settings plain = plain_settings().classes[0];
+  request run = run_until(1s);
+  run.call_failures = 2;
+  EXPECT_EQ(calls.decide({run, plain, 0, false, 10ms}, 0, 0ns), call_decision::wait);
+  run.call_failures = 3;
+  EXPECT_EQ(calls.decide({run, plain, 0, false, 10ms}, 0, 0ns), call_decision::fail);
+}
+
+TEST(DependencyCallAdmission, SkipsACallThatCannotComeInTimeWhereThatKeepsWeight) {
+  dependency_call_admission calls(with_fair_calls(4));
+  calls.call_ended(succeeded(500ms), false, 0ns);
+  class_settings skippable = plain_settings().classes[0];
+  const request run = run_until(400ms);
+  EXPECT_EQ(calls.decide({run, skippable, 0, false, 10ms}, 0, 0ns), call_decision::fail);
+  skippable.weight_without_call = 0.5;
+  EXPECT_EQ(calls.decide({run, skippable, 0, false, 10ms}, 0, 0ns), call_decision::skip);
+}
+
+TEST(DependencyCallAdmission, LimitsTheTimeOfACallByTheRestOfTheRunWithoutIt) {
+  const dependency_call_admission calls(with_fair_calls(4));
+  class_settings skippable = plain_settings().classes[0];
+  const request run = run_until(400ms);
+  EXPECT_EQ(calls.time_limit({run, skippable, 0, false, 150ms}, 0, 0ns), 400ms);
+  skippable.weight_without_call = 0.5;
+  EXPECT_EQ(calls.time_limit({run, skippable, 0, false, 150ms}, 0, 0ns), 250ms);
+}
+
+TEST(DependencyCallAdmission, DoublesTheDelayBetweenAttempts) {
+  dependency_call_admission calls(with_fair_calls(4));
+  calls.call_ended(succeeded(100ms), false, 0ns);
+  EXPECT_EQ(calls.retry_delay(1), 100ms);
+  EXPECT_EQ(calls.retry_delay(3), 400ms);
+  EXPECT_EQ(calls.retry_delay(20), calls.retry_delay(8));
+}
+
+TEST(DependencyCallAdmission, ExpectsTheCallsThatRunsOfTheClassMade) {
+  dependency_call_admission calls(with_fair_calls(4));
+  request run = run_until(1s);
+  EXPECT_EQ(calls.expected_calls(run), 1);
+  calls.note_run_end(0, 9);
+  EXPECT_EQ(calls.expected_calls(run), 2);  // one eighth of the way to nine
+  run.calls_made = 3;
+  EXPECT_EQ(calls.expected_calls(run), 0);
+}
+
+}  // namespace
+}  // namespace admission_policy::testing
--- /dev/null
+++ b/tests/admission_policy/memory_guard_test.cpp
@@ -0,0 +1,52 @@
+#include "admission_policy/memory_guard.hpp"
+
+#include <gtest/gtest.h>
+
+#include "harness.hpp"
+
+namespace admission_policy::testing {
+namespace {
+
+// 1000 KB; a run takes four times what it reserved; a key takes 10 KB.
+memory_guard guard_of(double memory_kb) {
+  settings given = plain_settings();
+  given.memory_kb = memory_kb;
+  given.running_memory_factor = 4;
+  given.idempotency_key_kb = 10;
+  return memory_guard(given);
+}
+
+TEST(MemoryGuard, StartsRunsUpToThreeQuartersOfTheMemory) {
+  memory_guard memory = guard_of(1000);
+  memory.book(450);
+  EXPECT_TRUE(memory.fits_as_run(100));  // three times 100 KB come on top
+  memory.book(1);
+  EXPECT_FALSE(memory.fits_as_run(100));
+}
+
+TEST(MemoryGuard, IsExceededAboveItsShareAndNotAfterRelease) {
+  memory_guard memory = guard_of(1000);
+  memory.book(850);
+  EXPECT_FALSE(memory.exceeded());
+  memory.book_key();
+  EXPECT_TRUE(memory.exceeded());
+  memory.release_key();
+  EXPECT_FALSE(memory.exceeded());
+}
+
+TEST(MemoryGuard, RetainsKeysUpToHalfOfTheMemory) {
+  const memory_guard memory = guard_of(1000);
+  EXPECT_TRUE(memory.fits_another_key(49));
+  EXPECT_FALSE(memory.fits_another_key(50));
+}
+
+TEST(MemoryGuard, LimitsNothingWhereNoMemoryIsStated) {
+  memory_guard memory = guard_of(0);
+  memory.book(1e9);
+  EXPECT_TRUE(memory.fits_as_run(1e9));
+  EXPECT_TRUE(memory.fits_another_key(1000000));
+  EXPECT_FALSE(memory.exceeded());
+}
+
+}  // namespace
+}  // namespace admission_policy::testing
--- /dev/null
+++ b/tests/admission_policy/request_table_test.cpp
@@ -0,0 +1,75 @@
+#include "admission_policy/request_table.hpp"
+
+#include <gtest/gtest.h>
+
+#include "harness.hpp"
+
+namespace admission_policy::testing {
+namespace {
+
+request queued_request(request_id id, time_point finish_tag) {
+  request made;
+  made.id = id;
+  made.finish_tag = finish_tag;
+  return made;
+}
+
+TEST(RequestTable, OrdersTheQueueByFinishTagAndTiesByArrival) {
+  request_table table;
+  table.enqueue(queued_request(1, 20ms));
+  table.enqueue(queued_request(3, 10ms));
+  table.enqueue(queued_request(2, 10ms));
+  const request_table::index expected = {{10ms, 2}, {10ms, 3}, {20ms, 1}};
+  EXPECT_EQ(table.queue(), expected);
+}
+
+TEST(RequestTable, KeepsARequestInTheIndexOfItsStateOnly) {
+  request_table table;
+  request& moved = table.enqueue(queued_request(1, 0ns));
+  table.move(moved, request_state::running);
+  EXPECT_TRUE(table.queue().empty());
+  EXPECT_EQ(table.running().size(), 1u);
+  table.move(moved, request_state::awaiting_call);
+  EXPECT_TRUE(table.running().empty());
+  EXPECT_EQ(table.awaiting_call().size(), 1u);
+  table.move(moved, request_state::in_call);
+  EXPECT_TRUE(table.awaiting_call().empty());
+  EXPECT_EQ(table.in_call(), 1u);
+  table.move(moved, request_state::ending);
+  EXPECT_EQ(table.in_call(), 0u);
+  EXPECT_EQ(table.started(), 1u);
+}
+
+TEST(RequestTable, CountsAsStartedWhatIsNeitherQueuedNorSharing) {
+  request_table table;
+  table.enqueue(queued_request(1, 0ns));
+  table.move(table.enqueue(queued_request(2, 0ns)), request_state::sharing_result);
+  table.move(table.enqueue(queued_request(3, 0ns)), request_state::running);
+  table.move(table.enqueue(queued_request(4, 0ns)), request_state::in_call);
+  EXPECT_EQ(table.started(), 2u);
+}
+
+TEST(RequestTable, ReturnsRequestsInTheOrderOfTheirDeadlines) {
+  request_table table;
+  table.set_deadline(table.enqueue(queued_request(1, 0ns)), 30ms);
+  table.set_deadline(table.enqueue(queued_request(2, 0ns)), 20ms);
+  table.set_deadline(table.at(1), 10ms);  // replaces the one before
+  EXPECT_EQ(table.next_deadline(), 10ms);
+  EXPECT_EQ(table.next_due(9ms), nullptr);
+  EXPECT_EQ(table.next_due(10ms)->id, 1u);
+  table.clear_deadline(table.at(1));
+  EXPECT_EQ(table.next_due(30ms)->id, 2u);
+}
+
+TEST(RequestTable, ForgetsARemovedRequestAndItsDeadline) {
+  request_table table;
+  request& ended = table.enqueue(queued_request(1, 0ns));
+  table.set_deadline(ended, 10ms);
+  table.move(ended, request_state::sharing_result);
+  table.remove(ended);
+  EXPECT_EQ(table.find(1), nullptr);
+  EXPECT_FALSE(table.next_deadline().has_value());
+}
+
+}  // namespace
+}  // namespace admission_policy::testing
