--- a/src/admission_policy/answers.cpp
+++ b/src/admission_policy/answers.cpp
@@ -13,7 +13,7 @@
 
 duration policy::impl::retry_advice() const {
   double queued_work = 0;
-  for (const auto& [tag, id] : requests_.queue()) queued_work += requests_.at(id).work;
+  for (const auto& queued : requests_.queue()) queued_work += queued.entry->work;
   return advised_retry_after(queued_work, time_per_unit(), limiter_.limit(), settings_.max_retry_after);
 }
 
--- a/src/admission_policy/decisions.cpp
+++ b/src/admission_policy/decisions.cpp
@@ -21,7 +21,7 @@
 void policy::impl::shed_for_memory() {
   while (memory_.exceeded() && !requests_.queue().empty()) {
     load_signal_.note_shed();
-    reject_request(requests_.at(requests_.queue().rbegin()->second));
+    reject_request(*requests_.queue().rbegin()->entry);
   }
 }
 
@@ -42,7 +42,7 @@
   const double per_unit = time_per_unit();
   double calls_ahead = 0;
   for (auto next = waiting.begin(); next != waiting.end();) {
-    request& run = requests_.at((next++)->second);
+    request& run = *(next++)->entry;
     const duration remaining = from_seconds(remaining_seconds(run, run.left_core, per_unit));
     const waiting_call call{run, class_of(run), calls_ahead, waiting.size() == 1, remaining};
     switch (calls_.decide(call, requests_.in_call(), now_)) {
@@ -72,7 +72,7 @@
   load.best_time_per_unit = service_times_.best_time_per_unit();
   queue_forecast forecast(load, requests_, calls_, now_);
   for (auto next = queue.begin(); next != queue.end();) {
-    request& queued = requests_.at((next++)->second);
+    request& queued = *(next++)->entry;
     const class_settings& its_class = class_of(queued);
     if (!forecast.misses_objective(queued, its_class)) continue;
     load_signal_.note_shed();
@@ -86,7 +86,7 @@
   const bool none = quota_.max_concurrent_runs >= 0 && quota_.max_concurrent_runs < 1;
   if (!none) return;
   while (!requests_.queue().empty()) {
-    request& first = requests_.at(requests_.queue().begin()->second);
+    request& first = *requests_.queue().begin()->entry;
     reject_request(first, {.least_retry_after = quota_.next_quota_in});
   }
 }
@@ -96,7 +96,7 @@
   for (auto next = waiting.begin(); next != waiting.end();) {
     const unsigned in_flight = requests_.in_call();
     if (!calls_.may_place(in_flight)) return;
-    request& run = requests_.at((next++)->second);
+    request& run = *(next++)->entry;
     if (run.next_call_after > now_) continue;
     const duration remaining = from_seconds(remaining_seconds(run, run.left_core, time_per_unit()));
     const duration limit = calls_.time_limit({run, class_of(run), 0, false, remaining}, in_flight, now_);
@@ -108,7 +108,7 @@
 // The smallest finish tag starts.
 void policy::impl::start_queued_requests() {
   while (!requests_.queue().empty() && has_start_slot()) {
-    request& next = requests_.at(requests_.queue().begin()->second);
+    request& next = *requests_.queue().begin()->entry;
     if (!memory_.fits_as_run(next.reserved_kb)) return;
     curves_.started(next.tenant, next.start_tag);
     next.ran = true;
@@ -174,8 +174,8 @@
 // A stop that fell on frozen cores had no effect.
 void policy::impl::repeat_stops() {
   if (!can_stop_runs()) return;
-  for (const auto& [since, id] : requests_.running()) {
-    if (requests_.at(id).answered) act(stop_run{id});
+  for (const auto& run : requests_.running()) {
+    if (run.entry->answered) act(stop_run{run.id});
   }
 }
 
--- a/src/admission_policy/load_shedder.cpp
+++ b/src/admission_policy/load_shedder.cpp
@@ -27,10 +27,9 @@
       now_(now),
       calls_ahead_(static_cast<double>(requests.awaiting_call().size())),
       unconditional_starts_(unconditional_starts(load, requests.running().size())) {
-  for (const auto& [since, id] : requests.running()) {
-    const request& run = requests.at(id);
-    calls_ahead_ += calls.expected_calls(run);
-    work_ahead_s_ += remaining_seconds(run, now, load.time_per_unit);
+  for (const auto& running : requests.running()) {
+    calls_ahead_ += calls.expected_calls(*running.entry);
+    work_ahead_s_ += remaining_seconds(*running.entry, now, load.time_per_unit);
   }
   const double free_slots = std::max(0.0, load.slots - static_cast<double>(requests.running().size()));
   work_ahead_s_ -= load.time_per_unit * free_slots;
--- a/src/admission_policy/policy.cpp
+++ b/src/admission_policy/policy.cpp
@@ -79,8 +79,8 @@
   overload_.pass(gap);
   const double running = static_cast<double>(requests_.running().size());
   const double runs_per_core = std::max(1.0, running / settings_.cores);
-  for (const auto& [since, id] : requests_.running()) {
-    const double run_seconds = requests_.at(id).work * service_times_.best_time_per_unit() * runs_per_core;
+  for (const auto& run : requests_.running()) {
+    const double run_seconds = run.entry->work * service_times_.best_time_per_unit() * runs_per_core;
     watchdog_.expect_run_ends(to_seconds(gap) / run_seconds);
   }
   service_times_.add_core_time(to_seconds(gap) * running);
--- a/src/admission_policy/request_table.cpp
+++ b/src/admission_policy/request_table.cpp
@@ -34,39 +34,43 @@
 void request_table::set_deadline(request& of, time_point deadline) {
   clear_deadline(of);
   of.deadline = deadline;
-  deadlines_.emplace(deadline, of.id);
+  deadlines_.insert({deadline, of.id, &of});
 }
 
-void request_table::clear_deadline(const request& of) {
-  deadlines_.erase({of.deadline, of.id});
+void request_table::clear_deadline(request& of) {
+  deadlines_.erase({of.deadline, of.id, &of});
 }
 
 std::optional<time_point> request_table::next_deadline() const {
   if (deadlines_.empty()) return std::nullopt;
-  return deadlines_.begin()->first;
+  return deadlines_.begin()->time;
 }
 
 request* request_table::next_due(time_point now) {
-  if (deadlines_.empty() || deadlines_.begin()->first > now) return nullptr;
-  return &requests_.at(deadlines_.begin()->second);
+  if (deadlines_.empty() || deadlines_.begin()->time > now) return nullptr;
+  return deadlines_.begin()->entry;
 }
 
-void request_table::leave(const request& leaving) {
+void request_table::leave(request& leaving) {
   switch (leaving.state) {
-    case request_state::queued: queue_.erase({leaving.finish_tag, leaving.id}); break;
-    case request_state::running: running_.erase({leaving.running_since, leaving.id}); break;
-    case request_state::awaiting_call: awaiting_call_.erase({leaving.finish_tag, leaving.id}); break;
+    case request_state::queued: queue_.erase({leaving.finish_tag, leaving.id, &leaving}); break;
+    case request_state::running: running_.erase({leaving.running_since, leaving.id, &leaving}); break;
+    case request_state::awaiting_call:
+      awaiting_call_.erase({leaving.finish_tag, leaving.id, &leaving});
+      break;
     case request_state::in_call: --in_call_; break;
     case request_state::sharing_result:
     case request_state::ending: break;
   }
 }
 
-void request_table::enter(const request& entering) {
+void request_table::enter(request& entering) {
   switch (entering.state) {
-    case request_state::queued: queue_.emplace(entering.finish_tag, entering.id); break;
-    case request_state::running: running_.emplace(entering.running_since, entering.id); break;
-    case request_state::awaiting_call: awaiting_call_.emplace(entering.finish_tag, entering.id); break;
+    case request_state::queued: queue_.insert({entering.finish_tag, entering.id, &entering}); break;
+    case request_state::running: running_.insert({entering.running_since, entering.id, &entering}); break;
+    case request_state::awaiting_call:
+      awaiting_call_.insert({entering.finish_tag, entering.id, &entering});
+      break;
     case request_state::in_call: ++in_call_; break;
     case request_state::sharing_result:
     case request_state::ending: break;
--- a/src/admission_policy/request_table.hpp
+++ b/src/admission_policy/request_table.hpp
@@ -20,7 +20,6 @@
 #include <map>
 #include <optional>
 #include <set>
-#include <utility>
 
 #include "admission_policy/policy.hpp"
 
@@ -58,17 +57,31 @@
 
 class request_table {
  public:
-  // A time and the id of a request, which breaks ties in order of arrival.
-  using timed_id = std::pair<time_point, request_id>;
-  using index = std::set<timed_id>;
+  // An entry of an index: a request at a time. Ids break ties, in order of arrival. The request is in the
+  // table as long as the entry is in its index.
+  struct timed_request {
+    time_point time{};
+    request_id id{};
+    request* entry = nullptr;
+
+    bool operator<(const timed_request& other) const {
+      return time != other.time ? time < other.time : id < other.id;
+    }
+  };
+  using index = std::set<timed_request>;
+
+  request_table() = default;
+  request_table(const request_table&) = delete;
+  request_table& operator=(const request_table&) = delete;
+  request_table(request_table&&) = default;
+  request_table& operator=(request_table&&) = default;
+  ~request_table() = default;
 
   // Adds a queued request. Its id must not be in the table; the reference stays valid until it is removed.
   request& enqueue(const request& added);
 
   // Null where the id is not in the table.
   request* find(request_id id);
-  request& at(request_id id) { return requests_.at(id); }
-  const request& at(request_id id) const { return requests_.at(id); }
   std::map<request_id, request>& all() { return requests_; }
 
   void move(request& moved, request_state to);
@@ -84,14 +97,14 @@
 
   // When the request is to be looked at next; a later call replaces an earlier one.
   void set_deadline(request& of, time_point deadline);
-  void clear_deadline(const request& of);
+  void clear_deadline(request& of);
   std::optional<time_point> next_deadline() const;
   // A request whose deadline is not after `now`, the earliest first; null where there is none.
   request* next_due(time_point now);
 
  private:
-  void leave(const request& leaving);
-  void enter(const request& entering);
+  void leave(request& leaving);
+  void enter(request& entering);
 
   std::map<request_id, request> requests_;
   index queue_;
--- a/src/admission_policy/service_time_estimator.cpp
+++ b/src/admission_policy/service_time_estimator.cpp
@@ -53,9 +53,9 @@
 double service_time_estimator::time_per_unit(const request_table& requests, time_point now) const {
   const double ended_only = core_seconds_ / units_done_;
   double done = units_done_;
-  for (const auto& [since, id] : requests.running()) {
-    const double work = requests.at(id).work;
-    const double elapsed_share = to_seconds(now - since) / (work * ended_only);
+  for (const auto& running : requests.running()) {
+    const double work = running.entry->work;
+    const double elapsed_share = to_seconds(now - running.time) / (work * ended_only);
     done += work * elapsed_share / (1 + elapsed_share);
   }
   const double prior = work_is_stated_ ? 0 : prior_runs;
--- a/tests/admission_policy/idle_connection_advisor_test.cpp
+++ b/tests/admission_policy/idle_connection_advisor_test.cpp
@@ -28,10 +28,22 @@
   EXPECT_EQ(keeping->after, 0ns);
 }
 
-TEST(IdleConnectionAdvisor, CountsACallerThatComesBackAfterSecondsAsNew) {
+TEST(IdleConnectionAdvisor, CountsACallerThatComesBackAfterFiveSecondsAsNew) {
+  idle_connection_advisor soon;
+  idle_connection_advisor late;
+  for (int i = 0; i < 100; ++i) {
+    soon.note_arrival(1, i * 4999ms);
+    late.note_arrival(1, i * 5000ms);
+  }
+  EXPECT_FALSE(soon.evaluate(500s).has_value());
+  EXPECT_TRUE(late.evaluate(500s).has_value());
+}
+
+TEST(IdleConnectionAdvisor, KeepsConnectionsWhileHalfOfTheCallersReturn) {
   idle_connection_advisor advisor;
-  for (int i = 0; i < 100; ++i) advisor.note_arrival(1, i * 6s);
-  EXPECT_TRUE(advisor.evaluate(600s).has_value());
+  unsigned new_caller = 0;
+  while (!advisor.evaluate(0ns)) advisor.note_arrival(++new_caller, 0ns);
+  EXPECT_EQ(new_caller, 35u);  // 0.98 to the 35th is the first power below one half
 }
 
 }  // namespace
--- a/tests/admission_policy/request_table_test.cpp
+++ b/tests/admission_policy/request_table_test.cpp
@@ -19,8 +19,9 @@
   table.enqueue(queued_request(1, 20ms));
   table.enqueue(queued_request(3, 10ms));
   table.enqueue(queued_request(2, 10ms));
-  const request_table::index expected = {{10ms, 2}, {10ms, 3}, {20ms, 1}};
-  EXPECT_EQ(table.queue(), expected);
+  std::vector<request_id> order;
+  for (const auto& queued : table.queue()) order.push_back(queued.entry->id);
+  EXPECT_EQ(order, (std::vector<request_id>{2, 3, 1}));
 }
 
 TEST(RequestTable, KeepsARequestInTheIndexOfItsStateOnly) {
@@ -53,11 +54,11 @@
   request_table table;
   table.set_deadline(table.enqueue(queued_request(1, 0ns)), 30ms);
   table.set_deadline(table.enqueue(queued_request(2, 0ns)), 20ms);
-  table.set_deadline(table.at(1), 10ms);  // replaces the one before
+  table.set_deadline(*table.find(1), 10ms);  // replaces the one before
   EXPECT_EQ(table.next_deadline(), 10ms);
   EXPECT_EQ(table.next_due(9ms), nullptr);
   EXPECT_EQ(table.next_due(10ms)->id, 1u);
-  table.clear_deadline(table.at(1));
+  table.clear_deadline(*table.find(1));
   EXPECT_EQ(table.next_due(30ms)->id, 2u);
 }
 
