--- a/bench/keyed_bench.cpp
+++ b/bench/keyed_bench.cpp
@@ -1,4 +1,4 @@
-// Measures the keyed results: one table, each line a ratio or a figure of this run on this machine.
+// Measures idempotency: one table, each line a ratio or a figure of this run on this machine.
 //
 //   marblewharf_keyed_bench [FOLDER]    FOLDER: on the disk to measure; a new folder is made in it (default
 //   /tmp)
@@ -144,8 +144,7 @@
   line("the index's slots, for an entry", slack / entries, "bytes");
 }
 
-// ---- The reactor's step while the disk is slow
-// -------------------------------------------------------------
+// ---- The reactor's step while the disk is slow ------------------------------------------------------------
 
 class slow_disk : public store::posix_file_system {
  public:
--- a/models/idempotency.pml
+++ b/models/idempotency.pml
@@ -1,61 +1,62 @@
-/* A keyed write (src/keyed): its intent is on disk before it runs, its result before it is told; crashes at any point, and
- * repeats; checked exhaustively by Spin: the effect happens at most once, and a result that was told is told again, always.
+/* A keyed write (src/idempotency): its intent is durable before it runs, its result before anybody is answered; crashes at
+ * any point, and duplicates; checked exhaustively by Spin: the effect happens at most once, and once a result was
+ * answered, every later answer is the same.
  *
  * Each -D takes one part away; Spin must then find two effects, or two answers (tests/models.cmake).
- *   RUN_FIRST     the run begins before the intent is on disk
- *   TELL_FIRST    the answer goes out before the result is on disk
- *   RUN_IN_DOUBT  a repeat of a write that is in doubt runs it again
- *   NO_JOIN       a repeat that comes while the first one runs begins a run of its own
+ *   RUN_BEFORE_INTENT       the run begins before the intent is durable
+ *   RESPOND_BEFORE_RESULT   the answer goes out before the result is durable
+ *   RERUN_OUTCOME_UNKNOWN   a duplicate of a write whose outcome is unknown runs it again
+ *   NO_COALESCING           a duplicate that arrives while the primary runs begins a run of its own
  */
-#define REPEATS 4
+#define REQUESTS 4
 #define CRASHES 3
 
 bit intent, result;          /* on disk */
-byte told_on_disk;           /* the result that stands there: the number of the run */
+byte result_on_disk;           /* the result: the number of its run */
 bit knows_intent, knows_result, runs, ended; /* in memory */
-byte runs_begun, effects, callers, crashes, told;
+byte runs_begun, effects, requests, crashes, answered;
 
-inline answer(with) {
-  assert(told == 0 || told == with);
-  told = with
+inline respond(with) {
+  assert(answered == 0 || answered == with);
+  answered = with
 }
 
 active proctype node() {
   do
-  :: atomic { callers < REPEATS -> /* a caller comes */
-       callers++;
+  :: atomic { requests < REQUESTS -> /* a request arrives */
+       requests++;
        if
-       :: knows_result -> answer(told_on_disk)
-#ifndef NO_JOIN
-       :: !knows_result && (runs || knows_intent) && !(knows_intent && !runs) -> skip /* waits for the run */
+       :: knows_result -> respond(result_on_disk)
+#ifndef NO_COALESCING
+       :: !knows_result && (runs || knows_intent) && !(knows_intent && !runs) -> skip /* coalesced: waits for the run */
 #endif
-       :: !knows_result && knows_intent && !runs -> /* in doubt, after a crash */
-#ifdef RUN_IN_DOUBT
+       :: !knows_result && knows_intent && !runs -> /* outcome unknown, after a crash */
+#ifdef RERUN_OUTCOME_UNKNOWN
             runs = 1; runs_begun++; ended = 0
 #else
-            skip                     /* told that it is in doubt */
+            skip                     /* answered that the outcome is unknown */
 #endif
        :: !knows_result && !knows_intent && !runs ->
-#ifdef RUN_FIRST
+#ifdef RUN_BEFORE_INTENT
             runs = 1; runs_begun++; ended = 0
 #else
             intent = 1; knows_intent = 1; runs = 1; runs_begun++; ended = 0
 #endif
-#ifdef NO_JOIN
+#ifdef NO_COALESCING
        :: !knows_result && runs -> runs_begun++; effects++; assert(effects <= 1)
 #endif
        fi
      }
-#ifdef RUN_FIRST
+#ifdef RUN_BEFORE_INTENT
   :: atomic { runs && !knows_intent -> intent = 1; knows_intent = 1 }
 #endif
   :: atomic { runs && !ended -> effects++; assert(effects <= 1); ended = 1 } /* the run does its work */
-#ifdef TELL_FIRST
-  :: atomic { runs && ended -> answer(runs_begun) }
+#ifdef RESPOND_BEFORE_RESULT
+  :: atomic { runs && ended -> respond(runs_begun) }
 #endif
-  :: atomic { runs && ended && knows_intent -> /* the result is on disk, then told */
-       result = 1; told_on_disk = runs_begun; knows_result = 1; runs = 0;
-       answer(runs_begun)
+  :: atomic { runs && ended && knows_intent -> /* the result is durable, then answered */
+       result = 1; result_on_disk = runs_begun; knows_result = 1; runs = 0;
+       respond(runs_begun)
      }
   :: atomic { crashes < CRASHES -> /* memory is gone; what runs may have had its effect or not */
        crashes++;
@@ -63,9 +64,9 @@
        :: runs && !ended -> effects++; assert(effects <= 1)
        :: true
        fi;
-#ifdef TELL_FIRST
+#ifdef RESPOND_BEFORE_RESULT
        if
-       :: told != 0 -> assert(result) /* what was told is known at the next start */
+       :: answered != 0 -> assert(result) /* what was answered is known at the next start */
        :: else
        fi;
 #endif
--- a/src/core/duplicate_coalescer.cpp
+++ b/src/core/duplicate_coalescer.cpp
@@ -37,40 +37,46 @@
 // ---- Arrivals ---------------------------------------------------------------------------------------------
 
 void duplicate_coalescer::on_arrival(request_entry& arrival) {
-  const request_id id = arrival.id;
-  const claim_result claim = store_->claim(id, arrival.what);
+  const claim_result claim = store_->claim(arrival.id, arrival.what);
   switch (claim.status) {
-    case claim_status::primary:
-    case claim_status::inquiry_primary: {
-      const bool inquires = claim.status == claim_status::inquiry_primary;
-      arrival.role = request_role::primary;
-      arrival.group = std::make_unique<coalesced_group>();
-      arrival.group->stage = inquires ? group_stage::inquiring : group_stage::queued;
-      arrival.group->respond_by = now_ - arrival.what.read_delay +
-                                  settings_.classes[arrival.what.request_class].deadline - response_margin;
-      admission_.report(arrived{id, &arrival.what, inquires ? id : 0});
-      break;
-    }
-    case claim_status::coalesced:
-      arrival.role = request_role::duplicate;
-      arrival.primary_id = claim.primary;
-      requests_.find(claim.primary)->group->duplicates.push_back(id);
-      admission_.report(arrived{id, &arrival.what, claim.primary});
-      break;
+    case claim_status::primary: add_primary(arrival, group_stage::queued); break;
+    case claim_status::inquiry_primary: add_primary(arrival, group_stage::inquiring); break;
+    case claim_status::coalesced: add_duplicate(arrival, claim.primary); break;
     case claim_status::completed:
       arrival.role = request_role::stored_result_reader;
-      admission_.report(arrived{id, &arrival.what, id});
+      admission_.report(arrived{arrival.id, &arrival.what, arrival.id});
       break;
-    // The front is answered at the next step: it learns the request's id only when this call returns.
-    case claim_status::outcome_unknown: immediate_answers_.push_back({id, answer_outcome_unknown}); break;
-    case claim_status::key_conflict: immediate_answers_.push_back({id, answer_key_conflict}); break;
+    case claim_status::outcome_unknown: respond_at_next_step(arrival, answer_outcome_unknown); break;
+    case claim_status::key_conflict: respond_at_next_step(arrival, answer_key_conflict); break;
     case claim_status::no_capacity:
-      immediate_answers_.push_back(
-          {id, {.status = response_status::rejected, .retry_after = claim.retry_after}});
+      respond_at_next_step(arrival, {.status = response_status::rejected, .retry_after = claim.retry_after});
       break;
   }
 }
 
+void duplicate_coalescer::add_primary(request_entry& arrival, group_stage stage) {
+  const duration deadline = settings_.classes[arrival.what.request_class].deadline;
+  arrival.role = request_role::primary;
+  arrival.group = std::make_unique<coalesced_group>();
+  arrival.group->stage = stage;
+  arrival.group->respond_by = now_ - arrival.what.read_delay + deadline - response_margin;
+  // To the policy, an inquiry shares the outcome of the request itself.
+  const request_id duplicate_of = stage == group_stage::inquiring ? arrival.id : 0;
+  admission_.report(arrived{arrival.id, &arrival.what, duplicate_of});
+}
+
+void duplicate_coalescer::add_duplicate(request_entry& arrival, request_id primary_id) {
+  arrival.role = request_role::duplicate;
+  arrival.primary_id = primary_id;
+  requests_.find(primary_id)->group->duplicates.push_back(arrival.id);
+  admission_.report(arrived{arrival.id, &arrival.what, primary_id});
+}
+
+// The front learns the request's id only when its arrival has been handled.
+void duplicate_coalescer::respond_at_next_step(const request_entry& arrival, const answer& final) {
+  immediate_answers_.push_back({arrival.id, final});
+}
+
 // ---- The primary's run ------------------------------------------------------------------------------------
 
 void duplicate_coalescer::start_primary(request_entry& primary) {
--- a/src/core/duplicate_coalescer.hpp
+++ b/src/core/duplicate_coalescer.hpp
@@ -9,7 +9,6 @@
 #pragma once
 
 #include <set>
-#include <span>
 #include <string_view>
 #include <utility>
 #include <vector>
@@ -70,7 +69,10 @@
     answer final;
   };
 
-  request_entry* find_primary(request_id id, group_stage stage);
+  void add_primary(request_entry& arrival, group_stage stage);
+  void add_duplicate(request_entry& arrival, request_id primary_id);
+  void respond_at_next_step(const request_entry& arrival, const answer& final);
+  request_entry* find_primary(request_id id, group_stage stage);  // null: none is in that stage
   void cancel_primary(request_entry& primary);
   void record_result(request_entry& primary, bool succeeded, std::string_view result);
   void inquire(request_entry& primary);
--- a/src/fan_out/client.cpp
+++ b/src/fan_out/client.cpp
@@ -76,7 +76,7 @@
   const time_point now = net::steady_now();
   at->second.gathering = true;
   at->second.called = now;
-  state_machine_.begin(id, at->second.plan, at->second.what.content, by, now);
+  state_machine_.begin(id, at->second.plan, at->second.what.fingerprint, by, now);
   apply();
 }
 
--- a/src/idempotency/durable_service.cpp
+++ b/src/idempotency/durable_service.cpp
@@ -144,7 +144,7 @@
   const std::chrono::nanoseconds window = options_.windows.at(what.request_class);
   const key_id key =
       key_id_of(tenant_name(what.tenant), options_.classes.at(what.request_class), what.key, salt_);
-  const key_claim claim = claim_key(id, key, what.content, window, now());
+  const key_claim claim = claim_key(id, key, what.fingerprint, window, now());
   if (claim.status == claim_status::completed) readers_[id] = {key, claim.result_at};
   return to_result(claim);
 }
--- a/src/idempotency/memory_service.cpp
+++ b/src/idempotency/memory_service.cpp
@@ -43,7 +43,7 @@
   const duration window = options_.windows.at(what.request_class);
   const std::string tenant = std::to_string(what.tenant);
   const std::string request_class = std::to_string(what.request_class);
-  const std::string client_key = what.key + std::to_string(what.content);
+  const std::string client_key = what.key + std::to_string(what.fingerprint);
   const key_id key = key_id_of(tenant, request_class, client_key, options_.salt);
   const key_claim claim = claim_key(id, key, no_fingerprint, window, what.arrived.count());
   if (claim.status == claim_status::completed) readers_[id] = {key, what.arrived};
--- a/src/middleware/gate.cpp
+++ b/src/middleware/gate.cpp
@@ -114,7 +114,7 @@
   what.reserved_kb = request_traits.held_kb;
   what.expected_work = request_traits.work;
   what.key = std::move(key);
-  what.content = fingerprint;
+  what.fingerprint = fingerprint;
   std::unique_lock lock(mutex_);
   attempt admitted;
   admitted.id = dispatcher_.on_arrival(*this, *this, std::move(what));
--- a/src/thrift/request.cpp
+++ b/src/thrift/request.cpp
@@ -54,7 +54,7 @@
   r.key = field(what.fields, keys.field.c_str());
   if (idempotency::fault_of_key(r.key, keys.longest) != nullptr) throw bad_field(keys.field);
   const std::array<std::string_view, 2> asked = {"thrift", what.body};
-  r.content = idempotency::fingerprint_of(asked);
+  r.fingerprint = idempotency::fingerprint_of(asked);
 }
 
 }  // namespace
--- a/src/uwsgi/request.cpp
+++ b/src/uwsgi/request.cpp
@@ -39,7 +39,7 @@
   if (const char* fault = idempotency::fault_of_key(key, keys.longest_key))
     throw bad_packet(bad_request, std::string(fault) + " in " + keys.uwsgi_var);
   r.key = key;
-  r.content = content_of(p);
+  r.fingerprint = content_of(p);
 }
 
 }  // namespace
@@ -58,7 +58,7 @@
   r.expected_work = std::chrono::duration_cast<duration>(std::chrono::duration<double, std::milli>(cost_ms));
   r.reserved_kb = mapping.reserved_kb;
   r.payload = p.whole;
-  if (mapping.hash_content) r.content = content_of(p);
+  if (mapping.hash_content) r.fingerprint = content_of(p);
   if (keys != nullptr) read_key(p, *keys, r);
   return r;
 }
--- a/tests/idempotency/durable_service_test.cpp
+++ b/tests/idempotency/durable_service_test.cpp
@@ -23,7 +23,7 @@
 class switched_disk : public store::posix_file_system {
  public:
   std::atomic<bool> broken = false;
-  std::atomic<bool> held = false;  // a sync waits as long as this stands
+  std::atomic<bool> held = false;  // a sync waits as long as this is set
   std::atomic<int> syncs = 0;
 
   std::unique_ptr<store::file> create(const std::string& path, std::uint64_t size) override {
@@ -91,7 +91,7 @@
     service->report_to(dispatch);
     dispatch.use(*service, 10s);
   }
-  request_id ask(const std::string& key) {
+  request_id submit(const std::string& key) {
     request r;
     r.payload = "price";
     r.reserved_kb = 1;
@@ -145,40 +145,40 @@
   std::vector<request_id> running;
 };
 
-// Nothing is on disk, so nothing runs and nobody hears 'served'; what comes later is served again, by itself.
-void a_disk_that_is_out() {
+// Without a durable intent nothing runs and nobody is answered `served`; later requests are served again.
+void requests_are_rejected_while_the_disk_fails() {
   fixture r;
   r.disk.broken = true;
-  const request_id first = r.ask("a");
+  const request_id first = r.submit("a");
   r.until([&] { return r.answered(first); });
   CHECK(r.how(first) == response_status::rejected && r.ran.empty() && r.answers[first].retry_after > 0s);
-  const request_id second = r.ask("a");
+  const request_id second = r.submit("a");
   r.until([&] { return r.answered(second); });
   CHECK(r.how(second) == response_status::rejected && r.ran.empty());
   r.disk.broken = false;
   request_id third = 0;
   r.until([&] {
-    if (third == 0 || (r.answered(third) && r.how(third) == response_status::rejected)) third = r.ask("a");
+    if (third == 0 || (r.answered(third) && r.how(third) == response_status::rejected)) third = r.submit("a");
     return r.ran["a"] == 1;
   });
   r.end("done");
   r.until([&] { return r.answered(third); });
   CHECK(r.how(third) == response_status::served && r.results[third] == "done");
-  // What the disk had refused is no doubt after a restart.
+  // An intent that the disk did not take leaves no unknown outcome after a restart.
   r.service.reset();
   r.open();
   CHECK(r.service->known().size() == 1 && r.service->known().outcomes_unknown() == 0);
 }
 
-// The run has ended and its record waits: nobody hears 'served', a repeat joins, and both hear once it is on
-// disk.
-void a_repeat_between_end_and_record() {
+// The run has ended and its record waits for the disk: nobody is answered, a duplicate is coalesced, and both
+// are answered once the record is durable.
+void duplicate_arrives_while_the_result_is_recorded() {
   fixture r;
-  const request_id first = r.ask("a");
+  const request_id first = r.submit("a");
   r.until([&] { return r.ran["a"] == 1; });
   r.disk.held = true;
   r.end("done");
-  const request_id repeat = r.ask("a");
+  const request_id repeat = r.submit("a");
   r.pass(100ms);
   CHECK(!r.answered(first) && !r.answered(repeat));
   r.disk.held = false;
@@ -186,25 +186,25 @@
   CHECK(r.results[first] == "done" && r.results[repeat] == "done" && r.ran["a"] == 1);
 }
 
-// The disk fails between run and record, past the caller's deadline: it hears that the outcome is unknown to
-// it, in time; the record comes with the disk, and a later repeat has its result.
-void a_record_that_comes_too_late() {
+// The disk fails between run and record, past the client's deadline: the client is answered in time that the
+// outcome is unknown; the record follows when the disk is back, and a later duplicate gets the result.
+void result_is_recorded_after_the_deadline() {
   fixture r(700ms);
   const auto begin = steady();
-  const request_id first = r.ask("a");
+  const request_id first = r.submit("a");
   r.until([&] { return r.ran["a"] == 1; });
   r.disk.broken = true;
   r.end("done");
   r.until([&] { return r.answered(first); });
   CHECK(r.how(first) == response_status::failed && r.answers[first].outcome_unknown &&
         steady() - begin >= 500ms);
-  const request_id held_up = r.ask("a");
-  r.until([&] { return r.answered(held_up); });
-  CHECK(r.how(held_up) == response_status::failed);  // it joined, and ran out of time
+  const request_id overdue = r.submit("a");
+  r.until([&] { return r.answered(overdue); });
+  CHECK(r.how(overdue) == response_status::failed);  // coalesced, and its deadline passed
   r.disk.broken = false;
   request_id later = 0;
   r.until([&] {
-    if (later == 0 || (r.answered(later) && r.how(later) != response_status::served)) later = r.ask("a");
+    if (later == 0 || (r.answered(later) && r.how(later) != response_status::served)) later = r.submit("a");
     return r.answered(later) && r.how(later) == response_status::served;
   });
   CHECK(r.results[later] == "done" && r.ran["a"] == 1);
@@ -213,13 +213,13 @@
   CHECK(r.service->known().size() == 1 && r.service->known().outcomes_unknown() == 0);
 }
 
-// Each commit takes what came meanwhile: many writes, few syncs.
-void one_sync_for_many() {
+// Each commit takes the writes that came meanwhile: many writes, few syncs.
+void one_sync_for_many_writes() {
   fixture r;
   const int before = r.disk.syncs;
   r.disk.held = true;
   std::vector<request_id> all;
-  for (int i = 0; i < 50; ++i) all.push_back(r.ask("k" + std::to_string(i)));
+  for (int i = 0; i < 50; ++i) all.push_back(r.submit("k" + std::to_string(i)));
   r.until([&] {
     r.disk.held = false;
     while (!r.running.empty()) r.end("done");
@@ -228,14 +228,14 @@
   CHECK(r.disk.syncs - before < 60);
 }
 
-// While its primary is queued or writes its intent, a key stays with it: leaving does not set it free under
-// others.
-void leavers_and_joiners() {
+// While its primary is queued or writes its intent, a key stays with it: a cancelled client does not free it
+// under the duplicates.
+void cancelled_primary_keeps_its_key_for_duplicates() {
   fixture r;
   r.disk.held = true;
-  const request_id first = r.ask("a");
+  const request_id first = r.submit("a");
   r.step();
-  const request_id second = r.ask("a");
+  const request_id second = r.submit("a");
   r.step();
   r.dispatch.on_client_cancelled(first);
   r.pass(50ms);
@@ -244,15 +244,15 @@
   r.end("done");
   r.until([&] { return r.answered(second); });
   CHECK(r.how(second) == response_status::served && !r.answered(first));
-  // All leave before the intent is on disk: it never runs, and its key is free.
+  // All clients cancel before the intent is durable: it never runs, and its key is free.
   r.disk.held = true;
-  const request_id third = r.ask("b");
+  const request_id third = r.submit("b");
   r.step();
   r.dispatch.on_client_cancelled(third);
   r.disk.held = false;
   r.until([&] { return r.dispatch.open() == 0; });
   CHECK(r.ran["b"] == 0);
-  const request_id fourth = r.ask("b");
+  const request_id fourth = r.submit("b");
   r.until([&] { return r.ran["b"] == 1; });
   r.end("done");
   r.until([&] { return r.answered(fourth); });
@@ -262,11 +262,12 @@
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {{"disk_out", a_disk_that_is_out},
-                                                   {"between", a_repeat_between_end_and_record},
-                                                   {"too_late", a_record_that_comes_too_late},
-                                                   {"group", one_sync_for_many},
-                                                   {"leavers", leavers_and_joiners}};
+  const std::map<std::string, void (*)()> tests = {
+      {"disk_failure", requests_are_rejected_while_the_disk_fails},
+      {"duplicate_while_recording", duplicate_arrives_while_the_result_is_recorded},
+      {"late_record", result_is_recorded_after_the_deadline},
+      {"group_commit", one_sync_for_many_writes},
+      {"cancelled_clients", cancelled_primary_keeps_its_key_for_duplicates}};
   tests.at(argv[1])();
   return 0;
 }
--- a/tests/idempotency/store_test.cpp
+++ b/tests/idempotency/key_table_test.cpp
@@ -1,5 +1,7 @@
 // The store and the key table over a file system that fails: every call in turn, every byte cut, every byte
 // changed.
+#include "idempotency/key_table.hpp"
+
 #include <cstdio>
 #include <cstdlib>
 #include <functional>
@@ -10,7 +12,6 @@
 #include "../check.hpp"
 #include "crash_fs.hpp"
 #include "idempotency/aging_clock.hpp"
-#include "idempotency/key_table.hpp"
 #include "idempotency/records.hpp"
 #include "store/log.hpp"
 
@@ -170,7 +171,7 @@
   return calls;
 }
 
-void each_call_fails() {
+void each_file_system_call_fails() {
   const std::uint64_t calls = history(0, crash::fault::none, false, 1);
   CHECK(calls > writes);
   std::uint64_t tried = 0;
@@ -217,7 +218,7 @@
 }
 
 // Cut at each byte, the last segment comes back to a state that was; any other one is not started on.
-void each_byte_cut() {
+void truncation_at_each_byte() {
   const auto whole = some_folder(30);
   std::vector<std::map<std::uint64_t, std::uint64_t>> states = {{}};
   for (std::uint64_t n = 1; n <= 30; ++n) states.push_back(*recovered(some_folder(n)));
@@ -260,7 +261,7 @@
 }
 
 // A changed byte is never taken for data: it is damage, or the torn end of the last commit.
-void each_byte_changed() {
+void corruption_of_each_byte() {
   const auto whole = some_folder(30);
   const auto right = *recovered(whole);
   std::uint64_t damage = 0, torn = 0;
@@ -283,7 +284,7 @@
               static_cast<unsigned long long>(damage), static_cast<unsigned long long>(torn));
 }
 
-void ages_and_makes_room() {
+void expired_segments_free_their_room() {
   crash::fs fs;
   std::map<std::uint64_t, int> ran;
   small_node node(fs, ran, 5000);
@@ -304,7 +305,7 @@
 // A segment that has aged goes while the one behind it has been open for long: a start then knows no later
 // hour than that one's first, and must not take the segment for missing. With each call failing in turn, also
 // with the power lost.
-void goes_before_a_later_header() {
+void segment_removed_before_a_later_header() {
   const auto play = [](std::uint64_t fail_at, crash::fault how, unsigned seed) {
     crash::fs fs;
     fs.fail_at = fail_at;
@@ -369,9 +370,9 @@
   std::printf("each of %llu calls\n", static_cast<unsigned long long>(calls));
 }
 
-// A clock that is set back keeps no key longer than its window and dates none before others; a long stop ages
-// them.
-void the_clock_does_not_go_back() {
+// A system clock that is set back keeps no key longer than its window and dates none before others; a long
+// stop lets keys expire.
+void aging_clock_never_goes_back() {
   const aging_clock back(10s, 1000s, 5s);
   CHECK(back.at(5s) == std::chrono::nanoseconds(1000s).count() &&
         back.at(6s) == std::chrono::nanoseconds(1001s).count());
@@ -379,8 +380,8 @@
   CHECK(later.at(5s) == std::chrono::nanoseconds(5000s).count());
 }
 
-// Every step from every state: what is not in the table of docs/keyed-results.md changes nothing.
-void only_the_steps_of_the_table() {
+// Every step from every state: one that is not in the table of key_state changes nothing.
+void only_documented_transitions() {
   const key_table_options o{4, 4, 100, 200, 1s, 2, 10ms};
   const key_id key{1, 1};
   const auto in = [&](key_state s) {
@@ -430,17 +431,17 @@
     CHECK(again == (s == key_state::completed         ? claim_status::completed
                     : s == key_state::outcome_unknown ? claim_status::inquiry_primary
                                                       : claim_status::coalesced));
-    // Room is set aside for what is still to be written, and for nothing else.
+    // Room is reserved for what is still to be written, and for nothing else.
     CHECK(known.reserved_bytes() <= 300 && (s != key_state::completed || known.reserved_bytes() == 0));
-    // Open ones do not age; what is known does.
+    // Open keys do not expire; the others do.
     key_table old = in(s);
     old.expire(std::chrono::nanoseconds(20s).count());
     CHECK(old.contains(key) == (s != key_state::completed && s != key_state::outcome_unknown));
   }
 }
 
-// Inquiries are bounded and back off; the next one is not at once.
-void inquiries_are_bounded() {
+// Inquiries are bounded and back off; after the last one a duplicate does not begin anew at once.
+void inquiries_are_bounded_and_back_off() {
   key_table table({4, 4, 100, 200, 1s, 3, 10ms});
   table.set_disk({true, 100000, 0});
   const key_id key{1, 1};
@@ -458,8 +459,8 @@
   CHECK(table.claim(key, 5, 2, 10s, 0).status == claim_status::completed);
 }
 
-// Bounds are kept by refusing what is new, never by dropping what is known.
-void bounds_refuse_the_new() {
+// Bounds are kept by rejecting new keys, never by dropping known ones.
+void bounds_reject_new_keys_only() {
   key_table table({3, 2, 100, 200, 500ms, 0, 0ms});
   CHECK(table.claim({1, 1}, 5, 1, 10s, 0).status ==
         claim_status::no_capacity);  // the disk has not said anything yet
@@ -476,7 +477,8 @@
   }
   table.set_disk({true, 250, 4'000'000'000});
   const key_claim filled = table.claim({3, 3}, 5, 3, 10s, 0);
-  CHECK(filled.status == claim_status::no_capacity && filled.retry_after == 4s);  // when the next segment goes
+  CHECK(filled.status == claim_status::no_capacity &&
+        filled.retry_after == 4s);  // when the next segment goes
   table.set_disk({true, 5000, 0});
   CHECK(table.claim({3, 3}, 5, 3, 10s, 0).status == claim_status::primary);
   CHECK(table.claim({4, 4}, 5, 4, 10s, 0).status == claim_status::no_capacity);  // three entries are known
@@ -488,15 +490,15 @@
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {{"calls", each_call_fails},
-                                                   {"cuts", each_byte_cut},
-                                                   {"changes", each_byte_changed},
-                                                   {"ageing", ages_and_makes_room},
-                                                   {"gone", goes_before_a_later_header},
-                                                   {"clock", the_clock_does_not_go_back},
-                                                   {"steps", only_the_steps_of_the_table},
-                                                   {"inquiry", inquiries_are_bounded},
-                                                   {"bounds", bounds_refuse_the_new}};
+  const std::map<std::string, void (*)()> tests = {{"calls", each_file_system_call_fails},
+                                                   {"cuts", truncation_at_each_byte},
+                                                   {"changes", corruption_of_each_byte},
+                                                   {"expiry", expired_segments_free_their_room},
+                                                   {"segment_removal", segment_removed_before_a_later_header},
+                                                   {"clock", aging_clock_never_goes_back},
+                                                   {"steps", only_documented_transitions},
+                                                   {"inquiry", inquiries_are_bounded_and_back_off},
+                                                   {"bounds", bounds_reject_new_keys_only}};
   tests.at(argv[1])();
   return 0;
 }
--- a/tests/idempotency/memory_service_test.cpp
+++ b/tests/idempotency/memory_service_test.cpp
@@ -39,9 +39,9 @@
                 counters) {
     service.report_to(events);
   }
-  claim_status arrive(request_id id, const std::string& key, time_point at, std::uint64_t content = 1) {
+  claim_status arrive(request_id id, const std::string& key, time_point at, std::uint64_t fingerprint = 1) {
     request r;
-    r.content = content;
+    r.fingerprint = fingerprint;
     r.request_class = 1;
     r.key = key;
     r.arrived = at;
@@ -66,7 +66,7 @@
 
 // However many keys come, results stay within the memory; what finds no room is refused, and there is room
 // again once the first have aged.
-void bounded() {
+void results_stay_within_the_memory() {
   fixture t;
   const std::string result(4096, 'x');
   request_id id = 0;
@@ -93,7 +93,7 @@
 }
 
 // So many are open at once, from their arrival to their result.
-void bounded_open() {
+void open_keys_are_bounded() {
   fixture t;
   for (request_id id = 1; id <= 8; ++id)
     CHECK(t.arrive(id, std::to_string(id), 10s) == claim_status::primary);
@@ -104,7 +104,7 @@
 }
 
 // The window opens and ends by arrivals, whenever a try is read; a key that comes anew has its new result.
-void window() {
+void window_is_counted_from_arrivals() {
   fixture t;
   t.run(1, "a", 10s, "first");
   t.service.step(13s);
@@ -123,7 +123,7 @@
 }
 
 // A run that was stopped: its outcome is unknown, and no repeat runs.
-void in_doubt() {
+void stopped_run_leaves_its_outcome_unknown() {
   fixture t;
   CHECK(t.arrive(1, "a", 10s) == claim_status::primary);
   t.service.write_intent(1, {});
@@ -136,7 +136,7 @@
 }
 
 // Somebody else's key with other content, before the one whose key it is and behind it: each for itself.
-void taken_keys() {
+void other_content_under_the_same_key_is_another_key() {
   fixture t;
   CHECK(t.arrive(1, "a", 10s, 99) == claim_status::primary);
   CHECK(t.arrive(2, "a", 10s, 1) == claim_status::primary);
@@ -154,11 +154,12 @@
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {{"bounded", bounded},
-                                                   {"bounded_open", bounded_open},
-                                                   {"window", window},
-                                                   {"in_doubt", in_doubt},
-                                                   {"taken_keys", taken_keys}};
+  const std::map<std::string, void (*)()> tests = {
+      {"bounded", results_stay_within_the_memory},
+      {"bounded_open", open_keys_are_bounded},
+      {"window", window_is_counted_from_arrivals},
+      {"outcome_unknown", stopped_run_leaves_its_outcome_unknown},
+      {"foreign_keys", other_content_under_the_same_key_is_another_key}};
   const auto found = tests.find(argv[1] != nullptr ? argv[1] : "");
   CHECK(found != tests.end());
   found->second();
--- a/tests/idempotency/recorded_folder_test.cpp
+++ b/tests/idempotency/recorded_folder_test.cpp
@@ -130,7 +130,7 @@
     what.key = key;
     what.request_class = request_class == "kurs-abfrage" ? 0 : 1;
     what.tenant = tenant == "lech-vermoegen" ? 0 : tenant == "isar-invest" ? 1 : 9;
-    what.content = fingerprint;
+    what.fingerprint = fingerprint;
     return service_.claim(++last_id_, what).status;
   }
 
--- a/tests/net/dispatcher_test.cpp
+++ b/tests/net/dispatcher_test.cpp
@@ -1,4 +1,4 @@
-// The table of requests between a front and a backend that do not keep to anything.
+// The dispatcher between a front and a backend that keep to no protocol.
 #include "core/dispatcher.hpp"
 
 #include <cstdlib>
@@ -95,7 +95,7 @@
   CHECK(r.answers.at(id) == response_status::served && r.dispatch.open() == 0 && r.counters.served == 1);
 }
 
-void what_ran_is_never_refused() {
+void started_requests_are_never_rejected() {
   fixture r(usual());
   for (const run_end how : {run_end::failed, run_end::aborted, run_end::never_started}) {
     const request_id id = r.arrive(1);
@@ -107,8 +107,8 @@
   CHECK(r.dispatch.open() == 0);
 }
 
-// Guards against answers held back: a run past its aim is failed then, with advice, and stopped.
-void the_given_up_are_told_when_to_come_back() {
+// A run past its latency objective is failed then, with a retry-after, and stopped.
+void failed_requests_get_a_retry_after() {
   fixture r(usual());
   const request_id id = r.arrive(1);
   r.pass(1050ms);
@@ -117,7 +117,7 @@
   CHECK(r.dispatch.open() == 0);
 }
 
-void the_gone_get_no_answer() {
+void cancelled_requests_get_no_answer() {
   fixture r(usual(1));
   std::vector<request_id> ids;
   for (int i = 0; i < 8; ++i) ids.push_back(r.arrive());
@@ -132,9 +132,9 @@
   CHECK(r.dispatch.open() == 0);
 }
 
-// Guards against tables that grow on a long day: callers' numbers are ever new, and some leave before they
-// run.
-void nothing_is_kept_of_what_is_over() {
+// No table grows with the number of requests served: caller ids are ever new, and some clients cancel before
+// their request runs.
+void ended_requests_leave_no_memory() {
   fixture r(usual());
   const auto serve = [&](int count) {
     for (int i = 0; i < count; ++i) {
@@ -153,8 +153,9 @@
   CHECK(serve(4000) < before + 500);
 }
 
-// Every request that comes in a drain is answered before the stop, and none starts that came after the grace.
-void a_drain_leaves_nothing_open() {
+// Every request that arrives during a drain is answered before the stop, and none starts that arrived after
+// the grace period.
+void drain_answers_every_request() {
   fixture r(usual(1));
   std::vector<request_id> early, late;
   early.push_back(r.arrive(1));
@@ -172,12 +173,13 @@
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {{"once", ends_count_once},
-                                                   {"refusals", what_ran_is_never_refused},
-                                                   {"advice", the_given_up_are_told_when_to_come_back},
-                                                   {"gone", the_gone_get_no_answer},
-                                                   {"drain", a_drain_leaves_nothing_open},
-                                                   {"long_day", nothing_is_kept_of_what_is_over}};
+  const std::map<std::string, void (*)()> tests = {
+      {"one_answer", ends_count_once},
+      {"never_rejected_after_start", started_requests_are_never_rejected},
+      {"retry_after", failed_requests_get_a_retry_after},
+      {"cancelled", cancelled_requests_get_no_answer},
+      {"drain", drain_answers_every_request},
+      {"bounded_memory", ended_requests_leave_no_memory}};
   tests.at(argv[1])();
   return 0;
 }
--- a/tests/net/keyed_test.cpp
+++ b/tests/net/keyed_test.cpp
@@ -1,5 +1,5 @@
-// Keyed results on the real program: what a repeat hears while its first waits, runs, has ended, or was cut
-// off.
+// Idempotency of the real program: what a duplicate is answered while its primary is queued, runs, has ended,
+// or was cut off.
 #include <sys/stat.h>
 
 #include <filesystem>
@@ -88,8 +88,8 @@
   return std::string("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n") + std::string("d\0ne", 4);
 }
 
-// The result, kept: byte for byte the same, on both fronts, also after a restart, and nothing runs again.
-void repeats_get_the_first_answer() {
+// The stored result: byte for byte the same, on both fronts, also after a restart, and nothing runs again.
+void duplicates_get_the_stored_result() {
   site s;
   connection c = s.thrift();
   c.send(write_of(1, 1, "k1"));
@@ -118,7 +118,7 @@
 }
 
 // One run, one answer each: in one read, and while it runs.
-void repeats_join_the_first() {
+void duplicates_are_coalesced() {
   site s;
   connection c = s.thrift();
   connection d = s.thrift();
@@ -140,8 +140,8 @@
   CHECK(s.r->expect("start") == label(5));
 }
 
-// Whoever leaves takes nothing from the others.
-void the_first_caller_leaves() {
+// A client that cancels takes nothing from the others.
+void cancelled_primary_runs_on_for_duplicates() {
   site s;
   std::optional<connection> c = s.thrift();
   connection d = s.thrift();
@@ -154,7 +154,7 @@
   std::this_thread::sleep_for(200ms);
   s.r->end(call, "fine", "cQ==");  // no stop came before: expect() below would see it
   CHECK(result(read_reply(d)) == "q");
-  // All have left: the run goes on, and a later repeat has its result.
+  // All have cancelled: the run goes on, and a later duplicate gets its result.
   {
     connection e = s.thrift();
     e.send(write_of(1, 3, "k2"));
@@ -198,7 +198,7 @@
   CHECK(u.rest() == whole_response());
 }
 
-void keys_that_cannot_be_used() {
+void unusable_keys_are_rejected() {
   site s({}, "longest_key = 8");
   connection c = s.thrift();
   c.send(write_of(1, 1, ""));
@@ -212,8 +212,8 @@
   CHECK(!s.server.waiting(50));
 }
 
-// Cut off between intent and result: never again, and the caller hears so; what was answered stays answered.
-void a_crash_leaves_no_second_run() {
+// A run that a crash cut off never runs again, and its client is answered so; a recorded result stays.
+void crash_leaves_the_outcome_unknown() {
   site s;
   {
     connection c = s.thrift();
@@ -241,8 +241,8 @@
   CHECK(!s.server.waiting(50));
 }
 
-// What is proven never to have run gives its key free.
-void what_never_ran_may_run() {
+// A request that is proven never to have run frees its key.
+void released_key_may_run() {
   site s;
   connection c = s.thrift();
   c.send(write_of(1, 1, "k1"));
@@ -265,8 +265,8 @@
   CHECK(s.r->expect("start") == label(5));
 }
 
-// A failure that the backend states is an outcome: the repeat hears it too and runs nothing.
-void a_stated_failure_is_kept() {
+// A failure that the backend states is an outcome: a duplicate gets it too and runs nothing.
+void stated_failure_is_stored() {
   site s;
   connection c = s.thrift();
   c.send(write_of(1, 1, "k1"));
@@ -278,8 +278,8 @@
   CHECK(s.r->expect("start") == label(3));
 }
 
-// A repeat while the first is held is refused with it, and the key is free.
-void a_refused_first() {
+// A duplicate of a queued primary is rejected with it, and the key is free.
+void rejected_primary_frees_its_key() {
   node_options o;
   o.cores = 1;
   o.aim_ms = 1000;
@@ -309,8 +309,8 @@
   CHECK(member(line, "call") == label(3));
 }
 
-// A run that was given up goes on; its repeat gets its result.
-void a_run_that_takes_too_long() {
+// A run whose deadline passed goes on; its duplicate gets the result.
+void run_goes_on_past_its_deadline() {
   node_options o;
   o.aim_ms = 300;
   o.write_aim_ms = 300;
@@ -330,8 +330,8 @@
   for (int i = 0; i < 2; ++i) CHECK(read_reply(c).kind == "failed");
 }
 
-// No room: new writes are refused unrun with the time to return, reads and repeats go on.
-void a_full_folder() {
+// No capacity: new writes are rejected with a retry-after, reads and duplicates go on.
+void full_folder_rejects_new_keys() {
   site s({}, "segment = 64KiB\n space = 256KiB");
   connection c = s.thrift();
   int seqid = 0, served = 0;
@@ -375,8 +375,8 @@
   s.n->logged("no_room=1");
 }
 
-// A drain and a reload with one joined: each gets its answer.
-void a_drain_answers_all() {
+// A drain and a reload with a coalesced duplicate: each client gets its answer.
+void drain_answers_coalesced_duplicates() {
   site s;
   connection c = s.thrift();
   c.send(write_of(1, 1, "k1") + write_of(2, 2, "k1"));
@@ -397,8 +397,8 @@
   CHECK(s.n->wait() == 0);
 }
 
-// The link is lost with an intent open: the run goes on and its end is heard on the next.
-void a_lost_link() {
+// The link is lost with an intent open: the run goes on and its end is reported on the next link.
+void lost_link_keeps_the_run() {
   site s;
   connection c = s.thrift();
   c.send(write_of(1, 1, "k1"));
@@ -425,8 +425,8 @@
   CHECK(read_reply(c).rest.find("outcome") != std::string::npos);
 }
 
-// In doubt, and the server can be asked: its word is taken, recorded, and asked for only so often.
-void inquiries() {
+// The outcome is unknown and the server can be asked: its reply is recorded, and inquiries are bounded.
+void inquiries_find_the_outcome() {
   site s({}, "inquiry_var = INQUIRY\n inquiry_value = yes\n inquiry_tries = 2\n inquiry_pause = 20ms");
   const auto cut_off = [&](const std::string& key) {
     connection u = s.uwsgi(uwsgi_write(key));
@@ -475,7 +475,7 @@
   return {out, WEXITSTATUS(status)};
 }
 
-void folders_that_cannot_be_used() {
+void unusable_folders_stop_the_start() {
   site s;
   connection c = s.thrift();
   c.send(write_of(1, 1, "k1"));
@@ -537,9 +537,9 @@
   CHECK(s.r->expect("start") == label(9));
 }
 
-// A byte of a closed segment that the disk changed is found by the scrubbing, which names file and byte, and
-// disturbs nobody: other results are told, new writes are kept.
-void changed_on_disk() {
+// A byte of a closed segment that the disk changed is found by the scrubbing, which names file and byte;
+// other results are read and new ones stored all the while.
+void scrubbing_finds_a_changed_byte() {
   site s({}, "scrub = 100ms\n segment = 64KiB\n space = 1MiB");
   connection c = s.thrift();
   std::string blob;
@@ -566,22 +566,22 @@
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {{"repeats", repeats_get_the_first_answer},
-                                                   {"joins", repeats_join_the_first},
-                                                   {"leaves", the_first_caller_leaves},
+  const std::map<std::string, void (*)()> tests = {{"repeats", duplicates_get_the_stored_result},
+                                                   {"joins", duplicates_are_coalesced},
+                                                   {"leaves", cancelled_primary_runs_on_for_duplicates},
                                                    {"scope", keys_are_scoped},
-                                                   {"bad_keys", keys_that_cannot_be_used},
-                                                   {"crash", a_crash_leaves_no_second_run},
-                                                   {"never_ran", what_never_ran_may_run},
-                                                   {"failure", a_stated_failure_is_kept},
-                                                   {"refused", a_refused_first},
-                                                   {"too_long", a_run_that_takes_too_long},
-                                                   {"full", a_full_folder},
-                                                   {"drain", a_drain_answers_all},
-                                                   {"lost_link", a_lost_link},
-                                                   {"inquiry", inquiries},
-                                                   {"folders", folders_that_cannot_be_used},
-                                                   {"scrub", changed_on_disk}};
+                                                   {"bad_keys", unusable_keys_are_rejected},
+                                                   {"crash", crash_leaves_the_outcome_unknown},
+                                                   {"never_ran", released_key_may_run},
+                                                   {"failure", stated_failure_is_stored},
+                                                   {"refused", rejected_primary_frees_its_key},
+                                                   {"too_long", run_goes_on_past_its_deadline},
+                                                   {"full", full_folder_rejects_new_keys},
+                                                   {"drain", drain_answers_coalesced_duplicates},
+                                                   {"lost_link", lost_link_keeps_the_run},
+                                                   {"inquiry", inquiries_find_the_outcome},
+                                                   {"folders", unusable_folders_stop_the_start},
+                                                   {"scrub", scrubbing_finds_a_changed_byte}};
   tests.at(argv[1])();
   return 0;
 }
--- a/tests/net/middleware_test.cpp
+++ b/tests/net/middleware_test.cpp
@@ -75,8 +75,8 @@
   CHECK(e.end().find("taken_in=2 started=2 served=1 refused=0 failed=1") == 0);
 }
 
-// Guards against a crowd that nobody turns away, and against answers that never come.
-void turns_away_what_cannot_be_in_time() {
+// Under overload requests are rejected, and each gets an answer.
+void rejects_what_cannot_be_in_time() {
   example e;
   std::mutex guard;
   std::map<std::string, int> seen;
@@ -97,8 +97,8 @@
   CHECK(e.get("/kurs").find("101.42") != std::string::npos);  // and goes on
 }
 
-// A repeat gets the first response and runs nothing: later, at the same moment, and after a crash.
-void keeps_keyed_responses() {
+// A duplicate gets the first response and runs nothing: later, at the same moment, and after a crash.
+void stores_keyed_responses() {
   char name[] = "/tmp/marblewharf-kept-XXXXXX";
   CHECK(::mkdtemp(name) != nullptr);
   const auto body = [](const std::string& response) {
@@ -140,8 +140,8 @@
 int main(int, char** argv) {
   const std::map<std::string, void (*)()> tests = {
       {"served", serves_and_reports},
-      {"crowd", turns_away_what_cannot_be_in_time},
-      {"keyed", keeps_keyed_responses},
+      {"crowd", rejects_what_cannot_be_in_time},
+      {"keyed", stores_keyed_responses},
   };
   tests.at(argv[1])();
   return 0;
