--- a/src/fan_out/client.cpp
+++ b/src/fan_out/client.cpp
@@ -108,7 +108,7 @@
   const time_point now = net::steady_now();
   run.fan_out_begun = true;
   run.fan_out_begun_at = now;
-  state_machine_.begin(id, run.plan, run.what.content, deadline, now);
+  state_machine_.begin(id, run.plan, run.what.fingerprint, deadline, now);
   apply_actions();
 }
 
