--- a/src/fan_out/call_placement.cpp
+++ b/src/fan_out/call_placement.cpp
@@ -69,7 +69,7 @@
 void state_machine::wait_for_endpoint(gathering_id id, std::size_t part, time_point now) {
   const sub_request& sub = sub_request_of(id, part);
   const dependency_state& dependency = dependencies_[sub.dependency];
-  const auto usable_at = dependency.endpoints().next_use(now);
+  const auto usable_at = dependency.endpoints().next_usable_at(now);
   if (usable_at && *usable_at <= dependency.latest_start(sub.deadline)) {
     timers_.emplace(*usable_at, timer{timer_kind::place_again, 0, id, part});
   } else {
@@ -164,10 +164,10 @@
 
 void state_machine::report_endpoint_changes(std::size_t which) {
   dependency_state& dependency = dependencies_[which];
-  for (const auto& [endpoint, reason] : dependency.endpoints().take_changes()) {
-    if (dependency.endpoints().state_of(endpoint) == upstream::endpoint_state::out)
+  for (const upstream::endpoint_change& change : dependency.endpoints().take_changes()) {
+    if (dependency.endpoints().state_of(change.endpoint) == upstream::endpoint_state::ejected)
       ++dependency.counts().ejections;
-    actions_.emplace_back(endpoint_changed{which, endpoint, reason});
+    actions_.emplace_back(endpoint_changed{which, change.endpoint, change.reason});
   }
 }
 
--- a/src/fan_out/client.cpp
+++ b/src/fan_out/client.cpp
@@ -46,7 +46,7 @@
 
 // 2xx: success; 503 and 429: a rejection, with the retry-after that it states; all else: a failure.
 interpreted_response interpret_response(uwsgi::exchange_end end, const uwsgi::response_head* head,
-                               std::string_view response) {
+                                        std::string_view response) {
   constexpr duration default_retry_after = std::chrono::seconds(1);
   constexpr unsigned first_success_status = 200;
   constexpr unsigned last_success_status = 299;
--- a/src/fan_out/dependency_state.cpp
+++ b/src/fan_out/dependency_state.cpp
@@ -23,13 +23,13 @@
 }
 
 time_point dependency_state::begin_sub_request(time_point request_deadline, time_point now) {
-  retries_.on_first(now);
-  hedges_.on_first(now);
+  retries_.on_first_attempt(now);
+  hedges_.on_first_attempt(now);
   return std::min(now + rules_.budget, request_deadline);
 }
 
 bool dependency_state::take_retry(unsigned attempts, time_point deadline, time_point now) {
-  return attempts < rules_.tries && now + expected_latency() < deadline && retries_.take(now);
+  return attempts < rules_.tries && now + expected_latency() < deadline && retries_.try_take(now);
 }
 
 std::optional<duration> dependency_state::hedge_delay() const {
@@ -59,7 +59,7 @@
 
 upstream::call_outcome dependency_state::on_timeout(time_point now, duration took) {
   ++counts_.timed_out;
-  if (took <= limit_.healthy()) return upstream::call_outcome::cancelled;
+  if (took <= limit_.healthy_latency()) return upstream::call_outcome::cancelled;
   limit_.on_end(now, took, in_flight_, true);
   return upstream::call_outcome::failed;
 }
--- a/src/fan_out/state_machine.cpp
+++ b/src/fan_out/state_machine.cpp
@@ -152,7 +152,7 @@
   switch (how) {
     case call_end::not_now:
       ++dependency.counts().rejected;
-      dependency.endpoints().on_not_now(ended.endpoint, now + come_back);
+      dependency.endpoints().on_rejected(ended.endpoint, now + come_back);
       end_call(found, now, upstream::call_outcome::cancelled);
       retry_or_fall_back(ended.request, ended.part, ended.endpoint, now);
       break;
--- a/src/transaction/coordinator.cpp
+++ b/src/transaction/coordinator.cpp
@@ -196,7 +196,7 @@
       participants_.on_request_ended(*transaction, i, upstream::call_outcome::cancelled);
   }
   participants_.unbind(*transaction);
-  in_flight_.give_back(transaction->plan->participants);
+  in_flight_.release(transaction->plan->participants);
   update_fan_out_share(*transaction);
   reserved_bytes_ -= transaction->reserved_bytes;
   timers_.erase({transaction->due_at, transaction->id});
@@ -230,7 +230,7 @@
 
 // A recovered transaction goes on once there is a call in flight for it at each participant.
 void coordinator::begin_waiting(open_transaction& transaction) {
-  if (!in_flight_.take(transaction.plan->participants, true)) return;
+  if (!in_flight_.try_take_recovered(transaction.plan->participants)) return;
   transaction.needs_calls = false;
   --waiting_;
   update_fan_out_share(transaction);
@@ -297,21 +297,21 @@
 
 void coordinator::set_share(std::size_t dependency, double most) {
   in_flight_.set_share(dependency, most);
-  fan_out_.set_share(dependency, in_flight_.left(dependency));
+  fan_out_.set_share(dependency, in_flight_.remaining_share(dependency));
 }
 
 fan_out::client::calls coordinator::calls_at(std::size_t dependency) const {
   fan_out::client::calls calls = fan_out_.calls_at(dependency);
-  calls.in_flight += in_flight_.writes(dependency);
+  calls.in_flight += in_flight_.transactions(dependency);
   calls.waiting += waiting_;
-  calls.turned_away += in_flight_.turned_away(dependency);
+  calls.turned_away += in_flight_.rejected(dependency);
   return calls;
 }
 
 // The transaction's calls were taken or given back: fan-out at the same dependencies has the rest.
 void coordinator::update_fan_out_share(const open_transaction& transaction) {
   for (const std::size_t dependency : transaction.plan->participants)
-    fan_out_.set_share(dependency, in_flight_.left(dependency));
+    fan_out_.set_share(dependency, in_flight_.remaining_share(dependency));
 }
 
 std::string coordinator::figures() const {
--- a/src/upstream/plan.hpp
+++ b/src/upstream/plan.hpp
@@ -1,8 +1,9 @@
-// What a request of a class needs from others: its parts, the dependency that each comes from, and what
-// stands in for one that does not come. Checked as a whole before anything starts.
+// What a request of a class needs from its dependencies: its parts, each with the dependency that it comes
+// from and its fallbacks. Checked as a whole before anything starts.
 #pragma once
 
 #include <cstdint>
+#include <optional>
 #include <stdexcept>
 #include <string>
 #include <vector>
@@ -12,55 +13,73 @@
 
 namespace marblewharf::upstream {
 
-// A dependency, and how it is called.
+// How a dependency is called. The fields are named after their settings.
 struct dependency_rules {
   std::string name;
   std::size_t endpoints = 1;
-  duration budget = std::chrono::seconds(1);  // of one request for it, all its attempts together
-  unsigned tries = 2;                         // first call and further attempts; second copies aside
-  double retry_share = 0.1;                   // further attempts for each first call
-  double retry_floor = 1;                     // a second, whatever comes
-  double hedge_quantile = 0.95;               // of latency: then a second copy is sent; 0 = never
-  double hedge_share = 0.05;                  // second copies for each first call
-  double least_in_flight = 1, most_in_flight = 64;
-  std::size_t most_waiting = 256;  // for room in flight
+  duration budget = std::chrono::seconds(1);  // of one sub-request, all its attempts together
+  unsigned tries = 2;                         // attempts of a sub-request, hedged requests aside
+  double retry_share = 0.1;                   // retries for each first attempt
+  double retry_floor = 1;                     // retries a second that are allowed anyway
+  double hedge_quantile = 0.95;               // of latency, after which a call is hedged; 0: never
+  double hedge_share = 0.05;                  // hedged requests for each first attempt
+  double least_in_flight = 1;                 // bounds of the adaptive limit
+  double most_in_flight = 64;
+  std::size_t most_waiting = 256;  // sub-requests queued for a call in flight
   endpoint_rules health;
-  nearness near;  // of its endpoints
+  endpoint_locality near;
 };
 
-// What stands in, the first that is to be had.
+// What replaces a sub-response that does not come. Tried in the order of the plan.
 struct fallback {
-  enum class kind { dependency, stale, fixed };
+  enum class kind {
+    dependency,  // another dependency is called
+    stale,       // the last fresh response of the same subject
+    fixed,       // a text; it never fails
+  };
   kind what = kind::fixed;
   std::size_t from = 0;  // dependency
-  duration oldest{};     // stale: the last good part of the same subject, no older than this
+  duration oldest{};     // stale: its greatest age
   std::string bytes{};   // fixed
 };
 
+// One sub-request.
 struct part_plan {
   std::string name;
-  std::size_t from = 0;   // dependency
-  bool required = false;  // without it the answer is a failure
+  std::size_t from = 0;   // its own dependency
+  bool required = false;  // the request fails without it
   std::vector<fallback> stand_ins;
 };
 
 struct request_plan {
   std::string request_class;
   duration latency_objective{};                      // of the class
-  duration reserve = std::chrono::milliseconds(50);  // of it, to compose and send the answer
+  duration reserve = std::chrono::milliseconds(50);  // of the objective, to assemble and send the response
   std::vector<part_plan> parts;
 };
 
-// `at` tells whoever read the plan where the fault stands: the plan, and the part in it or -1.
+enum class plan_fault {
+  no_part,
+  duplicate_part,
+  unknown_dependency,
+  repeated_dependency,   // in the fallbacks of one part
+  unreachable_fallback,  // behind a fixed one
+  no_stale_age,
+  too_slow,  // the budgets of a part's dependencies exceed the latency objective less the reserve
+};
+
+// A plan that cannot be kept. what() is for the operator.
 struct bad_plan : std::runtime_error {
-  bad_plan(const std::string& why, std::size_t which, int part)
-      : std::runtime_error(why), plan(which), part_at(part) {}
-  std::size_t plan;
-  int part_at;
+  bad_plan(plan_fault why, const std::string& text, std::size_t which_plan,
+           std::optional<std::size_t> which_part)
+      : std::runtime_error(text), fault(why), plan(which_plan), part(which_part) {}
+  plan_fault fault;
+  std::size_t plan;                 // index
+  std::optional<std::size_t> part;  // index in the plan; none: the plan as a whole
+  int part_at = part ? static_cast<int>(*part) : -1;
 };
 
-// Throws bad_plan for one that could not be kept: no parts, a name twice, a dependency twice in one chain,
-// budgets of a chain that cannot all pass within the aim less the reserve.
+// Throws bad_plan for the first fault.
 void check_plans(const std::vector<request_plan>& plans, const std::vector<dependency_rules>& dependencies);
 
 }  // namespace marblewharf::upstream
--- a/src/upstream/retry_budget.cpp
+++ b/src/upstream/retry_budget.cpp
@@ -1,32 +1,40 @@
 #include "upstream/retry_budget.hpp"
 
-#include <numeric>
-
 namespace marblewharf::upstream {
 
-void retry_budget::turn(time_point now) {
-  if (slice_end_ == time_point{} || now >= slice_end_ + slice_ * slices) {  // nothing of the window is left
-    firsts_.fill(0);
-    extras_.fill(0);
-    slice_end_ = now + slice_;
+// Moves the window on: slices that have left it are cleared.
+void retry_budget::advance(time_point now) {
+  const duration window = slice_ * slice_count;
+  const bool all_slices_left = now >= current_end_ + window;
+  if (current_end_ == time_point{} || all_slices_left) {
+    slices_.fill({});
+    current_end_ = now + slice_;
     return;
   }
-  while (now >= slice_end_) {
-    at_ = (at_ + 1) % slices;
-    firsts_[at_] = extras_[at_] = 0;
-    slice_end_ += slice_;
+  while (now >= current_end_) {
+    current_ = (current_ + 1) % slice_count;
+    slices_[current_] = {};
+    current_end_ += slice_;
   }
 }
 
-bool retry_budget::take(time_point now) {
-  turn(now);
-  const double firsts = std::accumulate(firsts_.begin(), firsts_.end(), 0u);
-  const double extras = std::accumulate(extras_.begin(), extras_.end(), 0u);
-  // The floor counts for the whole window: rare traffic may use it at once, though not again before it has
-  // passed.
-  const double floor = floor_ * std::chrono::duration<double>(slice_ * slices).count();
-  if (extras + 1 > share_ * firsts + floor) return false;
-  ++extras_[at_];
+void retry_budget::on_first_attempt(time_point now) {
+  advance(now);
+  ++slices_[current_].first_attempts;
+}
+
+bool retry_budget::try_take(time_point now) {
+  advance(now);
+  double first_attempts = 0;
+  double extra_calls = 0;
+  for (const slice_counts& slice : slices_) {
+    first_attempts += slice.first_attempts;
+    extra_calls += slice.extra_calls;
+  }
+  // The floor of the whole window may be used at once: rare traffic comes in bursts.
+  const double floor = floor_per_s_ * std::chrono::duration<double>(slice_ * slice_count).count();
+  if (extra_calls + 1 > share_ * first_attempts + floor) return false;
+  ++slices_[current_].extra_calls;
   return true;
 }
 
--- a/tests/fan_out/decisions_test.cpp
+++ b/tests/fan_out/decisions_test.cpp
@@ -32,9 +32,9 @@
     for (int i = 0; i < events; ++i) {
       now += std::chrono::milliseconds(*rc::gen::inRange(0, 200));
       if (*rc::gen::inRange(0, 3) == 0) {
-        cap.on_first(now);
+        cap.on_first_attempt(now);
         firsts.push_back(now);
-      } else if (cap.take(now)) {
+      } else if (cap.try_take(now)) {
         extras.push_back(now);
         const auto within = [&](const std::vector<time_point>& all, duration d) {
           return static_cast<double>(
@@ -45,8 +45,8 @@
     }
   });
   retry_budget rare(0.1, 1);  // rare traffic has the floor
-  rare.on_first(1s);
-  CHECK(rare.take(1s));
+  rare.on_first_attempt(1s);
+  CHECK(rare.try_take(1s));
 }
 
 void quantiles_are_near() {
@@ -108,13 +108,13 @@
       now += std::chrono::milliseconds(i % 97);
       random = random * 6364136223846793005ull + 1442695040888963407ull;
       const auto at = all.choose(now, random, true);
-      RC_ASSERT(static_cast<double>(all.out()) <= rules.most_out * static_cast<double>(n));
+      RC_ASSERT(static_cast<double>(all.ejected_count()) <= rules.most_out * static_cast<double>(n));
       if (!at) continue;
-      RC_ASSERT(all.state_of(*at) != endpoint_state::out);
+      RC_ASSERT(all.state_of(*at) != endpoint_state::ejected);
       if (all.state_of(*at) == endpoint_state::probing) RC_ASSERT(all.in_flight(*at) == 0u);
       all.on_start(*at);
       all.on_end(*at, now, 1ms, bad.contains(*at) ? call_outcome::failed : call_outcome::succeeded);
-      RC_ASSERT(static_cast<double>(all.out()) <= rules.most_out * static_cast<double>(n));
+      RC_ASSERT(static_cast<double>(all.ejected_count()) <= rules.most_out * static_cast<double>(n));
     }
     // All are well again: in the end none is out.
     for (int i = 0; i < 4000; ++i) {
@@ -125,7 +125,7 @@
         all.on_end(*at, now, 1ms, call_outcome::succeeded);
       }
     }
-    RC_ASSERT(all.out() == 0u);
+    RC_ASSERT(all.ejected_count() == 0u);
   });
 }
 
@@ -138,13 +138,13 @@
   endpoint_set ramp(2, {.failures = 1, .out = 1s, .probes = 1, .ramp = 10s});
   ramp.on_start(0);
   ramp.on_end(0, 1s, 1ms, call_outcome::failed);
-  CHECK(ramp.state_of(0) == endpoint_state::out);
+  CHECK(ramp.state_of(0) == endpoint_state::ejected);
   CHECK(ramp.choose(1500ms, 0, true) == 1u);
   CHECK(ramp.choose(2500ms, 0, true) == 0u);  // the probe
   ramp.on_start(0);
   CHECK(ramp.choose(2500ms, 0, true) == 1u);  // one at a time
   ramp.on_end(0, 2500ms, 1ms, call_outcome::succeeded);
-  CHECK(ramp.state_of(0) == endpoint_state::ramping);
+  CHECK(ramp.state_of(0) == endpoint_state::slow_start);
   ramp.on_start(1);
   ramp.on_end(1, 2500ms, 1ms, call_outcome::succeeded);
   for (std::uint64_t r = 0; r < 8; ++r) CHECK(ramp.choose(2600ms, r, true) == 1u);
@@ -472,7 +472,7 @@
 
 // Nine endpoints, three a level, as failover/locality_test has the shares: here they are what calls really
 // do.
-nearness three_levels(unsigned most_each = 0) {
+endpoint_locality three_levels(unsigned most_each = 0) {
   using failover::level;
   return {{level::zone, level::zone, level::zone, level::region, level::region, level::region, level::rest,
            level::rest, level::rest},
@@ -522,7 +522,7 @@
     ++at[*e / 3];
   }
   CHECK((at == std::array<int, 3>{3, 3, 3}));
-  CHECK(!bounded.choose(1s, random(), false) && !bounded.next_use(1s));
+  CHECK(!bounded.choose(1s, random(), false) && !bounded.next_usable_at(1s));
 }
 
 // Whatever happens to endpoints: no call to one that is out of reach while the levels can take all calls,
@@ -545,7 +545,8 @@
       if (!chosen) continue;
       RC_ASSERT(*chosen != avoided || all.state_of(*chosen) == endpoint_state::probing);
       if (most_each > 0) RC_ASSERT(all.in_flight(*chosen) < most_each);
-      if (std::count(reachable.begin(), reachable.end(), true) == 9 - 1 && all.out() == 0 && most_each == 0)
+      if (std::count(reachable.begin(), reachable.end(), true) == 9 - 1 && all.ejected_count() == 0 &&
+          most_each == 0)
         RC_ASSERT(reachable[*chosen]);
       all.on_start(*chosen);
     }
--- a/tests/transaction/outcome_cache_test.cpp
+++ b/tests/transaction/outcome_cache_test.cpp
@@ -104,7 +104,7 @@
         case 1: gathering[d] = static_cast<std::size_t>(*rc::gen::inRange(0, 4)); break;
         case 2:
           if (open.empty()) break;
-          book.give_back(open.back());
+          book.release(open.back());
           open.pop_back();
           break;
         default: {
@@ -112,22 +112,23 @@
               d == 2 ? std::vector<std::size_t>{0, 1, 2} : std::vector<std::size_t>{d};
           std::vector<std::size_t> before;
           bool fits = true;
-          for (std::size_t p = 0; p < n; ++p) before.push_back(book.writes(p));
+          for (std::size_t p = 0; p < n; ++p) before.push_back(book.transactions(p));
           for (const std::size_t p : wants)
             fits = fits && static_cast<double>(before[p]) + 1 <= most[p] &&
                    static_cast<double>(before[p] + gathering[p]) + 1 <= share[p];
-          RC_ASSERT(book.take(wants) == fits);
-          for (const std::size_t p : wants) RC_ASSERT(book.writes(p) == before[p] + (fits ? 1 : 0));
+          RC_ASSERT(book.try_take(wants) == fits);
+          for (const std::size_t p : wants) RC_ASSERT(book.transactions(p) == before[p] + (fits ? 1 : 0));
           if (fits) open.push_back(wants);
         }
       }
       for (std::size_t p = 0; p < n; ++p)
-        RC_ASSERT(book.left(p) == std::max(0.0, share[p] - static_cast<double>(book.writes(p))));
+        RC_ASSERT(book.remaining_share(p) ==
+                  std::max(0.0, share[p] - static_cast<double>(book.transactions(p))));
     }
-    const auto turned_away = book.turned_away(0);
+    const auto turned_away = book.rejected(0);
     book.set_share(0, 0);
-    RC_ASSERT(!book.take({0}, true) && book.turned_away(0) == turned_away);
-    RC_ASSERT(!book.take({0}) && book.turned_away(0) == turned_away + 1);
+    RC_ASSERT(!book.try_take_recovered({0}) && book.rejected(0) == turned_away);
+    RC_ASSERT(!book.try_take({0}) && book.rejected(0) == turned_away + 1);
   }));
 }
 
