--- a/src/fan_out/client.cpp
+++ b/src/fan_out/client.cpp
@@ -165,7 +165,7 @@
 }
 
 void client::apply(const start_call& start) {
-  const auto found = runs_.find(start.gathering);
+  const auto found = runs_.find(start.request);
   if (found == runs_.end()) return;
   const dependency_config& dependency = config_.dependencies->endpoints[start.dependency];
   const call_id id = start.id;
--- a/src/fan_out/messages.hpp
+++ b/src/fan_out/messages.hpp
@@ -44,7 +44,7 @@
 // The call is to be made; on_result() reports its end.
 struct start_call {
   call_id id = 0;
-  gathering_id gathering = 0;
+  gathering_id request = 0;
   std::size_t dependency = 0;
   std::size_t endpoint = 0;
   duration budget{};  // until the call is cancelled
--- a/tests/transaction/log_folder_test.cpp
+++ b/tests/transaction/log_folder_test.cpp
@@ -1,5 +1,5 @@
-// The folder of writes over several participants: its rows, and an older program's folder moved up, with
-// crashes and failures at each call on the way (ctest -L dependencies).
+// The folder of the transaction log: its rows, and a legacy log migrated, with crashes and failures at each
+// call on the way (ctest -L dependencies).
 #include "transaction/log_folder.hpp"
 
 #include <rapidcheck.h>
@@ -139,7 +139,7 @@
 
 // All of an older folder is there, once; what ends afterwards stays ended, though the older marks stand until
 // they are cleaned away; and the older program refuses the folder.
-void moved_up() {
+void migrated() {
   constexpr std::int64_t now = 1000 * second;
   for (unsigned seed = 1; seed <= 20; ++seed) {
     crash::fs fs;
@@ -181,7 +181,7 @@
 
 // The power goes, or the disk fails, at each call of the move, and again at some call of the next try: in the
 // end all is there, and nothing twice.
-void moved_up_with_faults() {
+void migrated_with_faults() {
   constexpr std::int64_t now = 1000 * second;
   std::uint64_t faults = 0;
   for (const crash::fault how : {crash::fault::power_loss, crash::fault::error, crash::fault::cut_short}) {
@@ -338,8 +338,8 @@
 
 int main(int, char** argv) {
   const std::map<std::string, void (*)()> tests = {{"rows", rows},
-                                                   {"moved_up", moved_up},
-                                                   {"moved_up_with_faults", moved_up_with_faults},
+                                                   {"migrated", migrated},
+                                                   {"migrated_with_faults", migrated_with_faults},
                                                    {"no_room", no_room},
                                                    {"written_by_0abc316", written_by_0abc316}};
   tests.at(argv[1])();
--- a/tests/transaction/outcome_cache_test.cpp
+++ b/tests/transaction/outcome_cache_test.cpp
@@ -1,5 +1,4 @@
-// What is known of writes by their keys, and the room that they take at their participants (ctest -L
-// dependencies).
+// The outcomes of transactions by the key of their request (ctest -L dependencies).
 #include "transaction/outcome_cache.hpp"
 
 #include <rapidcheck.h>
@@ -9,10 +8,8 @@
 #include <vector>
 
 #include "../check.hpp"
-#include "upstream/in_flight_calls.hpp"
 
 using namespace marblewharf::transaction;
-using namespace marblewharf::upstream;
 
 namespace {
 
@@ -86,57 +83,10 @@
   CHECK(o.find({3, 3}).state == status::committed && o.find({3, 3}).number == 9);
 }
 
-// Writes and gatherings together never have more than the share, writes alone never more than the participant
-// takes, a write has all of its calls or none, and whatever is given back can be taken again.
-void calls() {
-  CHECK(rc::check("room at participants", [] {
-    const std::size_t n = 3;
-    std::vector<std::size_t> gathering(n);
-    const std::vector<double> most = {4, 2, 3};
-    in_flight_calls book(most, [&](std::size_t d) { return gathering[d]; });
-    std::vector<double> share(n, 100);
-    for (std::size_t d = 0; d < n; ++d) book.set_share(d, share[d]);
-    std::vector<std::vector<std::size_t>> open;
-    for (int i = *rc::gen::inRange(1, 120); i > 0; --i) {
-      const auto d = static_cast<std::size_t>(*rc::gen::inRange(0, 3));
-      switch (*rc::gen::inRange(0, 4)) {
-        case 0: book.set_share(d, share[d] = *rc::gen::inRange(0, 8)); break;
-        case 1: gathering[d] = static_cast<std::size_t>(*rc::gen::inRange(0, 4)); break;
-        case 2:
-          if (open.empty()) break;
-          book.release(open.back());
-          open.pop_back();
-          break;
-        default: {
-          const std::vector<std::size_t> wants =
-              d == 2 ? std::vector<std::size_t>{0, 1, 2} : std::vector<std::size_t>{d};
-          std::vector<std::size_t> before;
-          bool fits = true;
-          for (std::size_t p = 0; p < n; ++p) before.push_back(book.transactions(p));
-          for (const std::size_t p : wants)
-            fits = fits && static_cast<double>(before[p]) + 1 <= most[p] &&
-                   static_cast<double>(before[p] + gathering[p]) + 1 <= share[p];
-          RC_ASSERT(book.try_take(wants) == fits);
-          for (const std::size_t p : wants) RC_ASSERT(book.transactions(p) == before[p] + (fits ? 1 : 0));
-          if (fits) open.push_back(wants);
-        }
-      }
-      for (std::size_t p = 0; p < n; ++p)
-        RC_ASSERT(book.remaining_share(p) ==
-                  std::max(0.0, share[p] - static_cast<double>(book.transactions(p))));
-    }
-    const auto turned_away = book.rejected(0);
-    book.set_share(0, 0);
-    RC_ASSERT(!book.try_take_recovered({0}) && book.rejected(0) == turned_away);
-    RC_ASSERT(!book.try_take({0}) && book.rejected(0) == turned_away + 1);
-  }));
-}
-
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {
-      {"against_a_map", against_a_map}, {"bounded", bounded}, {"calls", calls}};
+  const std::map<std::string, void (*)()> tests = {{"against_a_map", against_a_map}, {"bounded", bounded}};
   tests.at(argv[1])();
   std::printf("%s passed\n", argv[1]);
   return 0;
