--- a/src/fan_out/messages.hpp
+++ b/src/fan_out/messages.hpp
@@ -20,7 +20,7 @@
 
 // How a call ended.
 enum class call_end {
-  good,
+  good,     // a whole response came
   failed,   // an error, an unreadable response, or a lost connection
   not_now,  // rejected with a retry-after: nothing was done
 };
