--- a/src/fan_out/messages.hpp
+++ b/src/fan_out/messages.hpp
@@ -20,7 +20,7 @@
 
 // How a call ended.
 enum class call_end {
-  good,
+  good,     // a whole response came
   failed,   // an error, an unreadable response, or a lost connection
   not_now,  // rejected with a retry-after: nothing was done
 };
@@ -44,7 +44,7 @@
 // The call is to be made; on_result() reports its end.
 struct start_call {
   call_id id = 0;
-  gathering_id gathering = 0;
+  gathering_id request = 0;
   std::size_t dependency = 0;
   std::size_t endpoint = 0;
   duration budget{};  // until the call is cancelled
