--- a/src/server/node_admin_handler.cpp
+++ b/src/server/node_admin_handler.cpp
@@ -12,7 +12,7 @@
 }
 
 bool node_admin_handler::ready() {
-  return sources_.runtime_link.up() && !sources_.thrift_server.leaving();
+  return sources_.runtime_link.up() && !sources_.thrift_server.draining();
 }
 
 std::string node_admin_handler::statistics() {
--- a/src/server/price_node.cpp
+++ b/src/server/price_node.cpp
@@ -64,7 +64,7 @@
                                   .durable = durable_idempotency_.get()}) {
   // Before run() no connection is accepted, so the observer misses nothing.
   reactor_.listen_in(traffic_observer);
-  thrift_server_.answer_health_by([this] { return drain_state_.healthy(dispatcher_.healthy()); });
+  thrift_server_.set_health_check([this] { return drain_state_.healthy(dispatcher_.healthy()); });
   start_cluster_agent();
   start_console();
   start_uwsgi();
--- a/src/server/shutdown_sequence.cpp
+++ b/src/server/shutdown_sequence.cpp
@@ -17,8 +17,8 @@
 bool shutdown_sequence::step(time_point now) {
   // Each connection that this process keeps or accepts is one that a successor does not get.
   if (shutdown_->drains_connections(now)) {
-    targets_.thrift_server.leave();
-    if (targets_.uwsgi_server) targets_.uwsgi_server->leave();
+    targets_.thrift_server.begin_drain();
+    if (targets_.uwsgi_server) targets_.uwsgi_server->begin_drain();
   }
   lifecycle::connection_progress progress;
   if (shutdown_->closes_connections(now)) progress.all_ended = end_connections();
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -4,7 +4,9 @@
 #include <cmath>
 #include <cstring>
 #include <limits>
+#include <optional>
 
+#include "../bytes/byte_reader.hpp"
 #include "../policy_settings/settings_reader.hpp"
 
 namespace admission_policy::wire {
@@ -58,24 +60,18 @@
         sizeof(T) == 8, std::uint64_t,
         std::conditional_t<sizeof(T) == 4, std::uint32_t,
                            std::conditional_t<sizeof(T) == 2, std::uint16_t, std::uint8_t>>>;
-    const std::string_view field = take_bytes(sizeof(T));
-    raw value = 0;
-    for (std::size_t i = 0; i < sizeof(T); ++i) {
-      value = static_cast<raw>(
-          value | static_cast<raw>(static_cast<raw>(static_cast<std::uint8_t>(field[i])) << (8 * i)));
-    }
+    const auto value = marblewharf::bytes::from_little_endian<raw>(take_bytes(sizeof(T)));
     return std::bit_cast<T>(value);
   }
 
   std::string_view take_bytes(std::size_t count) {
-    if (count > bytes_.size() - at_) {
+    const std::optional<std::string_view> taken = bytes_.take(count);
+    if (!taken) {
       throw bad_frame(what_ + " at byte " + std::to_string(offset_) + ": " + std::to_string(count) +
-                      " bytes wanted at position " + std::to_string(at_) + ", " +
-                      std::to_string(bytes_.size() - at_) + " left");
+                      " bytes wanted at position " + std::to_string(bytes_.position()) + ", " +
+                      std::to_string(bytes_.left()) + " left");
     }
-    const std::string_view taken = bytes_.substr(at_, count);
-    at_ += count;
-    return taken;
+    return *taken;
   }
 
   duration take_duration() {
@@ -100,14 +96,13 @@
   [[noreturn]] void fail(const std::string& why) const {
     throw bad_frame(what_ + " at byte " + std::to_string(offset_) + ": " + why);
   }
-  bool at_end() const { return at_ == bytes_.size(); }
-  std::size_t position() const { return at_; }
+  bool at_end() const { return bytes_.at_end(); }
+  std::size_t position() const { return bytes_.position(); }
 
  private:
-  std::string_view bytes_;
+  marblewharf::bytes::byte_reader bytes_;
   std::size_t offset_;
   std::string what_;
-  std::size_t at_ = 0;
 };
 
 event read_arrival(reader& in) {
--- a/src/thrift/codec.cpp
+++ b/src/thrift/codec.cpp
@@ -1,5 +1,9 @@
 #include "thrift/codec.hpp"
 
+#include <utility>
+
+#include "bytes/byte_reader.hpp"
+
 namespace marblewharf::thrift {
 namespace {
 
@@ -31,37 +35,35 @@
   using std::runtime_error::runtime_error;
 };
 
-std::uint32_t big_endian(std::string_view bytes) {
-  std::uint32_t value = 0;
-  for (const char c : bytes) value = value << 8 | static_cast<std::uint8_t>(c);
-  return value;
-}
+// A field of a struct, by which its reader tells whether it is one it knows.
+struct field_head {
+  std::int16_t id = 0;
+  type kind{};
+  bool operator==(const field_head&) const = default;
+};
 
+// Reads the protocol's types; throws cut_short, or wrong for a type that is unknown or nested too deeply.
 class reader {
  public:
-  explicit reader(std::string_view bytes) : bytes_(bytes) {}
+  explicit reader(std::string_view payload) : bytes_(payload) {}
 
   std::string_view take(std::size_t count) {
-    if (count > bytes_.size()) throw cut_short();
-    const std::string_view taken = bytes_.substr(0, count);
-    bytes_.remove_prefix(count);
-    return taken;
+    const std::optional<std::string_view> taken = bytes_.take(count);
+    if (!taken) throw cut_short();
+    return *taken;
   }
-  std::uint8_t u8() { return static_cast<std::uint8_t>(take(1).front()); }
-  std::int16_t i16() { return static_cast<std::int16_t>(big_endian(take(2))); }
-  std::uint32_t u32() { return big_endian(take(4)); }
+  std::uint8_t u8() { return integer<std::uint8_t>(); }
+  std::int16_t i16() { return static_cast<std::int16_t>(integer<std::uint16_t>()); }
+  std::uint32_t u32() { return integer<std::uint32_t>(); }
   std::int32_t i32() { return static_cast<std::int32_t>(u32()); }
   type kind() { return static_cast<type>(u8()); }
-  std::string_view string() {
-    const std::uint32_t size = u32();
-    if (size > bytes_.size()) throw cut_short();
-    return take(size);
-  }
-  bool at_end() const { return bytes_.empty(); }
+  std::string_view string() { return take(u32()); }
+  bool at_end() const { return bytes_.at_end(); }
 
-  void skip(type t, unsigned depth = 0) {
+  // Reads past a value of this type.
+  void skip(type skipped, unsigned depth = 0) {
     if (depth > deepest) throw wrong("nested too deeply");
-    switch (t) {
+    switch (skipped) {
       case type::boolean:
       case type::byte: take(1); return;
       case type::i16: take(2); return;
@@ -70,7 +72,7 @@
       case type::i64: take(8); return;
       case type::string: string(); return;
       case type::structure:
-        while (const auto field = next_field()) skip(field->second, depth + 1);
+        while (const auto field = next_field()) skip(field->kind, depth + 1);
         return;
       case type::map: {
         const type key = kind();
@@ -89,19 +91,23 @@
       }
       case type::stop: break;
     }
-    throw wrong("unknown type " + std::to_string(static_cast<unsigned>(t)));
+    throw wrong("unknown type " + std::to_string(static_cast<unsigned>(skipped)));
   }
 
-  // Id and type of the next field; none at the end of the struct.
-  std::optional<std::pair<std::int16_t, type>> next_field() {
-    const type t = kind();
-    if (t == type::stop) return std::nullopt;
-    const std::int16_t id = i16();
-    return std::pair{id, t};
+  // The head of the next field; none at the end of the struct.
+  std::optional<field_head> next_field() {
+    const type found = kind();
+    if (found == type::stop) return std::nullopt;
+    return field_head{i16(), found};
   }
 
  private:
-  std::string_view bytes_;
+  template <typename Integer>
+  Integer integer() {
+    return bytes::from_big_endian<Integer>(take(sizeof(Integer)));
+  }
+
+  bytes::byte_reader bytes_;
 };
 
 field_map read_fields(reader& in, const limits& bounds) {
@@ -123,16 +129,16 @@
   bool have_fields = false;
   bool have_body = false;
   while (const auto field = in.next_field()) {
-    if (*field == std::pair{std::int16_t{1}, type::map}) {
+    if (*field == field_head{1, type::map}) {
       e.fields = read_fields(in, bounds);
       have_fields = true;
-    } else if (*field == std::pair{std::int16_t{2}, type::string}) {
+    } else if (*field == field_head{2, type::string}) {
       const std::string_view body = in.string();
       if (body.size() > bounds.body) throw wrong("a body of " + std::to_string(body.size()) + " bytes");
       e.body = body;
       have_body = true;
     } else {
-      in.skip(field->second);
+      in.skip(field->kind);
     }
   }
   if (!have_fields || !have_body) throw wrong("no fields or no body");
@@ -142,10 +148,10 @@
 interrupt read_interrupt(reader& in) {
   std::optional<interrupt> found;
   while (const auto field = in.next_field()) {
-    if (*field == std::pair{std::int16_t{1}, type::i32}) {
+    if (*field == field_head{1, type::i32}) {
       found = interrupt{in.i32()};
     } else {
-      in.skip(field->second);
+      in.skip(field->kind);
     }
   }
   if (!found) throw wrong("no sequence number");
@@ -155,10 +161,10 @@
 check read_check(reader& in) {
   check c;
   while (const auto field = in.next_field()) {
-    if (*field == std::pair{std::int16_t{1}, type::boolean}) {
+    if (*field == field_head{1, type::boolean}) {
       c.probe = in.u8() != 0;
     } else {
-      in.skip(field->second);
+      in.skip(field->kind);
     }
   }
   return c;
@@ -233,7 +239,7 @@
 
 std::optional<frame> next_frame(std::string_view bytes, const limits& bounds) {
   if (bytes.size() < length_size) return std::nullopt;
-  const std::uint32_t size = big_endian(bytes.substr(0, length_size));
+  const auto size = bytes::from_big_endian<std::uint32_t>(bytes.substr(0, length_size));
   if (size == 0 || size > bounds.frame) throw bad_frame("a frame of " + std::to_string(size) + " bytes");
   if (bytes.size() - length_size < size) return std::nullopt;
   return frame{bytes.substr(length_size, size), length_size + size};
--- a/src/thrift/front.hpp
+++ b/src/thrift/front.hpp
@@ -1,4 +1,4 @@
-// Where balancers come in: reads their requests, hands them to the dispatcher and writes its answers.
+// The Thrift front, for balancers: reads requests, hands them to the dispatcher and writes its answers.
 #pragma once
 
 #include <functional>
@@ -8,6 +8,7 @@
 #include "config/config.hpp"
 #include "core/dispatcher.hpp"
 #include "core/vocabulary.hpp"
+#include "fronts/sweep_schedule.hpp"
 #include "net/connections.hpp"
 #include "net/listener.hpp"
 #include "net/stream.hpp"
@@ -16,29 +17,33 @@
 
 namespace marblewharf::thrift {
 
+// Owned by the reactor's thread.
 class server : public front {
  public:
-  server(net::reactor& r, const config& settings, dispatcher& d, backend& b, telemetry::counters& counters);
+  // Listens on `settings.listen`; throws where that address cannot be had. All that is passed in outlives the
+  // server.
+  server(net::reactor& reactor, const config& settings, dispatcher& requests, backend& runs,
+         telemetry::counters& counters);
   ~server() override;
 
+  // front
   void respond(request_id id, const answer& final) override;
   void close_idle(duration after) override { idle_after_ = after; }
 
-  // Closes what is idle too long or stands half-read; returns when it wants to be called again.
+  // Closes connections that are idle or half-read for too long; returns when it wants to be called again.
   time_point step(time_point now);
 
-  // Takes no new connection and asks callers to let go of those that stand.
-  void leave();
-  bool leaving() const { return leaving_; }
-  // Ends each connection that nothing is owed on; what is read of it from then on is thrown away. A
-  // connection whose request has come and is not read yet is left for the next call. Returns whether all are
-  // ended.
+  // Accepts no further connection and asks the callers of open ones to close them.
+  void begin_drain();
+  bool draining() const { return draining_; }
+  // Ends each connection that nothing is owed on; what comes on it from then on is discarded. A connection
+  // with a request that was not read yet is left for the next call. Returns whether all are ended.
   bool end_connections();
-  // What health checks answer; the dispatcher's word where nobody says otherwise. Called on the reactor's
-  // thread.
-  void answer_health_by(std::function<bool()> healthy) { healthy_ = std::move(healthy); }
   bool empty() const { return connections_.empty(); }
 
+  // What health checks answer, in place of the dispatcher's health. Called on the reactor's thread.
+  void set_health_check(std::function<bool()> healthy) { healthy_ = std::move(healthy); }
+
  private:
   class connection;
   struct open_request {
@@ -47,9 +52,11 @@
   };
 
   void accept(const Poco::Net::StreamSocket& socket);
-  void read(connection& from, const execute& what, std::int32_t seqid);
-  void drop(connection& c);
-  void thin_out();
+  void begin_request(connection& from, const execute& what, std::int32_t seqid);
+  void drop(connection& closed);
+  void check(connection& candidate, time_point now);
+  void ask_unused_to_close();
+  bool healthy() const;
 
   net::reactor& reactor_;
   const config& config_;
@@ -61,10 +68,10 @@
   vocabulary names_;
   key_rules keys_;
   net::listener listener_;
-  std::function<bool()> healthy_;
-  duration idle_after_{};
-  time_point next_sweep_{};
-  bool leaving_ = false;
+  std::function<bool()> healthy_;  // empty: the dispatcher's health
+  duration idle_after_{};          // as the admission policy wants it; 0: no such wish
+  fronts::sweep_schedule sweeps_;
+  bool draining_ = false;
 };
 
 }  // namespace marblewharf::thrift
--- a/src/uwsgi/front.hpp
+++ b/src/uwsgi/front.hpp
@@ -1,5 +1,5 @@
-// Where uwsgi gateways come in: a connection carries one request and its response. Same dispatcher, and so
-// the same decisions, as the Thrift front's.
+// The uwsgi front, for gateways: a connection carries one request and its response. Requests go to the same
+// dispatcher, and so meet the same decisions, as those of the Thrift front.
 #pragma once
 
 #include <memory>
@@ -8,6 +8,7 @@
 #include "config/config.hpp"
 #include "core/dispatcher.hpp"
 #include "core/vocabulary.hpp"
+#include "fronts/sweep_schedule.hpp"
 #include "net/connections.hpp"
 #include "net/listener.hpp"
 #include "net/stream.hpp"
@@ -15,22 +16,27 @@
 
 namespace marblewharf::uwsgi {
 
+// Owned by the reactor's thread.
 class server : public front {
  public:
-  server(net::reactor& r, const config& settings, dispatcher& d, backend& b, telemetry::counters& counters);
+  // Listens on `settings.uwsgi->listen`; throws where that address cannot be had. All that is passed in
+  // outlives the server.
+  server(net::reactor& reactor, const config& settings, dispatcher& requests, backend& runs,
+         telemetry::counters& counters);
   ~server() override;
 
+  // front
   void respond(request_id id, const answer& final) override;
   void close_idle(duration) override {}  // no connection outlives its request
 
-  // Closes what stands half-read or was answered; returns when it wants to be called again.
+  // Closes connections that are half-read or were answered for too long; returns when it wants to be called
+  // again.
   time_point step(time_point now);
 
-  // Takes no new connection.
-  void leave();
-  // Ends each connection that nothing is owed on; what is read of it from then on is thrown away. A
-  // connection whose request has come and is not read yet is left for the next call. Returns whether all are
-  // ended.
+  // Accepts no further connection.
+  void begin_drain();
+  // Ends each connection that nothing is owed on; what comes on it from then on is discarded. A connection
+  // with a request that was not read yet is left for the next call. Returns whether all are ended.
   bool end_connections();
   bool empty() const { return connections_.empty(); }
 
@@ -38,8 +44,9 @@
   class connection;
 
   void accept(const Poco::Net::StreamSocket& socket);
-  request_id read(const packet& p);
-  void drop(connection& c);
+  request_id begin_request(const packet& whole);
+  void drop(connection& closed);
+  void check(connection& candidate, time_point now);
 
   net::reactor& reactor_;
   const config& config_;
@@ -50,7 +57,7 @@
   std::unordered_map<request_id, connection*> open_;
   vocabulary names_;
   net::listener listener_;
-  time_point next_sweep_{};
+  fronts::sweep_schedule sweeps_;
 };
 
 }  // namespace marblewharf::uwsgi
--- a/src/uwsgi/packet.cpp
+++ b/src/uwsgi/packet.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <charconv>
 
+#include "bytes/byte_reader.hpp"
+
 namespace marblewharf::uwsgi {
 namespace {
 
@@ -11,8 +13,8 @@
 constexpr unsigned bad_request = 400;
 constexpr unsigned too_large = 413;
 
-std::size_t little_endian(std::string_view bytes) {
-  return static_cast<std::uint8_t>(bytes[0]) | std::size_t{static_cast<std::uint8_t>(bytes[1])} << 8;
+std::size_t length_at_front(std::string_view encoded) {
+  return bytes::from_little_endian<std::uint16_t>(encoded.substr(0, length_size));
 }
 
 void put_length(std::string& out, std::size_t value) {
@@ -22,7 +24,7 @@
 
 std::string_view take_text(std::string_view& block) {
   if (block.size() < length_size) throw bad_packet(bad_request, "a var that is cut short");
-  const std::size_t size = little_endian(block);
+  const std::size_t size = length_at_front(block);
   block.remove_prefix(length_size);
   if (size > block.size()) throw bad_packet(bad_request, "a var that is longer than its block");
   const std::string_view text = block.substr(0, size);
@@ -76,7 +78,7 @@
   if (bytes.size() < header_size) return std::nullopt;
   if (bytes[0] != 0)
     throw bad_packet(bad_request, "modifier1 " + std::to_string(static_cast<std::uint8_t>(bytes[0])));
-  const std::size_t size = little_endian(bytes.substr(1));
+  const std::size_t size = length_at_front(bytes.substr(1));
   if (size > bounds.uwsgi_vars) throw bad_packet(too_large, "vars of " + std::to_string(size) + " bytes");
   if (bytes.size() < header_size + size) return std::nullopt;
   packet p;
