--- a/src/telemetry/telemetry.cpp
+++ b/src/telemetry/telemetry.cpp
@@ -3,6 +3,8 @@
 #include <chrono>
 #include <cinttypes>
 #include <cstdarg>
+#include <cstddef>
+#include <cstdint>
 #include <cstdio>
 #include <map>
 #include <mutex>
@@ -11,54 +13,67 @@
 namespace marblewharf::telemetry {
 namespace {
 
-struct budget {
-  std::chrono::steady_clock::time_point since;
+constexpr std::size_t longest_text = 512;
+constexpr std::int64_t ms_per_second = 1000;
+
+// The lines of one event in the present second.
+struct line_quota {
+  std::chrono::steady_clock::time_point second_began;
   unsigned written = 0;
-  std::uint64_t left_out = 0;
+  std::uint64_t left_out = 0;  // since the last line that was written
 };
 
-std::mutex guard;
-unsigned most_lines = 5;
-std::map<std::string_view, budget> budgets;  // as many as there are words in the program
+std::mutex mutex;  // guards all below, and keeps lines whole
+unsigned lines_per_second = 5;
+std::map<std::string_view, line_quota> quotas;  // one for each event of the program
+
+// Whether another line may be written now; counts it either way.
+bool may_write(line_quota& quota) {
+  const auto now = std::chrono::steady_clock::now();
+  if (now - quota.second_began >= std::chrono::seconds(1)) {
+    quota.second_began = now;
+    quota.written = 0;
+  }
+  if (quota.written >= lines_per_second) {
+    ++quota.left_out;
+    return false;
+  }
+  ++quota.written;
+  return true;
+}
+
+std::int64_t unix_ms() {
+  const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
+  return std::chrono::duration_cast<std::chrono::milliseconds>(since_epoch).count();
+}
 
 }  // namespace
 
 void limit_lines(unsigned each_second) {
-  const std::lock_guard lock(guard);
-  most_lines = each_second;
+  const std::lock_guard lock(mutex);
+  lines_per_second = each_second;
 }
 
-void log(const char* word, const char* format, ...) {
-  const std::lock_guard lock(guard);
-  const auto now = std::chrono::steady_clock::now();
-  budget& b = budgets[word];
-  if (now - b.since >= std::chrono::seconds(1)) {
-    b.since = now;
-    b.written = 0;
-  }
-  if (b.written >= most_lines) {
-    ++b.left_out;
-    return;
-  }
-  ++b.written;
-  char text[512];
+void log(const char* event, const char* format, ...) {
+  const std::lock_guard lock(mutex);
+  line_quota& quota = quotas[event];
+  if (!may_write(quota)) return;
+  char text[longest_text];
   std::va_list arguments;
   va_start(arguments, format);
   std::vsnprintf(text, sizeof text, format, arguments);
   va_end(arguments);
-  const auto unix_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
-                           std::chrono::system_clock::now().time_since_epoch())
-                           .count();
-  std::fprintf(stderr, "%" PRId64 ".%03d %s: %s", static_cast<std::int64_t>(unix_ms / 1000),
-               static_cast<int>(unix_ms % 1000), word, text);
-  if (b.left_out > 0) std::fprintf(stderr, " (%" PRIu64 " such lines left out)", b.left_out);
+  const std::int64_t now_ms = unix_ms();
+  std::fprintf(stderr, "%" PRId64 ".%03d %s: %s", now_ms / ms_per_second,
+               static_cast<int>(now_ms % ms_per_second), event, text);
+  if (quota.left_out > 0) std::fprintf(stderr, " (%" PRIu64 " such lines left out)", quota.left_out);
   std::fputc('\n', stderr);
-  b.left_out = 0;
+  quota.left_out = 0;
 }
 
 void audit(const char* format, ...) {
-  const std::lock_guard lock(guard);
-  char text[512];
+  const std::lock_guard lock(mutex);
+  char text[longest_text];
   std::va_list arguments;
   va_start(arguments, format);
   std::vsnprintf(text, sizeof text, format, arguments);
@@ -75,7 +90,7 @@
       c.connections, c.taken_in, c.sent, c.served, c.refused, c.failed, c.given_up, c.gone, c.bad_requests,
       c.bad_frames, c.checks, c.silent, c.made_room, c.turned_away, c.links_lost, c.nacks, c.console_calls,
       c.console_bad);
-  if (c.results_bytes == 0 && c.results_known == 0) return;  // nothing is kept
+  if (c.results_bytes == 0 && c.results_known == 0) return;  // no result is recorded
   log("counters",
       "repeats_answered=%" PRIu64 " repeats_joined=%" PRIu64 " repeats_in_doubt=%" PRIu64
       " key_conflicts=%" PRIu64 " no_room=%" PRIu64 " results_known=%" PRIu64 " results_in_doubt=%" PRIu64
