--- a/src/cluster/quota_client.cpp
+++ b/src/cluster/quota_client.cpp
@@ -82,7 +82,7 @@
       in_flight_demand_(settings_.all.size()),
       applied_shares_(settings_.all.size(), never_applied),
       share_changes_(settings_.all.size()) {
-  agent_.hear([this](std::string_view datagram) { return on_datagram(datagram); });
+  agent_.set_datagram_filter([this](std::string_view datagram) { return on_datagram(datagram); });
   requests_.watch_arrivals([this](const request& arrived) { count_arrival(arrived); });
   update_membership(lease_clock());
   apply_shares(lease_clock());  // binds from the first request on
@@ -145,10 +145,10 @@
 
 void quota_client::update_membership(quota::time_point lease_now) {
   if (coordinator_.is_member()) return;
-  if (agent_.joined()) {
+  if (agent_.is_member()) {
     coordinator_.become_member(lease_now);
   } else {
-    coordinator_.set_reply_address(agent_.own_address());
+    coordinator_.set_reply_address(agent_.reachable_address());
   }
 }
 
@@ -156,7 +156,7 @@
   measure_usage(now);
   const quota::time_point lease_now = lease_clock();
   update_membership(lease_now);
-  const auto is_alive = [this](const std::string& member) { return agent_.alive(member); };
+  const auto is_alive = [this](const std::string& member) { return agent_.is_alive(member); };
   const quota::time_point due = coordinator_.step(lease_now, usage_, is_alive);
   apply_shares(lease_now);
   send_messages();
--- a/src/failover/routes.cpp
+++ b/src/failover/routes.cpp
@@ -4,25 +4,32 @@
 
 namespace marblewharf::failover {
 
-sight sight_of(std::span<const member_sight> members, const sight_rules& rules) {
-  const auto alive = [](const member_sight& m) { return m.is == member_is::alive; };
-  // Guards against a zone that comes and goes faster than members are declared dead: alive all the while, yet
-  // not well.
-  const auto missed = [&](const member_sight& m) { return alive(m) && m.since_miss < rules.contact_window; };
-  if (std::any_of(members.begin(), members.end(), alive))
-    return std::any_of(members.begin(), members.end(), missed) ? sight::unsure : sight::healthy;
-  const auto away = [&rules](const member_sight& m) {
-    // Guards against blame by hearsay: one wrong view spreads by gossip, an answer of its own does not lie.
-    if (m.since_contact < rules.contact_window) return false;
-    return m.is != member_is::unheard || rules.since_start >= rules.start_grace;
+zone_observation observe_zone(std::span<const member_observation> members, const observation_rules& rules) {
+  const auto is_alive = [](const member_observation& member) { return member.state == member_state::alive; };
+  // A zone that comes and goes faster than members are declared dead is alive all the while, yet not healthy.
+  const auto is_alive_but_missed = [&](const member_observation& member) {
+    return is_alive(member) && member.since_missed < rules.contact_window;
   };
-  if (members.empty() || !std::all_of(members.begin(), members.end(), away)) return sight::unsure;
-  const auto suspect = [](const member_sight& m) { return m.is == member_is::suspect; };
-  return std::any_of(members.begin(), members.end(), suspect) ? sight::silent : sight::gone;
+  if (std::any_of(members.begin(), members.end(), is_alive)) {
+    const bool missed = std::any_of(members.begin(), members.end(), is_alive_but_missed);
+    return missed ? zone_observation::uncertain : zone_observation::healthy;
+  }
+  const auto is_out_of_contact = [&rules](const member_observation& member) {
+    // A wrong belief spreads by gossip; an answer that this member received itself is certain.
+    if (member.since_acknowledged < rules.contact_window) return false;
+    return member.state != member_state::unknown || rules.since_start >= rules.start_grace;
+  };
+  if (members.empty() || !std::all_of(members.begin(), members.end(), is_out_of_contact))
+    return zone_observation::uncertain;
+  const auto is_suspect = [](const member_observation& member) {
+    return member.state == member_state::suspect;
+  };
+  const bool any_suspect = std::any_of(members.begin(), members.end(), is_suspect);
+  return any_suspect ? zone_observation::silent : zone_observation::down;
 }
 
-bool zone_routable(const verdict& v, bool own) {
-  return own || !v.out;
+bool zone_routable(const zone_decision& decision, bool is_own) {
+  return is_own || !decision.out;
 }
 
 }  // namespace marblewharf::failover
--- a/src/failover/routes.hpp
+++ b/src/failover/routes.hpp
@@ -1,4 +1,4 @@
-// What one member makes of what it knows: whether a zone looks gone from here, and whether calls may go to
+// What one member concludes from its own knowledge: how a zone looks from here, and whether calls may go to
 // it.
 //
 // Free of I/O and of state; any thread.
@@ -10,32 +10,34 @@
 
 namespace marblewharf::failover {
 
-enum class member_is {
-  unheard,
+enum class member_state {
+  unknown,  // no update on it was received since this member's start
   alive,
   suspect,
-  dead
-};  // unheard: nobody spoke of it since this member's start
+  dead,
+};
 
-struct member_sight {
-  member_is is = member_is::unheard;
-  duration since_contact = duration::max();  // since it answered this member itself; max: never
-  duration since_miss = duration::max();     // since it did not; max: never
+struct member_observation {
+  member_state state = member_state::unknown;
+  duration since_acknowledged = duration::max();  // since it last answered a probe of this member; max: never
+  duration since_missed = duration::max();        // since it last left one unanswered; max: never
 };
-struct sight_rules {
-  duration since_start{};     // of this member
-  duration start_grace{};     // until then one unheard is not one gone: it may only be slower to start
-  duration contact_window{};  // whoever answered this member itself so lately is not gone, whatever is said
-                              // of it; and whoever did not answer it so lately is not well
+
+struct observation_rules {
+  duration since_start{};  // of this member
+  duration start_grace{};  // until then an unknown member does not count as down: it may be slower to start
+  // A member that answered within this time is not down, whatever others report of it; one that left a probe
+  // unanswered within it is not healthy.
+  duration contact_window{};
 };
 
-// Healthy where one member is alive and no live one failed to answer this member within the window; gone
-// where every one is dead, or unheard past the grace, and none answered this member within the window;
-// otherwise unsure. No members: unsure.
-sight sight_of(std::span<const member_sight> members, const sight_rules& rules);
+// Healthy: a member is alive, and no live one left a probe unanswered within the window. Down: every member
+// is dead, or unknown past the grace, and none answered within the window; silent where some of those are
+// suspect. Otherwise, and without members, uncertain.
+zone_observation observe_zone(std::span<const member_observation> members, const observation_rules& rules);
 
-// Calls go to a zone unless it is declared out in common; to this member's own zone always, since whoever is
-// cut off serves on from what is near.
-bool zone_routable(const verdict& v, bool own);
+// Calls go to a zone unless it is decided out; to this member's own zone always, since whoever is cut off
+// goes on with what is near.
+bool zone_routable(const zone_decision& decision, bool is_own);
 
 }  // namespace marblewharf::failover
--- a/src/failover/zone_view.cpp
+++ b/src/failover/zone_view.cpp
@@ -7,145 +7,175 @@
 
 namespace {
 
-// A standing vote is issued anew this often within its lease, so that some lost copies do not end it.
-constexpr int issues_in_lease = 4;
-// A voter whose clock went back over a restart counts rounds below its old ones: after this many leases of
-// silence its rounds are taken as they come.
+// A standing vote is renewed this often within its lease: some lost copies do not end it.
+constexpr int renewals_per_lease = 4;
+// After a restart with its clock set back a voter counts rounds below its earlier ones: after this many
+// leases of silence its rounds are accepted as they come.
 constexpr int leases_remembered = 4;
+// With fewer, each half of a partition holds the majority of the other zones.
+constexpr std::size_t min_zones = 3;
+
+// The value of an epoch is fixed by its parity.
+bool is_out_epoch(std::uint64_t epoch) {
+  return epoch % 2 == 1;
+}
 
 }  // namespace
 
-zone_view::zone_view(std::map<std::string, std::string> zone_of, std::string self, view_options o,
+zone_view::zone_view(std::map<std::string, std::string> zone_of, std::string self, zone_view_options options,
                      std::uint64_t first_round)
-    : zone_of_(std::move(zone_of)), self_(std::move(self)), options_(o), round_(first_round) {
+    : zone_of_(std::move(zone_of)), self_(std::move(self)), options_(options), round_(first_round) {
   const auto found = zone_of_.find(self_);
   if (found == zone_of_.end())
     throw std::invalid_argument("zone_view: " + self_ + " is no configured member");
   own_zone_ = found->second;
   for (const auto& [member, zone] : zone_of_) {
-    ++members_in_[zone];
+    ++configured_members_[zone];
     zones_.insert(zone);
   }
 }
 
-verdict zone_view::of(const std::string& zone) const {
-  const auto found = verdicts_.find(zone);
-  return found == verdicts_.end() ? verdict{} : found->second;
+zone_decision zone_view::decision(const std::string& zone) const {
+  const auto found = decisions_.find(zone);
+  return found == decisions_.end() ? zone_decision{} : found->second;
 }
 
 bool zone_view::region_out(const std::vector<std::string>& zones_of_region) const {
-  return !zones_of_region.empty() && std::all_of(zones_of_region.begin(), zones_of_region.end(),
-                                                 [this](const std::string& z) { return of(z).out; });
+  const auto is_out = [this](const std::string& zone) { return decision(zone).out; };
+  return !zones_of_region.empty() && std::all_of(zones_of_region.begin(), zones_of_region.end(), is_out);
 }
 
-// The epoch that a vote of that value goes to: the current one where it has that value, else the next; or a
-// later one of the same value that others stand by, so that a member an epoch behind does not keep the rest
-// from a quorum. Every value is fixed by its epoch's parity, so a vote for any epoch cannot clash with
-// another of that epoch.
-std::uint64_t zone_view::wanted_epoch(time_point now, const std::string& zone, bool out) const {
-  std::uint64_t epoch = of(zone).epoch + (of(zone).out == out ? 0 : 1);
-  if (const auto all = ballots_.find(zone); all != ballots_.end()) {
-    for (const auto& [voter, b] : all->second)
-      if (stands(b, now) && b.what.out == out) epoch = std::max(epoch, b.what.epoch);
-  }
+// The epoch that a vote of this value is for: the current one where it has that value, else the next; or a
+// later one of the same value that others stand by, so that a member that is an epoch behind does not keep
+// the rest from a quorum.
+std::uint64_t zone_view::target_epoch(time_point now, const std::string& zone, bool out) const {
+  const zone_decision current = decision(zone);
+  std::uint64_t epoch = current.out == out ? current.epoch : current.epoch + 1;
+  const auto votes = votes_.find(zone);
+  if (votes == votes_.end()) return epoch;
+  for (const auto& [voter, record] : votes->second)
+    if (stands(record, now) && record.latest.out == out) epoch = std::max(epoch, record.latest.epoch);
   return epoch;
 }
 
-std::optional<vote> zone_view::observe(time_point now, const std::string& zone, sight seen) {
-  if (zone == own_zone_ || !zones_.contains(zone)) return std::nullopt;
-  if (seen != sight::healthy) {
-    healthy_since_.erase(zone);
-  } else {
+void zone_view::record_observation(time_point now, const std::string& zone, zone_observation observed) {
+  if (observed == zone_observation::healthy) {
     healthy_since_.try_emplace(zone, now);
+  } else {
+    healthy_since_.erase(zone);
   }
-  if (seen == sight::gone || seen == sight::silent) last_away_[zone] = now;
-  const verdict current = of(zone);
-  // Out is voted at once; in only after hold_down without a break, so a flapping zone stays out. Whoever is
-  // unsure stands by what was decided.
-  const bool wants_out = seen == sight::gone && quorum_in_touch(zone, now);
-  const bool wants_in = seen == sight::healthy && now - healthy_since_[zone] >= options_.hold_down;
+  const bool out_of_contact = observed == zone_observation::down || observed == zone_observation::silent;
+  if (out_of_contact) last_out_of_contact_[zone] = now;
+}
+
+// Votes out at once, and in only after `hold_down`, so that a flapping zone stays out. Without a reason to
+// change it stands by what was decided.
+std::optional<vote> zone_view::observe(time_point now, const std::string& zone, zone_observation observed) {
+  if (zone == own_zone_ || !zones_.contains(zone)) return std::nullopt;
+  record_observation(now, zone, observed);
+  const zone_decision current = decision(zone);
+  const bool wants_out = observed == zone_observation::down && quorum_in_contact(zone, now);
+  const bool wants_in =
+      observed == zone_observation::healthy && now - healthy_since_[zone] >= options_.hold_down;
   const bool out = wants_out || (current.out && !wants_in);
-  const std::uint64_t epoch = wants_out || wants_in ? wanted_epoch(now, zone, out) : current.epoch;
-
-  ballot& mine = ballots_[zone][self_];
-  const bool changed = mine.what.epoch != epoch;
-  // Nothing was ever voted here, or it was taken back long enough ago for all leases to have ended.
-  if (epoch == 0 && !changed && !(mine.what.round > 0 && stands(mine, now))) return std::nullopt;
-  if (changed || now - mine.heard >= options_.vote_lease / issues_in_lease) {
-    if (epoch > 0 || changed) mine.heard = now;  // a vote taken back is sent for one lease, then forgotten
-    mine.what = vote{self_, zone, epoch, out, ++round_};
+  const std::uint64_t epoch = wants_out || wants_in ? target_epoch(now, zone, out) : current.epoch;
+  const std::optional<vote> own_vote = update_own_vote(now, vote{self_, zone, epoch, out, 0});
+  if (own_vote) count_votes(now, zone);
+  return own_vote;
+}
+
+// Renews or changes this member's vote. Epoch 0 withdraws an earlier vote: it is sent for one lease and then
+// forgotten.
+std::optional<vote> zone_view::update_own_vote(time_point now, const vote& intended) {
+  vote_record& record = votes_[intended.zone][self_];
+  const bool changed = record.latest.epoch != intended.epoch;
+  const bool withdrawal = intended.epoch == 0;
+  const bool withdrawal_still_sent = record.latest.round > 0 && stands(record, now);
+  if (withdrawal && !changed && !withdrawal_still_sent) return std::nullopt;
+  if (changed || now - record.received >= options_.vote_lease / renewals_per_lease) {
+    if (!withdrawal || changed) record.received = now;
+    record.latest = intended;
+    record.latest.round = ++round_;
   }
-  const vote issued = mine.what;
-  tally(now, zone);
-  return issued;
+  return record.latest;
+}
+
+bool zone_view::is_valid(const vote& received) const {
+  const auto voter = zone_of_.find(received.voter);
+  if (voter == zone_of_.end() || !zones_.contains(received.zone)) return false;
+  return voter->second != received.zone && received.out == is_out_epoch(received.epoch);
 }
 
-bool zone_view::hear(time_point now, const vote& v) {
-  const auto voter = zone_of_.find(v.voter);
-  const bool parity_kept = v.out == (v.epoch % 2 == 1);
-  if (voter == zone_of_.end() || voter->second == v.zone || !zones_.contains(v.zone) || !parity_kept) {
-    ++refused_;
+bool zone_view::receive(time_point now, const vote& received) {
+  if (!is_valid(received)) {
+    ++rejected_votes_;
     return false;
   }
-  if (v.voter == self_) return false;  // an echo; what this member stands by it knows itself
-  const auto [at, fresh] = ballots_[v.zone].try_emplace(v.voter);
-  ballot& held = at->second;
-  // An older vote that arrives late must not stand for the later one, nor a copy prolong its lease.
-  if (!fresh && v.round <= held.what.round && now - held.heard < leases_remembered * options_.vote_lease)
-    return false;
-  held = ballot{v, now, options_.pass_on};
-  return tally(now, v.zone);
+  const bool is_echo = received.voter == self_;
+  if (is_echo) return false;
+  const auto [entry, is_first] = votes_[received.zone].try_emplace(received.voter);
+  vote_record& record = entry->second;
+  // An older vote that arrives late must not replace the later one, nor a copy renew its lease.
+  const bool remembered = now - record.received < leases_remembered * options_.vote_lease;
+  if (!is_first && received.round <= record.latest.round && remembered) return false;
+  record = vote_record{received, now, options_.retransmits};
+  return count_votes(now, received.zone);
 }
 
-std::vector<vote> zone_view::take_news(std::size_t most) {
-  std::vector<ballot*> news;
-  for (auto& [zone, voters] : ballots_)
-    for (auto& [voter, b] : voters)
-      if (b.to_pass_on > 0) news.push_back(&b);
-  std::stable_sort(news.begin(), news.end(),
-                   [](const ballot* a, const ballot* b) { return a->to_pass_on > b->to_pass_on; });
-  std::vector<vote> out;
-  for (ballot* b : news) {
-    if (out.size() == most) break;
-    --b->to_pass_on;
-    out.push_back(b->what);
+std::vector<vote> zone_view::outgoing_gossip(std::size_t limit) {
+  std::vector<vote_record*> pending;
+  for (auto& [zone, votes] : votes_)
+    for (auto& [voter, record] : votes)
+      if (record.retransmits_left > 0) pending.push_back(&record);
+  std::stable_sort(pending.begin(), pending.end(), [](const vote_record* a, const vote_record* b) {
+    return a->retransmits_left > b->retransmits_left;
+  });
+  pending.resize(std::min(pending.size(), limit));
+  std::vector<vote> outgoing;
+  for (vote_record* record : pending) {
+    --record->retransmits_left;
+    outgoing.push_back(record->latest);
   }
-  return out;
+  return outgoing;
 }
 
-// Guards against the moment in which cuts heal: votes of both sides meet, each true of its own side until
-// just now.
-bool zone_view::in_touch(const std::string& zone, time_point now) const {
-  const auto away = last_away_.find(zone);
-  return away == last_away_.end() || now - away->second >= options_.vote_lease;
+// When a partition heals, votes of both sides meet, each true of its own side until just now.
+bool zone_view::in_contact(const std::string& zone, time_point now) const {
+  const auto last = last_out_of_contact_.find(zone);
+  return last == last_out_of_contact_.end() || now - last->second >= options_.vote_lease;
 }
 
-// Whether a quorum on zone `without` may be found among those that this member has been in touch with. A side
-// that cannot decide has no vote to bring along when the cut heals.
-bool zone_view::quorum_in_touch(const std::string& without, time_point now) const {
-  const auto touched = std::count_if(zones_.begin(), zones_.end(), [&](const std::string& z) {
-    return z != without && (z == own_zone_ || in_touch(z, now));
-  });
-  return 2 * static_cast<std::size_t>(touched) > zones_.size() - 1;
+// Whether those in contact may hold a quorum on a zone. A side that cannot decide has no vote to bring along
+// when the partition heals.
+bool zone_view::quorum_in_contact(const std::string& observed_zone, time_point now) const {
+  const auto counts = [&](const std::string& zone) {
+    return zone != observed_zone && (zone == own_zone_ || in_contact(zone, now));
+  };
+  const auto zones_in_contact = std::count_if(zones_.begin(), zones_.end(), counts);
+  const std::size_t other_zones = zones_.size() - 1;
+  return 2 * static_cast<std::size_t>(zones_in_contact) > other_zones;
 }
 
-bool zone_view::tally(time_point now, const std::string& zone) {
-  // Guards against a cut into two halves: with two zones each half would hold "the majority of the others".
-  if (zones_.size() < 3) return false;
-  const std::size_t others = zones_.size() - 1;
-  const std::uint64_t decided = of(zone).epoch;
-  std::map<std::uint64_t, std::map<std::string, std::size_t>>
-      votes;  // standing ones, by epoch and the voters' zone
-  for (const auto& [voter, b] : ballots_[zone])
-    if (b.what.epoch > decided && stands(b, now) && in_touch(zone_of_.at(voter), now))
-      ++votes[b.what.epoch][zone_of_.at(voter)];
+bool zone_view::count_votes(time_point now, const std::string& zone) {
+  if (zones_.size() < min_zones) return false;
+  const std::uint64_t decided_epoch = decision(zone).epoch;
+  using votes_by_zone = std::map<std::string, std::size_t>;
+  std::map<std::uint64_t, votes_by_zone> standing;  // by epoch, then by the voters' zone
+  for (const auto& [voter, record] : votes_[zone]) {
+    const std::string& voters_zone = zone_of_.at(voter);
+    if (record.latest.epoch > decided_epoch && stands(record, now) && in_contact(voters_zone, now))
+      ++standing[record.latest.epoch][voters_zone];
+  }
+  const std::size_t other_zones = zones_.size() - 1;
+  const auto has_majority = [this](const auto& zone_votes) {
+    return 2 * zone_votes.second > configured_members_.at(zone_votes.first);
+  };
   // The highest epoch with a quorum: votes for e + 2 mean that their voters saw e + 1 decided.
-  for (auto e = votes.rbegin(); e != votes.rend(); ++e) {
-    const auto agreeing = std::count_if(e->second.begin(), e->second.end(), [this](const auto& in) {
-      return 2 * in.second > members_in_.at(in.first);
-    });
-    if (2 * static_cast<std::size_t>(agreeing) <= others) continue;
-    verdicts_[zone] = verdict{e->first, e->first % 2 == 1, now};
+  for (auto candidate = standing.rbegin(); candidate != standing.rend(); ++candidate) {
+    const auto& [epoch, zone_votes] = *candidate;
+    const auto agreeing = std::count_if(zone_votes.begin(), zone_votes.end(), has_majority);
+    if (2 * static_cast<std::size_t>(agreeing) <= other_zones) continue;
+    decisions_[zone] = zone_decision{epoch, is_out_epoch(epoch), now};
     return true;
   }
   return false;
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -7,275 +7,340 @@
 
 namespace {
 
-// Of two claims on one member, whether `heard` replaces `held`: the higher incarnation, else the graver
-// state.
-bool overrides(const claim& heard, const claim& held) {
-  if (heard.incarnation != held.incarnation) return heard.incarnation > held.incarnation;
-  return heard.state > held.state;
+// Sequence of pings that no probe waits for.
+constexpr std::uint64_t no_sequence = 0;
+
+bool overrides(const member_update& heard, const member_update& believed) {
+  if (heard.incarnation != believed.incarnation) return heard.incarnation > believed.incarnation;
+  return heard.status > believed.status;
+}
+
+std::optional<time_point> find_time(const std::map<std::string, time_point>& times,
+                                    const std::string& address) {
+  const auto found = times.find(address);
+  return found == times.end() ? std::nullopt : std::optional(found->second);
 }
 
 }  // namespace
 
-swim::swim(const options& o, claim self, std::vector<std::string> seeds, time_point now)
-    : options_(o), self_(std::move(self)), seeds_(std::move(seeds)), next_probe_(now) {
-  self_.state = health::alive;
+swim::swim(const swim_options& options, member_update self, std::vector<std::string> seeds, time_point now)
+    : options_(options),
+      self_(std::move(self)),
+      seeds_(std::move(seeds)),
+      dissemination_(options.retransmit_multiplier),
+      next_probe_(now) {
+  self_.status = member_status::alive;
   std::erase(seeds_, self_.address);
 }
 
-std::size_t swim::alive_count() const {
-  return static_cast<std::size_t>(std::count_if(
-      members_.begin(), members_.end(), [](const auto& m) { return m.second.state != health::dead; }));
+// ---- The view ---------------------------------------------------------------------------------------------
+
+std::size_t swim::live_member_count() const {
+  const auto is_live = [](const auto& entry) { return entry.second.status != member_status::dead; };
+  return static_cast<std::size_t>(std::count_if(members_.begin(), members_.end(), is_live));
 }
 
-duration swim::suspicion_timeout(unsigned confirmations) const {
-  const double n = static_cast<double>(alive_count() + 1);
-  const double least = options_.suspicion_min_rounds * std::max(1.0, std::log10(n)) *
-                       static_cast<double>(options_.probe_interval.count());
-  const double most = options_.suspicion_max_factor * least;
-  const double k = options_.suspicion_confirmations;
-  if (k == 0) return duration(static_cast<std::int64_t>(least));
-  // Lifeguard: each independent confirmation brings the end nearer, down to the least after K of them.
-  const double t = most - (most - least) * std::log(confirmations + 1.0) / std::log(k + 1.0);
-  return duration(static_cast<std::int64_t>(std::max(least, t)));
+bool swim::is_alive(const std::string& address) const {
+  const auto found = members_.find(address);
+  return found != members_.end() && found->second.status == member_status::alive;
 }
 
-void swim::spread(const claim& c) {
-  const double n = static_cast<double>(members_.size() + 1);
-  sends_left_[c.address] =
-      std::max(1u, options_.retransmit_mult * static_cast<unsigned>(std::ceil(std::log10(n + 1))));
+std::optional<time_point> swim::last_acknowledged(const std::string& address) const {
+  return find_time(last_acknowledged_, address);
 }
 
-namespace {
+std::optional<time_point> swim::last_missed(const std::string& address) const {
+  return find_time(last_missed_, address);
+}
 
-std::optional<time_point> time_of(const std::map<std::string, time_point>& times,
-                                  const std::string& address) {
-  const auto found = times.find(address);
-  return found == times.end() ? std::nullopt : std::optional(found->second);
+// Lifeguard: each independent confirmation shortens the timeout, logarithmically, down to the shortest.
+duration swim::suspicion_timeout(std::size_t confirmations) const {
+  const double live_members = static_cast<double>(live_member_count() + 1);
+  const double shortest = options_.suspicion_min_rounds * std::max(1.0, std::log10(live_members)) *
+                          static_cast<double>(options_.probe_interval.count());
+  const double longest = options_.suspicion_max_factor * shortest;
+  const double needed = options_.suspicion_confirmations;
+  if (needed == 0) return duration(static_cast<std::int64_t>(shortest));
+  const double timeout = longest - (longest - shortest) * std::log(static_cast<double>(confirmations) + 1.0) /
+                                       std::log(needed + 1.0);
+  return duration(static_cast<std::int64_t>(std::max(shortest, timeout)));
 }
 
-}  // namespace
+void swim::worsen_local_health(unsigned by) {
+  local_health_ = std::min(options_.max_local_health, local_health_ + by);
+}
 
-std::optional<time_point> swim::contact(const std::string& address) const {
-  return time_of(contacts_, address);
+void swim::improve_local_health() {
+  if (local_health_ > 0) --local_health_;
 }
-std::optional<time_point> swim::miss(const std::string& address) const {
-  return time_of(misses_, address);
+
+// ---- Updates ----------------------------------------------------------------------------------------------
+
+void swim::disseminate(const member_update& update) {
+  dissemination_.enqueue(update.address, members_.size());
 }
 
-void swim::refute(std::uint64_t above) {
-  self_.incarnation = above + 1;
-  raise_health(1);  // Lifeguard: being suspected hints that this member is the slow one
-  spread(self_);
+void swim::refute(std::uint64_t incarnation) {
+  self_.incarnation = incarnation + 1;
+  worsen_local_health(1);  // Lifeguard: whoever is suspected may be the slow one
+  disseminate(self_);
 }
 
-bool swim::apply(time_point now, const claim& c, const std::string& from) {
-  if (c.address.empty()) return false;
-  if (c.address == self_.address) {
-    if (c.state != health::alive && c.incarnation >= self_.incarnation) refute(c.incarnation);
+bool swim::apply(time_point now, const member_update& update, const std::string& from) {
+  if (update.address.empty()) return false;
+  if (update.address == self_.address) {
+    if (update.status != member_status::alive && update.incarnation >= self_.incarnation)
+      refute(update.incarnation);
     return false;
   }
-  const auto found = members_.find(c.address);
-  if (found == members_.end() && members_.size() >= options_.members_most) return false;
-  const std::string& by = c.by.empty() ? from : c.by;
-  if (found == members_.end() || overrides(c, found->second)) {
-    claim& held = members_[c.address];
-    const claim before = held;
-    held = c;
-    if (held.zone.empty()) held.zone = before.zone;  // gossip of state alone keeps what is known of place
-    if (held.region.empty()) held.region = before.region;
-    if (c.state == health::suspect) {
-      held.by = by;
-      suspected_[c.address] = suspicion{now, {by}};
-    } else {
-      suspected_.erase(c.address);
-    }
-    changes_.push_back(held);
-    spread(held);
+  const auto found = members_.find(update.address);
+  const bool is_new = found == members_.end();
+  if (is_new && members_.size() >= options_.max_members) return false;
+  const std::string& suspected_by = update.suspected_by.empty() ? from : update.suspected_by;
+  if (is_new || overrides(update, found->second)) {
+    accept(now, update, suspected_by);
     return true;
   }
-  if (c.state == health::suspect && found->second.state == health::suspect &&
-      c.incarnation == found->second.incarnation) {
-    auto& s = suspected_[c.address];
-    // Only independent confirmations shorten the timeout: one suspicion passed on by many is one. A new one
-    // is passed on itself, until enough are known.
-    if (s.confirmed_by.size() <= options_.suspicion_confirmations &&
-        std::find(s.confirmed_by.begin(), s.confirmed_by.end(), by) == s.confirmed_by.end()) {
-      s.confirmed_by.push_back(by);
-      found->second.by = by;
-      spread(found->second);
-    }
-  }
+  const bool same_suspicion = update.status == member_status::suspect &&
+                              found->second.status == member_status::suspect &&
+                              update.incarnation == found->second.incarnation;
+  if (same_suspicion) confirm_suspicion(found->second, suspected_by);
   return false;
 }
 
-void swim::send(const std::string& to, kind what, std::uint64_t sequence, const std::string& target) {
-  message m{what, self_, sequence, target, {}, {}};
-  // The least sent first: a fresh change reaches the fleet before one that most members have heard.
-  std::vector<std::pair<unsigned, std::string>> due;
-  for (const auto& [address, left] : sends_left_) due.emplace_back(left, address);
-  std::sort(due.begin(), due.end(), [](const auto& a, const auto& b) { return a.first > b.first; });
-  for (std::size_t i = 0; i < due.size() && i < options_.gossip_per_message; ++i) {
-    const std::string& address = due[i].second;
+void swim::accept(time_point now, const member_update& update, const std::string& suspected_by) {
+  member_update& believed = members_[update.address];
+  const member_update before = believed;
+  believed = update;
+  // Gossip of the status alone keeps what is known of the place.
+  if (believed.zone.empty()) believed.zone = before.zone;
+  if (believed.region.empty()) believed.region = before.region;
+  if (update.status == member_status::suspect) {
+    believed.suspected_by = suspected_by;
+    suspicions_[update.address] = suspicion{now, {suspected_by}};
+  } else {
+    suspicions_.erase(update.address);
+  }
+  changes_.push_back(believed);
+  disseminate(believed);
+}
+
+// Only independent suspicions shorten the timeout: one that many members pass on is one. A new one is passed
+// on itself, until enough are known.
+void swim::confirm_suspicion(member_update& believed, const std::string& suspected_by) {
+  std::vector<std::string>& known = suspicions_[believed.address].suspected_by;
+  if (known.size() > options_.suspicion_confirmations) return;
+  if (std::find(known.begin(), known.end(), suspected_by) != known.end()) return;
+  known.push_back(suspected_by);
+  believed.suspected_by = suspected_by;
+  disseminate(believed);
+}
+
+// ---- Messages ---------------------------------------------------------------------------------------------
+
+void swim::add_gossip(message& outgoing, const std::string& to) {
+  for (const std::string& address : dissemination_.take_pending(options_.gossip_per_message)) {
     if (address == self_.address) {
-      m.gossip.push_back(self_);
+      outgoing.gossip.push_back(self_);
     } else if (const auto found = members_.find(address); found != members_.end()) {
-      m.gossip.push_back(found->second);
+      outgoing.gossip.push_back(found->second);
     }
-    if (--sends_left_[address] == 0) sends_left_.erase(address);
-  }
-  // Guards against two members that never meet: each change is sent a bounded number of times, and whoever
-  // misses all of them (it joined just then, or they were lost) would not learn of it ever. So the table goes
-  // round as well.
-  auto next = members_.upper_bound(refreshed_);
-  for (unsigned i = 0; i < options_.refresh_per_message && i < members_.size(); ++i) {
-    if (next == members_.end()) next = members_.begin();
-    if (next->first != to) m.gossip.push_back(next->second);
-    refreshed_ = next->first;
-    ++next;
   }
-  outbox_.push_back(envelope{to, std::move(m)});
+  for (const std::string& address : dissemination_.take_in_turn(members_, options_.refresh_per_message))
+    if (address != to) outgoing.gossip.push_back(members_.at(address));
 }
 
-void swim::receive(time_point now, const message& m) {
-  if (m.sender.address == self_.address) return;
-  apply(now, m.sender, m.sender.address);
-  for (const claim& c : m.gossip) apply(now, c, m.sender.address);
-  // A member that speaks while held suspect or dead has not heard so (its gossip may have run out while it
-  // was paused): told again, starting with this reply, it refutes.
-  if (const auto held = members_.find(m.sender.address);
-      held != members_.end() && held->second.state != health::alive && !sends_left_.contains(held->first))
-    spread(held->second);
-  switch (m.what) {
-    case kind::ping: send(m.sender.address, kind::ack, m.sequence, m.target); break;
-    case kind::ping_req: {
-      if (relays_.size() >= options_.relays_most) break;
-      const std::uint64_t own = ++sequence_;
-      // The nack a little before the asker's own patience ends, as Lifeguard has it.
-      const duration patience = scaled(options_.probe_timeout);
-      relays_.push_back(
-          relay{m.sender.address, m.target, m.sequence, own, now + patience * 4 / 5, now + 2 * patience});
-      send(m.target, kind::ping, own);
-      break;
-    }
-    case kind::ack: {
-      if (m.sequence == probe_.sequence && !probe_.target.empty() &&
-          (m.sender.address == probe_.target || m.target == probe_.target)) {
-        if (!probe_.acked) lower_health();
-        probe_.acked = true;
-        contacts_[probe_.target] = now;
-        break;
-      }
-      // The answer to a probe carried out for another: passed on to the one that asked.
-      const auto r = std::find_if(relays_.begin(), relays_.end(), [&](const relay& x) {
-        return x.own_sequence == m.sequence && x.target == m.sender.address;
-      });
-      if (r != relays_.end()) {
-        send(r->asker, kind::ack, r->asker_sequence, r->target);
-        relays_.erase(r);
-      }
-      break;
-    }
-    case kind::nack:
-      if (m.sequence == probe_.sequence && m.target == probe_.target) ++probe_.nacks;
-      break;
+void swim::send(const std::string& to, message_kind kind, std::uint64_t sequence, const std::string& target) {
+  message outgoing{kind, self_, sequence, target, {}, {}};
+  add_gossip(outgoing, to);
+  outbox_.push_back(envelope{to, std::move(outgoing)});
+}
+
+void swim::receive(time_point now, const message& received) {
+  const std::string& sender = received.sender.address;
+  if (sender == self_.address) return;
+  apply(now, received.sender, sender);
+  for (const member_update& update : received.gossip) apply(now, update, sender);
+  // A member that sends while it is believed suspect or dead has not learned so (it may have been paused
+  // while that was spread). Told again from this reply on, it refutes.
+  const auto believed = members_.find(sender);
+  if (believed != members_.end() && believed->second.status != member_status::alive &&
+      !dissemination_.is_pending(sender))
+    disseminate(believed->second);
+  switch (received.kind) {
+    case message_kind::ping: send(sender, message_kind::ack, received.sequence, received.target); break;
+    case message_kind::ping_req: on_ping_req(now, received); break;
+    case message_kind::ack: on_ack(now, received); break;
+    case message_kind::nack: on_nack(received); break;
   }
 }
 
-std::string swim::next_target(std::mt19937_64& random) {
-  while (!round_.empty()) {
-    std::string t = std::move(round_.back());
-    round_.pop_back();
-    const auto found = members_.find(t);
-    if (found == members_.end() || found->second.state != health::dead) return t;
+void swim::on_ping_req(time_point now, const message& request) {
+  if (relayed_probes_.size() >= options_.max_relayed_probes) return;
+  // Lifeguard: the nack goes out a little before the requester's own timeout.
+  const duration timeout = stretched(options_.probe_timeout);
+  relayed_probe relayed;
+  relayed.requester = request.sender.address;
+  relayed.target = request.target;
+  relayed.requester_sequence = request.sequence;
+  relayed.own_sequence = ++sequence_;
+  relayed.nack_due = now + timeout * 4 / 5;
+  relayed.expiry = now + 2 * timeout;
+  send(relayed.target, message_kind::ping, relayed.own_sequence);
+  relayed_probes_.push_back(std::move(relayed));
+}
+
+void swim::on_ack(time_point now, const message& ack) {
+  const bool from_target = ack.sender.address == probe_.target || ack.target == probe_.target;
+  if (probe_.state != probe_state::none && ack.sequence == probe_.sequence && from_target) {
+    if (probe_.is_unanswered()) improve_local_health();
+    probe_.state = probe_state::acknowledged;
+    last_acknowledged_[probe_.target] = now;
+    return;
   }
-  // A new round: every member not dead once, in an order of its own (SWIM's bound on time to first probe).
-  for (const auto& [address, c] : members_)
-    if (c.state != health::dead) round_.push_back(address);
-  for (const std::string& seed : seeds_)
-    if (!members_.contains(seed)) round_.push_back(seed);
-  std::shuffle(round_.begin(), round_.end(), random);
-  if (round_.empty()) return {};
-  std::string t = std::move(round_.back());
-  round_.pop_back();
-  return t;
+  const auto answers = [&ack](const relayed_probe& relayed) {
+    return relayed.own_sequence == ack.sequence && relayed.target == ack.sender.address;
+  };
+  const auto relayed = std::find_if(relayed_probes_.begin(), relayed_probes_.end(), answers);
+  if (relayed == relayed_probes_.end()) return;
+  send(relayed->requester, message_kind::ack, relayed->requester_sequence, relayed->target);
+  relayed_probes_.erase(relayed);
 }
 
+void swim::on_nack(const message& nack) {
+  if (nack.sequence == probe_.sequence && nack.target == probe_.target) ++probe_.nacks;
+}
+
+// ---- Probes and timeouts ----------------------------------------------------------------------------------
+
 time_point swim::step(time_point now, std::mt19937_64& random) {
-  // A probe carried out for another that brought no ack: a nack tells the asker that the helper did try.
-  for (auto r = relays_.begin(); r != relays_.end();) {
-    if (!r->nacked && now >= r->nack_at) {
-      r->nacked = true;
-      send(r->asker, kind::nack, r->asker_sequence, r->target);
-    }
-    r = now >= r->until ? relays_.erase(r) : r + 1;
-  }
-  for (auto s = suspected_.begin(); s != suspected_.end();) {
-    const auto confirmations = static_cast<unsigned>(s->second.confirmed_by.size() - 1);
-    if (now - s->second.since >= suspicion_timeout(confirmations)) {
-      claim& c = members_[s->first];
-      c.state = health::dead;
-      changes_.push_back(c);
-      spread(c);
-      s = suspected_.erase(s);
-    } else {
-      ++s;
-    }
+  step_relayed_probes(now);
+  expire_suspicions(now);
+  send_indirect_probes(now, random);
+  if (now >= next_probe_) {
+    finish_probe(now);
+    start_probe(now, random);
   }
-  const bool waiting = !probe_.target.empty() && !probe_.acked;
-  if (waiting && !probe_.indirect_sent && now >= probe_.sent + scaled(options_.probe_timeout)) {
-    probe_.indirect_sent = true;
-    std::vector<std::string> helpers;
-    for (const auto& [address, c] : members_)
-      if (c.state == health::alive && address != probe_.target) helpers.push_back(address);
-    std::shuffle(helpers.begin(), helpers.end(), random);
-    helpers.resize(std::min<std::size_t>(helpers.size(), options_.indirect_probes));
-    probe_.helpers = static_cast<unsigned>(helpers.size());
-    for (const std::string& h : helpers) send(h, kind::ping_req, probe_.sequence, probe_.target);
+  if (options_.reconnect_intervals > 0 && now >= next_reconnect_) ping_dead_member(now, random);
+  return next_due();
+}
+
+// A nack tells the requester that this helper did try.
+void swim::step_relayed_probes(time_point now) {
+  for (relayed_probe& relayed : relayed_probes_) {
+    if (relayed.nacked || now < relayed.nack_due) continue;
+    relayed.nacked = true;
+    send(relayed.requester, message_kind::nack, relayed.requester_sequence, relayed.target);
   }
-  if (now >= next_probe_) {
-    if (waiting) {
-      // Lifeguard: each helper that said nothing at all hints at our own trouble; where all of them tried in
-      // vain the trouble is the target's. Without helpers nothing tells the two apart.
-      raise_health(probe_.helpers == 0 ? 1 : probe_.helpers - std::min(probe_.helpers, probe_.nacks));
-      misses_[probe_.target] = now;
-      if (const auto found = members_.find(probe_.target);
-          found != members_.end() && found->second.state != health::dead) {
-        claim c = found->second;
-        c.state = health::suspect;
-        c.by = self_.address;  // our own probe: an independent confirmation where others suspect it already
-        apply(now, c, self_.address);
-      }
-    }
-    probe_ = probe{};
-    const std::string target = next_target(random);
-    if (!target.empty()) {
-      probe_ = probe{target, ++sequence_, now};
-      send(target, kind::ping, probe_.sequence);
+  std::erase_if(relayed_probes_, [now](const relayed_probe& relayed) { return now >= relayed.expiry; });
+}
+
+void swim::expire_suspicions(time_point now) {
+  for (auto entry = suspicions_.begin(); entry != suspicions_.end();) {
+    const auto& [address, suspected] = *entry;
+    if (now - suspected.since < suspicion_timeout(suspected.confirmations())) {
+      ++entry;
+      continue;
     }
-    next_probe_ = now + scaled(options_.probe_interval);
+    member_update& believed = members_[address];
+    believed.status = member_status::dead;
+    changes_.push_back(believed);
+    disseminate(believed);
+    entry = suspicions_.erase(entry);
   }
-  if (options_.reconnect_every > 0 && now >= next_reconnect_) {
-    // Guards against a partition that never heals: once both sides hold each other dead nobody probes across,
-    // so one member held dead is pinged now and then, told that it is held dead, and refutes if it lives.
-    // Not stretched by this member's own trouble: whoever was alone has the most of that, and blames nobody
-    // here.
-    next_reconnect_ = now + options_.reconnect_every * options_.probe_interval;
-    std::vector<std::string> dead;
-    for (const auto& [address, c] : members_)
-      if (c.state == health::dead) dead.push_back(address);
-    if (!dead.empty()) {
-      const std::string& target =
-          dead[std::uniform_int_distribution<std::size_t>(0, dead.size() - 1)(random)];
-      spread(members_[target]);
-      send(target, kind::ping, 0);  // sequence 0: no probe of this member's, nor a relay, waits for its ack
-    }
+}
+
+void swim::send_indirect_probes(time_point now, std::mt19937_64& random) {
+  if (probe_.state != probe_state::direct) return;
+  if (now < probe_.sent + stretched(options_.probe_timeout)) return;
+  probe_.state = probe_state::indirect;
+  std::vector<std::string> helpers;
+  for (const auto& [address, member] : members_)
+    if (member.status == member_status::alive && address != probe_.target) helpers.push_back(address);
+  std::shuffle(helpers.begin(), helpers.end(), random);
+  helpers.resize(std::min<std::size_t>(helpers.size(), options_.indirect_probes));
+  probe_.helpers = static_cast<unsigned>(helpers.size());
+  for (const std::string& helper : helpers)
+    send(helper, message_kind::ping_req, probe_.sequence, probe_.target);
+}
+
+// Suspects the target of a probe that went unanswered. Lifeguard: a helper that sent nothing at all hints at
+// trouble of this member itself; where all helpers tried in vain the trouble is the target's. Without helpers
+// nothing tells the two apart.
+void swim::finish_probe(time_point now) {
+  const probe finished = std::exchange(probe_, probe{});
+  if (!finished.is_unanswered()) return;
+  const unsigned silent_helpers = finished.helpers - std::min(finished.helpers, finished.nacks);
+  worsen_local_health(finished.helpers == 0 ? 1 : silent_helpers);
+  last_missed_[finished.target] = now;
+  const auto found = members_.find(finished.target);
+  if (found == members_.end() || found->second.status == member_status::dead) return;
+  member_update suspected = found->second;
+  suspected.status = member_status::suspect;
+  suspected.suspected_by = self_.address;
+  apply(now, suspected, self_.address);
+}
+
+void swim::start_probe(time_point now, std::mt19937_64& random) {
+  const std::string target = next_target(random);
+  if (!target.empty()) {
+    probe_.state = probe_state::direct;
+    probe_.target = target;
+    probe_.sequence = ++sequence_;
+    probe_.sent = now;
+    send(target, message_kind::ping, probe_.sequence);
+  }
+  next_probe_ = now + stretched(options_.probe_interval);
+}
+
+// Empty: there is nobody to probe.
+std::string swim::next_target(std::mt19937_64& random) {
+  while (!probe_round_.empty()) {
+    std::string target = std::move(probe_round_.back());
+    probe_round_.pop_back();
+    const auto found = members_.find(target);
+    if (found == members_.end() || found->second.status != member_status::dead) return target;
   }
-  time_point due = std::min(next_probe_, options_.reconnect_every > 0 ? next_reconnect_ : time_point::max());
-  if (!probe_.target.empty() && !probe_.acked && !probe_.indirect_sent)
-    due = std::min(due, probe_.sent + scaled(options_.probe_timeout));
-  for (const relay& r : relays_) due = std::min(due, r.nacked ? r.until : r.nack_at);
-  for (const auto& [address, s] : suspected_)
-    due = std::min(due, s.since + suspicion_timeout(static_cast<unsigned>(s.confirmed_by.size() - 1)));
+  start_probe_round(random);
+  if (probe_round_.empty()) return {};
+  std::string target = std::move(probe_round_.back());
+  probe_round_.pop_back();
+  return target;
+}
+
+// Every member that is not dead once, in random order: bounds the time until a failure is detected (SWIM).
+void swim::start_probe_round(std::mt19937_64& random) {
+  for (const auto& [address, member] : members_)
+    if (member.status != member_status::dead) probe_round_.push_back(address);
+  for (const std::string& seed : seeds_)
+    if (!members_.contains(seed)) probe_round_.push_back(seed);
+  std::shuffle(probe_round_.begin(), probe_round_.end(), random);
+}
+
+// After a partition in which both sides declared each other dead nobody probes across. A dead member that is
+// pinged learns that it is believed dead, and refutes if it lives. The interval is not stretched by the local
+// health: a member that was alone has the worst score.
+void swim::ping_dead_member(time_point now, std::mt19937_64& random) {
+  next_reconnect_ = now + options_.reconnect_intervals * options_.probe_interval;
+  std::vector<std::string> dead;
+  for (const auto& [address, member] : members_)
+    if (member.status == member_status::dead) dead.push_back(address);
+  if (dead.empty()) return;
+  std::uniform_int_distribution<std::size_t> any_index(0, dead.size() - 1);
+  const std::string& target = dead[any_index(random)];
+  disseminate(members_[target]);
+  send(target, message_kind::ping, no_sequence);
+}
+
+time_point swim::next_due() const {
+  time_point due = next_probe_;
+  if (options_.reconnect_intervals > 0) due = std::min(due, next_reconnect_);
+  if (probe_.state == probe_state::direct)
+    due = std::min(due, probe_.sent + stretched(options_.probe_timeout));
+  for (const relayed_probe& relayed : relayed_probes_)
+    due = std::min(due, relayed.nacked ? relayed.expiry : relayed.nack_due);
+  for (const auto& [address, suspected] : suspicions_)
+    due = std::min(due, suspected.since + suspicion_timeout(suspected.confirmations()));
   return due;
 }
 
--- a/src/membership/wire.cpp
+++ b/src/membership/wire.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-// The wire's own shapes: the state machine's structs stay free of the codec.
-struct wire_claim {
+// The shapes on the wire; the protocol's own structs stay free of the codec.
+struct wire_update {
   std::string address, zone, region;
   std::uint64_t incarnation = 0;
-  std::uint8_t state = 0;
-  std::string by;
-  MSGPACK_DEFINE(address, zone, region, incarnation, state, by)
+  std::uint8_t status = 0;
+  std::string suspected_by;
+  MSGPACK_DEFINE(address, zone, region, incarnation, status, suspected_by)
 };
 
-struct wire_ballot {
+struct wire_vote {
   std::string voter, zone;
   std::uint64_t epoch = 0;
   bool out = false;
@@ -25,84 +25,127 @@
 };
 
 struct wire_message {
-  std::string fleet;
+  std::string cluster_name;
   std::uint32_t version = 0;
-  std::uint8_t what = 0;
-  wire_claim sender;
+  std::uint8_t kind = 0;
+  wire_update sender;
   std::uint64_t sequence = 0;
   std::string target;
-  std::vector<wire_claim> gossip;
-  std::vector<wire_ballot> ballots;
-  MSGPACK_DEFINE(fleet, version, what, sender, sequence, target, gossip, ballots)
+  std::vector<wire_update> gossip;
+  std::vector<wire_vote> votes;
+  MSGPACK_DEFINE(cluster_name, version, kind, sender, sequence, target, gossip, votes)
 };
 
-wire_claim to_wire(const claim& c) {
-  return {c.address, c.zone, c.region, c.incarnation, static_cast<std::uint8_t>(c.state), c.by};
+// Positions of the elements that are read before the message's shape is known, and the number of all.
+constexpr std::uint32_t cluster_name_element = 0;
+constexpr std::uint32_t version_element = 1;
+constexpr std::uint32_t header_elements = 2;
+constexpr std::uint32_t all_elements = 8;
+
+// Limits what one datagram can make the decoder allocate.
+const msgpack::unpack_limit unpack_limits(/*array*/ 256, /*map*/ 0, /*str*/ max_datagram_bytes, /*bin*/ 0,
+                                          /*ext*/ 0, /*depth*/ 4);
+
+wire_update to_wire(const member_update& update) {
+  return {update.address,
+          update.zone,
+          update.region,
+          update.incarnation,
+          static_cast<std::uint8_t>(update.status),
+          update.suspected_by};
+}
+
+wire_vote to_wire(const zone_vote& vote) {
+  return {vote.voter, vote.zone, vote.epoch, vote.out, vote.round};
 }
 
-std::optional<claim> from_wire(const wire_claim& w) {
-  if (w.state > static_cast<std::uint8_t>(health::dead)) return std::nullopt;
-  return claim{w.address, w.zone, w.region, w.incarnation, static_cast<health>(w.state), w.by};
+wire_message to_wire(const std::string& cluster_name, const message& content) {
+  wire_message wire;
+  wire.cluster_name = cluster_name;
+  wire.version = wire_version;
+  wire.kind = static_cast<std::uint8_t>(content.kind);
+  wire.sender = to_wire(content.sender);
+  wire.sequence = content.sequence;
+  wire.target = content.target;
+  for (const member_update& update : content.gossip) wire.gossip.push_back(to_wire(update));
+  for (const zone_vote& vote : content.votes) wire.votes.push_back(to_wire(vote));
+  return wire;
 }
 
-std::string pack(const wire_message& w) {
+std::optional<member_update> from_wire(const wire_update& wire) {
+  if (wire.status > static_cast<std::uint8_t>(member_status::dead)) return std::nullopt;
+  const auto status = static_cast<member_status>(wire.status);
+  return member_update{wire.address, wire.zone, wire.region, wire.incarnation, status, wire.suspected_by};
+}
+
+std::optional<message> from_wire(const wire_message& wire) {
+  if (wire.kind > static_cast<std::uint8_t>(message_kind::nack)) return std::nullopt;
+  const std::optional<member_update> sender = from_wire(wire.sender);
+  if (!sender) return std::nullopt;
+  message content{static_cast<message_kind>(wire.kind), *sender, wire.sequence, wire.target, {}, {}};
+  for (const wire_vote& vote : wire.votes)
+    content.votes.push_back({vote.voter, vote.zone, vote.epoch, vote.out, vote.round});
+  for (const wire_update& wire_gossip : wire.gossip) {
+    const std::optional<member_update> update = from_wire(wire_gossip);
+    if (!update) return std::nullopt;
+    content.gossip.push_back(*update);
+  }
+  return content;
+}
+
+std::string pack(const wire_message& wire) {
   msgpack::sbuffer buffer;
-  msgpack::pack(buffer, w);
+  msgpack::pack(buffer, wire);
   return {buffer.data(), buffer.size()};
 }
 
-// Bounds on what one datagram may ask the decoder to build: a crafted one cannot make it allocate much.
-const msgpack::unpack_limit bounds(/*array*/ 256, /*map*/ 0, /*str*/ datagram_most, /*bin*/ 0, /*ext*/ 0,
-                                   /*depth*/ 4);
+decoded failed(wire_fault fault) {
+  return {std::nullopt, fault};
+}
+
+// Reads cluster name and version first: a message of another cluster or version need not have this one's
+// shape. Throws what msgpack throws for elements of another type than expected.
+decoded decode_root(const std::string& cluster_name, const msgpack::object& root) {
+  if (root.type != msgpack::type::ARRAY || root.via.array.size < header_elements)
+    return failed(wire_fault::undecodable);
+  const msgpack::object* const elements = root.via.array.ptr;
+  if (elements[cluster_name_element].as<std::string>() != cluster_name)
+    return failed(wire_fault::other_cluster);
+  if (elements[version_element].as<std::uint32_t>() != wire_version) return failed(wire_fault::version);
+  const auto wire = root.as<wire_message>();
+  if (root.via.array.size != all_elements) return failed(wire_fault::undecodable);
+  std::optional<message> content = from_wire(wire);
+  if (!content) return failed(wire_fault::undecodable);
+  return {std::move(content), wire_fault::none};
+}
 
 }  // namespace
 
-std::string encode(const std::string& fleet, const message& m) {
-  wire_message w{
-      fleet, wire_version, static_cast<std::uint8_t>(m.what), to_wire(m.sender), m.sequence, m.target, {},
-      {}};
-  for (const claim& c : m.gossip) w.gossip.push_back(to_wire(c));
-  for (const ballot& b : m.ballots) w.ballots.push_back({b.voter, b.zone, b.epoch, b.out, b.round});
-  std::string bytes = pack(w);
-  while (bytes.size() > datagram_most && (!w.gossip.empty() || !w.ballots.empty())) {
-    // The last of each are those that come again anyway: ballots passed on, claims of the table in turn.
-    if (w.ballots.size() >= w.gossip.size()) {
-      w.ballots.pop_back();
+std::string encode(const std::string& cluster_name, const message& content) {
+  wire_message wire = to_wire(cluster_name, content);
+  std::string bytes = pack(wire);
+  while (bytes.size() > max_datagram_bytes && (!wire.gossip.empty() || !wire.votes.empty())) {
+    // The last of each will be sent again in any case: retransmitted votes, members of the table in turn.
+    if (wire.votes.size() >= wire.gossip.size()) {
+      wire.votes.pop_back();
     } else {
-      w.gossip.pop_back();
+      wire.gossip.pop_back();
     }
-    bytes = pack(w);
+    bytes = pack(wire);
   }
   return bytes;
 }
 
-decoded decode(const std::string& fleet, std::string_view datagram) {
+decoded decode(const std::string& cluster_name, std::string_view datagram) {
   try {
-    std::size_t offset = 0;
+    std::size_t parsed_bytes = 0;
     const msgpack::object_handle handle =
-        msgpack::unpack(datagram.data(), datagram.size(), offset, nullptr, nullptr, bounds);
-    if (offset != datagram.size()) return {std::nullopt, wire_fault::undecodable};  // bytes after the message
-    const msgpack::object& o = handle.get();
-    // Fleet and version first: a message of another fleet or version need not have this one's shape.
-    if (o.type != msgpack::type::ARRAY || o.via.array.size < 2)
-      return {std::nullopt, wire_fault::undecodable};
-    if (o.via.array.ptr[0].as<std::string>() != fleet) return {std::nullopt, wire_fault::foreign};
-    if (o.via.array.ptr[1].as<std::uint32_t>() != wire_version) return {std::nullopt, wire_fault::version};
-    const auto w = o.as<wire_message>();
-    if (o.via.array.size != 8 || w.what > static_cast<std::uint8_t>(kind::nack))
-      return {std::nullopt, wire_fault::undecodable};
-    const std::optional<claim> sender = from_wire(w.sender);
-    if (!sender) return {std::nullopt, wire_fault::undecodable};
-    message m{static_cast<kind>(w.what), *sender, w.sequence, w.target, {}, {}};
-    for (const wire_ballot& b : w.ballots) m.ballots.push_back({b.voter, b.zone, b.epoch, b.out, b.round});
-    for (const wire_claim& g : w.gossip) {
-      const std::optional<claim> c = from_wire(g);
-      if (!c) return {std::nullopt, wire_fault::undecodable};
-      m.gossip.push_back(*c);
-    }
-    return {std::move(m), wire_fault::none};
-  } catch (const std::exception&) {  // msgpack's unpack_error, type_error, size errors: not a message of ours
-    return {std::nullopt, wire_fault::undecodable};
+        msgpack::unpack(datagram.data(), datagram.size(), parsed_bytes, nullptr, nullptr, unpack_limits);
+    const bool has_trailing_bytes = parsed_bytes != datagram.size();
+    if (has_trailing_bytes) return failed(wire_fault::undecodable);
+    return decode_root(cluster_name, handle.get());
+  } catch (const std::exception&) {  // of msgpack: malformed, other types, limits exceeded
+    return failed(wire_fault::undecodable);
   }
 }
 
