--- a/bench/keyed_bench.cpp
+++ b/bench/keyed_bench.cpp
@@ -212,7 +212,7 @@
     o.unix_now = 1000s;
     o.steady_now = steady();
     service = std::make_unique<idempotency::durable_service>(disk, o, rig.counters, [] {});
-    service->report_to(rig.dispatch);
+    service->set_observer(rig.dispatch);
     rig.dispatch.use(*service, 10s);
   }
   std::vector<double> took;
--- a/src/admin/console_command.cpp
+++ b/src/admin/console_command.cpp
@@ -15,7 +15,7 @@
                                                  {"show-stat", console_command::show_stat},
                                                  {"show-members", console_command::show_members},
                                                  {"show-zones", console_command::show_zones},
-                                                 {"show-budgets", console_command::show_budgets},
+                                                 {"show-budgets", console_command::show_quotas},
                                                  {"drain", console_command::drain},
                                                  {"resume", console_command::resume}}};
 
--- a/src/admin/console_command.hpp
+++ b/src/admin/console_command.hpp
@@ -6,7 +6,7 @@
 
 namespace marblewharf::admin {
 
-enum class console_command { ready, show_stat, drain, resume, show_members, show_zones, show_budgets };
+enum class console_command { ready, show_stat, drain, resume, show_members, show_zones, show_quotas };
 
 // The command in a line, given without its "\n". A carriage return at the end and blanks around the word are
 // allowed. None where the line is anything else.
--- a/src/admin/console_server.cpp
+++ b/src/admin/console_server.cpp
@@ -151,7 +151,7 @@
     case console_command::resume: return "200 " + handler_.resume() + "\n";
     case console_command::show_members: return answer_lines("members", handler_.members(), "no fleet");
     case console_command::show_zones: return answer_lines("zones", handler_.zones(), "no fleet");
-    case console_command::show_budgets: return answer_lines("budgets", handler_.budgets(), "no budgets");
+    case console_command::show_quotas: return answer_lines("budgets", handler_.budgets(), "no budgets");
   }
   return "400 unknown call\n";
 }
--- a/src/admission_policy/retry_age_estimator.hpp
+++ b/src/admission_policy/retry_age_estimator.hpp
@@ -11,9 +11,9 @@
 
 class retry_age_estimator {
  public:
-  // Learns from the attempt's client timeout and returns the age of its first attempt: what the timeout lacks
-  // of the longest one seen from this caller for this class. 0 for attempts that carry no retry mark, as
-  // first attempts come with differing timeouts too, and for those without a timeout.
+  // Learns from the attempt's client timeout and returns the age of its first attempt: what the timeout
+  // missing_required of the longest one seen from this caller for this class. 0 for attempts that carry no
+  // retry mark, as first attempts come with differing timeouts too, and for those without a timeout.
   duration age_of(const arrival& attempt);
 
  private:
--- a/src/cluster/agent.cpp
+++ b/src/cluster/agent.cpp
@@ -121,7 +121,7 @@
                  out ? "out" : "back", printable(change.decision.epoch));
 }
 
-std::string agent::show_figures() const {
+std::string agent::show_statistics() const {
   cluster_counters counters = counters_;
   counters.sent = transport_.sent();
   counters.unsent = transport_.unsent();
--- a/src/cluster/agent.hpp
+++ b/src/cluster/agent.hpp
@@ -40,7 +40,7 @@
 
   std::string show_members() const { return render_members(view_, is_member_); }
   std::string show_zones() const { return render_zones(view_, settings_); }
-  std::string show_figures() const;
+  std::string show_statistics() const;
 
   // Whether calls may go to a place, a zone's name or a member's address.
   bool routable(const std::string& place) const;
--- a/src/cluster/quota_client.cpp
+++ b/src/cluster/quota_client.cpp
@@ -67,7 +67,7 @@
 }  // namespace
 
 quota_client::quota_client(agent& cluster_agent, const config& settings, dispatcher& requests,
-                           telemetry::counters& counters, calls_user calls)
+                           telemetry::counters& counters, upstream_call_limiter calls)
     : agent_(cluster_agent),
       settings_(*settings.budgets),
       cluster_name_(settings.fleet->name),
@@ -123,14 +123,14 @@
 }
 
 quota::quota_usage quota_client::measure_calls(std::size_t index, std::size_t dependency, time_point now) {
-  const calls_user::calls calls = calls_.use(dependency);
+  const upstream_call_limiter::calls calls = calls_.use(dependency);
   return in_flight_demand_[index].measure(now, calls.in_flight, calls.waiting, calls.turned_away);
 }
 
 void quota_client::measure_usage(time_point now) {
   if (now - last_measured_ < measure_interval) return;
   last_measured_ = now;
-  const dispatcher::load load = requests_.in_hand();
+  const dispatcher::load load = requests_.current_load();
   for (std::size_t i = 0; i < settings_.all.size(); ++i) {
     const budget_config& quota = settings_.all[i];
     switch (quota.unit) {
@@ -207,7 +207,7 @@
     agent_.send(outgoing.to, quota::encode(cluster_name_, outgoing.content));
 }
 
-std::string quota_client::show_budgets() const {
+std::string quota_client::show_quotas() const {
   const quota::time_point lease_now = lease_clock();
   const duration lease_left = coordinator_.lease_expiry() - lease_now;
   const auto lease_left_ms = std::max<std::int64_t>(0, lease_left / std::chrono::milliseconds(1));
@@ -224,7 +224,7 @@
   return out.str();
 }
 
-std::string quota_client::show_figures() const {
+std::string quota_client::show_statistics() const {
   const quota::time_point lease_now = lease_clock();
   std::ostringstream out;
   for (std::size_t i = 0; i < settings_.all.size(); ++i) {
--- a/src/cluster/quota_client.hpp
+++ b/src/cluster/quota_client.hpp
@@ -21,7 +21,7 @@
 namespace marblewharf::cluster {
 
 // Enforces a share of calls at an upstream, and reports how many there are.
-struct calls_user {
+struct upstream_call_limiter {
   std::function<void(std::size_t dependency, double calls)> limit;
   struct calls {
     std::size_t in_flight = 0, waiting = 0;
@@ -33,7 +33,7 @@
 class quota_client {
  public:
   quota_client(agent& cluster_agent, const config& settings, dispatcher& requests,
-               telemetry::counters& counters, calls_user calls);
+               telemetry::counters& counters, upstream_call_limiter calls);
   quota_client(const quota_client&) = delete;
   quota_client& operator=(const quota_client&) = delete;
 
@@ -42,9 +42,9 @@
 
   // One line a quota: "NAME UNIT LIMIT SHARE USE DEMAND LEASE_MS LEADER"; LEASE_MS is what is left of the
   // lease.
-  std::string show_budgets() const;
+  std::string show_quotas() const;
   // Lines of `budget.NAME.FIGURE=VALUE` for show-stat.
-  std::string show_figures() const;
+  std::string show_statistics() const;
 
  private:
   bool on_datagram(std::string_view datagram);
@@ -62,7 +62,7 @@
   const std::string cluster_name_;
   dispatcher& requests_;
   telemetry::counters& counters_;
-  calls_user calls_;
+  upstream_call_limiter calls_;
   quota::quota_coordinator coordinator_;
   // By quota, in the order of the configuration; of the two estimators the one for the quota's unit is in
   // use.
--- a/src/config/sections/parts.cpp
+++ b/src/config/sections/parts.cpp
@@ -46,14 +46,14 @@
   return request_class;
 }
 
-upstream::part_plan read_part(const section& part, const std::string& title,
-                              const dependencies_config& dependencies) {
-  upstream::part_plan plan;
+upstream::sub_request_plan read_part(const section& part, const std::string& title,
+                                     const dependencies_config& dependencies) {
+  upstream::sub_request_plan plan;
   plan.name = title;
   plan.from = index_of_dependency(part, "from", part.required_text("from"), dependencies);
   plan.required = part.flag("required");
   for (const std::string& text : part.texts("fallback"))
-    plan.stand_ins.push_back(parse_fallback(part, text, dependencies));
+    plan.fallbacks.push_back(parse_fallback(part, text, dependencies));
   return plan;
 }
 
@@ -71,7 +71,7 @@
            const std::vector<plan_titles>& titles) {
   try {
     upstream::check_plans(dependencies.plans, dependencies.rules);
-  } catch (const upstream::bad_plan& error) {
+  } catch (const upstream::plan_error& error) {
     const std::string at_fault =
         error.part_at < 0 ? "" : titles[error.plan][static_cast<std::size_t>(error.part_at)];
     file.each("part", [&](const section& part, const std::string& title) {
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -127,7 +127,7 @@
 
 // ---- The node ---------------------------------------------------------------------------------------------
 
-void dispatcher::on_drain(duration time_left) {
+void dispatcher::on_shutdown_notice(duration time_left) {
   draining_ = true;
   coalescer_.set_response_deadline(now_ + time_left - shutdown_margin);
   admission_.report(shutdown_notice{time_left});
--- a/src/core/dispatcher.hpp
+++ b/src/core/dispatcher.hpp
@@ -54,7 +54,7 @@
 
   // ---- The node -------------------------------------------------------------------------------------------
   // The process is stopped after `time_left`.
-  void on_drain(duration time_left);
+  void on_shutdown_notice(duration time_left);
   // The limits on this node's part of the cluster's quotas, from the next step on.
   void on_quota_update(const quota_update& update);
   // Calls `observer` for each request that arrives.
@@ -83,7 +83,7 @@
     std::size_t waiting = 0;  // queued, with a client that waits
   };
   // Looks at each request.
-  load in_hand() const { return {requests_.started(), requests_.queued_unanswered()}; }
+  load current_load() const { return {requests_.started(), requests_.queued_unanswered()}; }
 
  private:
   request_entry* find_started(request_id id);
--- a/src/fan_out/call_placement.cpp
+++ b/src/fan_out/call_placement.cpp
@@ -7,7 +7,7 @@
 namespace marblewharf::fan_out {
 
 // Calls now, waits for what is in the way, or falls back where a call could not end in time.
-void state_machine::place(gathering_id id, std::size_t part, time_point now) {
+void state_machine::place(fan_out_id id, std::size_t part, time_point now) {
   sub_request& sub = sub_request_of(id, part);
   dependency_state& dependency = dependencies_[sub.dependency];
   if (!dependency.can_end_in_time(sub.deadline, now)) {
@@ -32,7 +32,7 @@
   }
 }
 
-void state_machine::wait_for_capacity(gathering_id id, std::size_t part, time_point now) {
+void state_machine::wait_for_capacity(fan_out_id id, std::size_t part, time_point now) {
   sub_request& sub = sub_request_of(id, part);
   dependency_state& dependency = dependencies_[sub.dependency];
   if (!dependency.has_share()) {
@@ -66,7 +66,7 @@
 }
 
 // All endpoints are ejected or have asked for time.
-void state_machine::wait_for_endpoint(gathering_id id, std::size_t part, time_point now) {
+void state_machine::wait_for_endpoint(fan_out_id id, std::size_t part, time_point now) {
   const sub_request& sub = sub_request_of(id, part);
   const dependency_state& dependency = dependencies_[sub.dependency];
   const auto usable_at = dependency.endpoints().next_usable_at(now);
@@ -77,7 +77,7 @@
   }
 }
 
-void state_machine::start(gathering_id id, std::size_t part, std::size_t endpoint, time_point now) {
+void state_machine::start(fan_out_id id, std::size_t part, std::size_t endpoint, time_point now) {
   sub_request& sub = sub_request_of(id, part);
   dependency_state& dependency = dependencies_[sub.dependency];
   const call_id number = ++last_call_;
@@ -107,7 +107,7 @@
   start(slow.request, slow.part, *endpoint, now);
 }
 
-void state_machine::retry_or_fall_back(gathering_id id, std::size_t part, std::size_t failed_endpoint,
+void state_machine::retry_or_fall_back(fan_out_id id, std::size_t part, std::size_t failed_endpoint,
                                        time_point now) {
   sub_request& sub = sub_request_of(id, part);
   if (!sub.calls.empty()) return;  // the hedged request, or the one that it hedges, is still in flight
--- a/src/fan_out/client.cpp
+++ b/src/fan_out/client.cpp
@@ -39,7 +39,7 @@
 }
 
 struct interpreted_response {
-  call_end end = call_end::failed;
+  call_result end = call_result::failed;
   duration retry_after{};  // of a rejection
   std::string bytes;       // of a success
 };
@@ -54,9 +54,10 @@
   constexpr unsigned unavailable_status = 503;
   if (end != uwsgi::exchange_end::whole) return {};
   if (head->status >= first_success_status && head->status <= last_success_status)
-    return {call_end::good, {}, std::string(response.substr(head->size))};
+    return {call_result::succeeded, {}, std::string(response.substr(head->size))};
   if (head->status == unavailable_status || head->status == too_many_requests_status)
-    return {call_end::not_now, head->retry_after ? duration(*head->retry_after) : default_retry_after, {}};
+    return {
+        call_result::rejected, head->retry_after ? duration(*head->retry_after) : default_retry_after, {}};
   return {};
 }
 
@@ -141,7 +142,7 @@
 // An action may lead to more actions: they are carried out in their order, by the outermost call.
 void client::apply_actions() {
   if (std::exchange(applying_, true)) return;
-  while (const auto next = state_machine_.pick()) {
+  while (const auto next = state_machine_.next_action()) {
     std::visit([this](const auto& wanted) { apply(wanted); }, *next);
   }
   applying_ = false;
@@ -178,7 +179,7 @@
   } catch (const Poco::Exception& e) {
     log("dependency", "%s: no connection: %s", dependency.name.c_str(), e.displayText().c_str());
     calls_.erase(id);
-    state_machine_.on_result(id, call_end::failed, {}, {}, net::steady_now());
+    state_machine_.on_result(id, call_result::failed, {}, {}, net::steady_now());
   }
 }
 
@@ -190,7 +191,7 @@
   calls_.erase(found);
 }
 
-void client::apply(const finished& end) {
+void client::apply(const request_finished& end) {
   const auto found = runs_.find(end.id);
   if (found == runs_.end()) return;
   const run_state run = std::move(found->second);
@@ -199,7 +200,7 @@
   dispatcher_.on_call_ended(end.id, now - run.fan_out_begun_at);
   reactor_.wake();
   const duration elapsed = now - run.begun_at;
-  if (end.lacks) {
+  if (end.missing_required) {
     dispatcher_.on_end(end.id, run_end::failed, {}, elapsed);
     return;
   }
--- a/src/fan_out/client.hpp
+++ b/src/fan_out/client.hpp
@@ -75,7 +75,7 @@
   void apply_actions();
   void apply(const start_call& start);
   void apply(const cancel_call& cancel);
-  void apply(const finished& end);
+  void apply(const request_finished& end);
   void apply(const endpoint_changed& change);
   std::string encode_call(const request& what, const start_call& start) const;
   void on_exchange_ended(call_id id, uwsgi::exchange_end end, const uwsgi::response_head* head,
--- a/src/fan_out/dependency_state.hpp
+++ b/src/fan_out/dependency_state.hpp
@@ -20,7 +20,7 @@
 
 // A sub-request that waits for a call in flight.
 struct queued_sub_request {
-  gathering_id request = 0;
+  fan_out_id request = 0;
   std::size_t part = 0;
 };
 
--- a/src/fan_out/messages.hpp
+++ b/src/fan_out/messages.hpp
@@ -15,26 +15,26 @@
 
 namespace marblewharf::fan_out {
 
-using gathering_id = std::uint32_t;  // of a request; chosen by the caller
+using fan_out_id = std::uint32_t;  // of a request; chosen by the caller
 using call_id = std::uint64_t;
 
 // How a call ended.
-enum class call_end {
-  good,     // a whole response came
-  failed,   // an error, an unreadable response, or a lost connection
-  not_now,  // rejected with a retry-after: nothing was done
+enum class call_result {
+  succeeded,  // a whole response came
+  failed,     // an error, an unreadable response, or a lost connection
+  rejected,   // rejected with a retry-after: nothing was done
 };
 
 // Where a sub-response came from.
-enum class part_is {
+enum class sub_response_state {
   missing,
   fresh,     // from its own dependency, now
   stale,     // an earlier fresh one of the same subject
-  stand_in,  // from another dependency, or a fixed text
+  fallback,  // from another dependency, or a fixed text
 };
 
-struct part_result {
-  part_is how = part_is::missing;
+struct sub_response {
+  sub_response_state state = sub_response_state::missing;
   duration age{};  // of a stale one
   std::string bytes;
 };
@@ -44,7 +44,7 @@
 // The call is to be made; on_result() reports its end.
 struct start_call {
   call_id id = 0;
-  gathering_id request = 0;
+  fan_out_id request = 0;
   std::size_t dependency = 0;
   std::size_t endpoint = 0;
   duration budget{};  // until the call is cancelled
@@ -54,11 +54,12 @@
   call_id id = 0;
 };
 // The request has ended.
-struct finished {
-  gathering_id id = 0;
-  bool complete = false;             // all sub-responses are fresh
-  std::optional<std::size_t> lacks;  // the required sub-response that is missing: the request has failed
-  std::vector<part_result> parts;    // in the order of the plan
+struct request_finished {
+  fan_out_id id = 0;
+  bool complete = false;  // all sub-responses are fresh
+  std::optional<std::size_t>
+      missing_required;             // the required sub-response that is missing: the request has failed
+  std::vector<sub_response> parts;  // in the order of the plan
 };
 // An endpoint was ejected, is probed, or is back. For the log.
 struct endpoint_changed {
@@ -66,7 +67,7 @@
   std::size_t endpoint = 0;
   std::string reason;
 };
-using action = std::variant<start_call, cancel_call, finished, endpoint_changed>;
+using action = std::variant<start_call, cancel_call, request_finished, endpoint_changed>;
 
 // ---- Statistics -------------------------------------------------------------------------------------------
 
--- a/src/fan_out/response_assembly.hpp
+++ b/src/fan_out/response_assembly.hpp
@@ -10,11 +10,11 @@
 
 namespace marblewharf::fan_out {
 
-// Of a request that lacks no required sub-response. The head has `Partial: yes` where not all are fresh.
-// `parts`: in the order of the plan.
-std::string assemble_response(const upstream::request_plan& plan, const std::vector<part_result>& parts);
+// Of a request that missing_required no required sub-response. The head has `Partial: yes` where not all are
+// fresh. `parts`: in the order of the plan.
+std::string assemble_response(const upstream::request_plan& plan, const std::vector<sub_response>& parts);
 
 // As the header Part-State has it.
-const char* name_of(part_is state);
+const char* name_of(sub_response_state state);
 
 }  // namespace marblewharf::fan_out
--- a/src/fan_out/state_machine.cpp
+++ b/src/fan_out/state_machine.cpp
@@ -13,19 +13,19 @@
   for (const upstream::dependency_rules& of_dependency : rules) dependencies_.emplace_back(of_dependency);
 }
 
-std::optional<action> state_machine::pick() {
+std::optional<action> state_machine::next_action() {
   if (actions_.empty()) return std::nullopt;
   action next = std::move(actions_.front());
   actions_.pop_front();
   return next;
 }
 
-state_machine::open_request* state_machine::find(gathering_id id) {
+state_machine::open_request* state_machine::find(fan_out_id id) {
   const auto found = requests_.find(id);
   return found == requests_.end() ? nullptr : &found->second;
 }
 
-void state_machine::begin(gathering_id id, std::size_t which, std::uint64_t subject, time_point by,
+void state_machine::begin(fan_out_id id, std::size_t which, std::uint64_t subject, time_point by,
                           time_point now) {
   const std::size_t parts = plans_[which].parts.size();
   open_request& request = requests_[id];
@@ -38,7 +38,7 @@
   for (std::size_t i = 0; i < parts && find(id) != nullptr; ++i) try_source(id, i, now);
 }
 
-void state_machine::cancel(gathering_id id, time_point now) {
+void state_machine::cancel(fan_out_id id, time_point now) {
   open_request* request = find(id);
   if (request == nullptr) return;
   for (sub_request& sub : request->sub_requests) cancel_calls(sub, now);
@@ -49,29 +49,28 @@
 // ---- Sub-requests -----------------------------------------------------------------------------------------
 
 // Its own dependency, then its fallbacks; behind the last one the sub-response is missing.
-void state_machine::try_source(gathering_id id, std::size_t part, time_point now) {
+void state_machine::try_source(fan_out_id id, std::size_t part, time_point now) {
   const std::size_t source = sub_request_of(id, part).source;
-  const upstream::part_plan& plan = plans_[find(id)->plan].parts[part];
+  const upstream::sub_request_plan& plan = plans_[find(id)->plan].parts[part];
   if (source == 0) {
     try_dependency(id, part, plan.from, now);
     return;
   }
-  if (source > plan.stand_ins.size()) {
+  if (source > plan.fallbacks.size()) {
     complete(id, part, {}, now);
     return;
   }
-  const upstream::fallback& fallback = plan.stand_ins[source - 1];
+  const upstream::fallback& fallback = plan.fallbacks[source - 1];
   switch (fallback.what) {
     case upstream::fallback::kind::dependency: try_dependency(id, part, fallback.from, now); break;
     case upstream::fallback::kind::stale: try_stale(id, part, fallback.oldest, now); break;
     case upstream::fallback::kind::fixed:
-      complete(id, part, {part_is::stand_in, {}, fallback.bytes}, now);
+      complete(id, part, {sub_response_state::fallback, {}, fallback.bytes}, now);
       break;
   }
 }
 
-void state_machine::try_dependency(gathering_id id, std::size_t part, std::size_t dependency,
-                                   time_point now) {
+void state_machine::try_dependency(fan_out_id id, std::size_t part, std::size_t dependency, time_point now) {
   sub_request& sub = sub_request_of(id, part);
   sub.dependency = dependency;
   sub.attempts = 0;
@@ -81,60 +80,60 @@
   place(id, part, now);
 }
 
-void state_machine::try_stale(gathering_id id, std::size_t part, duration oldest, time_point now) {
+void state_machine::try_stale(fan_out_id id, std::size_t part, duration oldest, time_point now) {
   const open_request& request = *find(id);
   const std::size_t dependency = plans_[request.plan].parts[part].from;
   if (const auto cached = cache_.get(dependency, request.subject, oldest, now)) {
-    complete(id, part, {part_is::stale, cached->age, *cached->bytes}, now);
+    complete(id, part, {sub_response_state::stale, cached->age, *cached->bytes}, now);
   } else {
     fall_back(id, part, now);
   }
 }
 
-void state_machine::fall_back(gathering_id id, std::size_t part, time_point now) {
+void state_machine::fall_back(fan_out_id id, std::size_t part, time_point now) {
   sub_request& sub = sub_request_of(id, part);
   sub.queued = false;
   ++sub.source;
   try_source(id, part, now);
 }
 
-void state_machine::complete(gathering_id id, std::size_t part, part_result response, time_point now) {
+void state_machine::complete(fan_out_id id, std::size_t part, sub_response response, time_point now) {
   open_request& request = *find(id);
   sub_request& sub = request.sub_requests[part];
-  const upstream::part_plan& plan = plans_[request.plan].parts[part];
+  const upstream::sub_request_plan& plan = plans_[request.plan].parts[part];
   cancel_calls(sub, now);
   sub.done = true;
   sub.response = std::move(response);
   count_response(plan.from, sub.response);
   --request.open_sub_requests;
-  if (sub.response.how == part_is::missing && plan.required) {
+  if (sub.response.state == sub_response_state::missing && plan.required) {
     finish(id, part, now);
   } else if (request.open_sub_requests == 0) {
     finish(id, std::nullopt, now);
   }
 }
 
-void state_machine::count_response(std::size_t dependency, const part_result& response) {
+void state_machine::count_response(std::size_t dependency, const sub_response& response) {
   dependency_counts& counts = dependencies_[dependency].counts();
-  switch (response.how) {
-    case part_is::missing: ++counts.missing; break;
-    case part_is::fresh: ++counts.fresh; break;
-    case part_is::stale:
+  switch (response.state) {
+    case sub_response_state::missing: ++counts.missing; break;
+    case sub_response_state::fresh: ++counts.fresh; break;
+    case sub_response_state::stale:
       ++counts.stale;
       counts.stale_age += response.age;
       break;
-    case part_is::stand_in: ++counts.fallback; break;
+    case sub_response_state::fallback: ++counts.fallback; break;
   }
 }
 
-void state_machine::finish(gathering_id id, std::optional<std::size_t> missing_required, time_point now) {
-  finished end;
+void state_machine::finish(fan_out_id id, std::optional<std::size_t> missing_required, time_point now) {
+  request_finished end;
   end.id = id;
-  end.lacks = missing_required;
+  end.missing_required = missing_required;
   end.complete = !missing_required;
   for (sub_request& sub : find(id)->sub_requests) {
     cancel_calls(sub, now);
-    end.complete = end.complete && sub.response.how == part_is::fresh;
+    end.complete = end.complete && sub.response.state == sub_response_state::fresh;
     end.parts.push_back(std::move(sub.response));
   }
   requests_.erase(id);
@@ -143,25 +142,25 @@
 
 // ---- Results and timers -----------------------------------------------------------------------------------
 
-void state_machine::on_result(call_id id, call_end how, std::string bytes, duration come_back,
+void state_machine::on_result(call_id id, call_result how, std::string bytes, duration come_back,
                               time_point now) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;  // cancelled meanwhile
   const call ended = found->second;
   dependency_state& dependency = dependencies_[ended.dependency];
   switch (how) {
-    case call_end::not_now:
+    case call_result::rejected:
       ++dependency.counts().rejected;
       dependency.endpoints().on_rejected(ended.endpoint, now + come_back);
       end_call(found, now, upstream::call_outcome::cancelled);
       retry_or_fall_back(ended.request, ended.part, ended.endpoint, now);
       break;
-    case call_end::failed:
+    case call_result::failed:
       ++dependency.counts().failed;
       end_call(found, now, upstream::call_outcome::failed);
       retry_or_fall_back(ended.request, ended.part, ended.endpoint, now);
       break;
-    case call_end::good:
+    case call_result::succeeded:
       dependency.on_success(now, now - ended.begun_at);
       end_call(found, now, upstream::call_outcome::succeeded);
       on_response(ended, std::move(bytes), now);
@@ -174,8 +173,10 @@
   const open_request& request = *find(ended.request);
   const bool from_own_dependency = request.sub_requests[ended.part].source == 0;
   if (from_own_dependency) cache_.put(ended.dependency, request.subject, bytes, now);
-  complete(ended.request, ended.part,
-           {from_own_dependency ? part_is::fresh : part_is::stand_in, {}, std::move(bytes)}, now);
+  complete(
+      ended.request, ended.part,
+      {from_own_dependency ? sub_response_state::fresh : sub_response_state::fallback, {}, std::move(bytes)},
+      now);
 }
 
 void state_machine::step(time_point now) {
--- a/src/idempotency/key_table_service.hpp
+++ b/src/idempotency/key_table_service.hpp
@@ -16,7 +16,7 @@
 class key_table_service : public idempotency_store {
  public:
   // To be called before the first request; `observer` outlives this object.
-  void report_to(idempotency_observer& observer) { observer_ = &observer; }
+  void set_observer(idempotency_observer& observer) { observer_ = &observer; }
 
   void mark_outcome_unknown(request_id primary) override;
   void close_primary(request_id primary) override { primaries_.erase(primary); }
--- a/src/idempotency/memory_service.hpp
+++ b/src/idempotency/memory_service.hpp
@@ -35,7 +35,7 @@
   // Gives the replies that are pending and removes what has expired.
   void step(time_point now);
   // Replies are pending: step() is wanted at once.
-  bool has_news() const {
+  bool has_pending_replies() const {
     return !written_intents_.empty() || !recorded_results_.empty() || !requested_results_.empty();
   }
 
--- a/src/middleware/gate.cpp
+++ b/src/middleware/gate.cpp
@@ -95,7 +95,7 @@
   };
   store_ = std::make_unique<idempotency::durable_service>(files_, store_options_of(*keys_, settings),
                                                           counters_, notify);
-  store_->report_to(dispatcher_);
+  store_->set_observer(dispatcher_);
   dispatcher_.use(*store_, {});
 }
 
@@ -160,7 +160,7 @@
 
 void gate_impl::drain(duration time_left) {
   const std::lock_guard lock(mutex_);
-  dispatcher_.on_drain(time_left);
+  dispatcher_.on_shutdown_notice(time_left);
   step_and_notify();
 }
 
--- a/src/middleware/gathering.cpp
+++ b/src/middleware/gathering.cpp
@@ -21,12 +21,12 @@
   return std::chrono::steady_clock::now().time_since_epoch();
 }
 
-part_state state_of(fan_out::part_is how) {
+part_state state_of(fan_out::sub_response_state how) {
   switch (how) {
-    case fan_out::part_is::fresh: return part_state::fresh;
-    case fan_out::part_is::stale: return part_state::stale;
-    case fan_out::part_is::stand_in: return part_state::stand_in;
-    case fan_out::part_is::missing: break;
+    case fan_out::sub_response_state::fresh: return part_state::fresh;
+    case fan_out::sub_response_state::stale: return part_state::stale;
+    case fan_out::sub_response_state::fallback: return part_state::stand_in;
+    case fan_out::sub_response_state::missing: break;
   }
   return part_state::missing;
 }
@@ -61,7 +61,7 @@
 
   gathered gather(std::uint64_t subject, duration within) {
     std::unique_lock lock(mutex_);
-    const fan_out::gathering_id id = next_id();
+    const fan_out::fan_out_id id = next_id();
     pending_gathering pending;
     pending_.emplace(id, &pending);
     const time_point now = steady_now();
@@ -98,13 +98,13 @@
     unsigned busy = 0;  // threads in a call
   };
   struct call_result {
-    fan_out::call_end end = fan_out::call_end::failed;
+    fan_out::call_result end = fan_out::call_result::failed;
     std::string bytes;
     duration retry_after{};  // where it ended as not_now
   };
 
   // Ids wrap around: 0 is none, and one that is still pending is passed over.
-  fan_out::gathering_id next_id() {
+  fan_out::fan_out_id next_id() {
     do {
       ++last_id_;
     } while (last_id_ == 0 || pending_.contains(last_id_));
@@ -114,7 +114,7 @@
   // ---- Actions of the state machine, with the lock held ---------------------------------------------------
 
   void apply_actions() {
-    while (std::optional<fan_out::action> next = state_machine_.pick())
+    while (std::optional<fan_out::action> next = state_machine_.next_action())
       std::visit([this](auto& action) { apply(action); }, *next);
   }
 
@@ -122,7 +122,7 @@
   void apply(const fan_out::start_call& action) {
     worker_pool& pool = pools_[action.dependency];
     if (pool.busy + pool.tasks.size() >= sources_[action.dependency].threads) {
-      state_machine_.on_result(action.id, fan_out::call_end::failed, {}, {}, steady_now());
+      state_machine_.on_result(action.id, fan_out::call_result::failed, {}, {}, steady_now());
       return;
     }
     call_task task{action, steady_now() + action.budget, std::make_shared<std::atomic<bool>>(false)};
@@ -135,13 +135,13 @@
     if (found != cancel_flags_.end()) *found->second = true;
   }
 
-  void apply(fan_out::finished& action) {
+  void apply(fan_out::request_finished& action) {
     const auto found = pending_.find(action.id);
     if (found == pending_.end()) return;
     gathered& result = found->second->result;
     result.complete = action.complete;
-    result.failed = action.lacks >= 0;
-    for (fan_out::part_result& each : action.parts)
+    result.failed = action.missing_required >= 0;
+    for (fan_out::sub_response& each : action.parts)
       result.parts.push_back({state_of(each.how), each.age, std::move(each.bytes)});
     found->second->done = true;
   }
@@ -179,12 +179,12 @@
     call_result result;
     try {
       result.bytes = call({std::chrono::steady_clock::time_point(task.until), task.cancelled.get()});
-      result.end = fan_out::call_end::good;
+      result.end = fan_out::call_result::succeeded;
     } catch (const not_now& advice) {
-      result.end = fan_out::call_end::not_now;
+      result.end = fan_out::call_result::rejected;
       result.retry_after = advice.after;
     } catch (...) {  // any other exception of the embedder's function is a failed call
-      result.end = fan_out::call_end::failed;
+      result.end = fan_out::call_result::failed;
     }
     return result;
   }
@@ -207,10 +207,10 @@
   std::mutex mutex_;  // guards all below
   std::condition_variable changed_;
   fan_out::state_machine state_machine_;
-  std::vector<worker_pool> pools_;                                         // by source
-  std::unordered_map<fan_out::gathering_id, pending_gathering*> pending_;  // owned by the threads that wait
-  std::unordered_map<fan_out::call_id, cancel_flag> cancel_flags_;         // of calls under way
-  fan_out::gathering_id last_id_ = 0;
+  std::vector<worker_pool> pools_;                                       // by source
+  std::unordered_map<fan_out::fan_out_id, pending_gathering*> pending_;  // owned by the threads that wait
+  std::unordered_map<fan_out::call_id, cancel_flag> cancel_flags_;       // of calls under way
+  fan_out::fan_out_id last_id_ = 0;
   bool stopping_ = false;
   std::vector<std::thread> threads_;
 };
--- a/src/middleware/gathering_plan.cpp
+++ b/src/middleware/gathering_plan.cpp
@@ -38,9 +38,10 @@
   return {kind::fixed, 0, {}, translated.fixed};
 }
 
-upstream::part_plan plan_of_part(const std::vector<source>& sources, const part_of& translated) {
-  upstream::part_plan plan{translated.name, find_source(sources, translated.source), translated.required, {}};
-  for (const stand_in_for& each : translated.stand_ins) plan.stand_ins.push_back(fallback_of(sources, each));
+upstream::sub_request_plan plan_of_part(const std::vector<source>& sources, const part_of& translated) {
+  upstream::sub_request_plan plan{
+      translated.name, find_source(sources, translated.source), translated.required, {}};
+  for (const stand_in_for& each : translated.stand_ins) plan.fallbacks.push_back(fallback_of(sources, each));
   return plan;
 }
 
@@ -67,7 +68,7 @@
   for (const part_of& each : parts) plan.parts.push_back(plan_of_part(sources, each));
   try {
     upstream::check_plans({plan}, rules_of(sources));
-  } catch (const upstream::bad_plan& fault) {
+  } catch (const upstream::plan_error& fault) {
     std::string part;
     if (fault.part_at >= 0) part = parts[static_cast<std::size_t>(fault.part_at)].name + " ";
     throw std::invalid_argument("part " + part + fault.what());
--- a/src/scheduler/headroom_meter.cpp
+++ b/src/scheduler/headroom_meter.cpp
@@ -4,8 +4,8 @@
 
 namespace marblewharf::scheduler {
 
-double headroom_meter::look(std::chrono::nanoseconds now, std::optional<double> cores_busy,
-                            std::size_t waiting) {
+double headroom_meter::evaluate(std::chrono::nanoseconds now, std::optional<double> cores_busy,
+                                std::size_t waiting) {
   if (waiting > 0) waited_ = now;
   if (waited_ && now - *waited_ < rules_.calm) return 0;
   if (!cores_busy) return 1;
--- a/src/scheduler/headroom_meter.hpp
+++ b/src/scheduler/headroom_meter.hpp
@@ -21,7 +21,7 @@
   explicit headroom_meter(headroom_options r) : rules_(r) {}
 
   // `cores_busy`: 0 to 1; none: it is not known. `waiting`: requests that the admission module holds.
-  double look(std::chrono::nanoseconds now, std::optional<double> cores_busy, std::size_t waiting);
+  double evaluate(std::chrono::nanoseconds now, std::optional<double> cores_busy, std::size_t waiting);
 
  private:
   headroom_options rules_;
--- a/src/scheduler/pool.cpp
+++ b/src/scheduler/pool.cpp
@@ -135,7 +135,7 @@
     sent = true;
   }
   if (sent) shared_->asked.notify_all();
-  for (const job_figures& f : scheduler_.figures(now)) {
+  for (const job_statistics& f : scheduler_.figures(now)) {
     if (f.overrun && !std::exchange(jobs_.at(f.id).overrun_said, true))
       note_(f.name, "a slice does not come to its end");
   }
--- a/src/scheduler/pool.hpp
+++ b/src/scheduler/pool.hpp
@@ -2,9 +2,9 @@
 // run on threads of the pool, at the lowest priority of the system, with a queue that never holds more than
 // there are workers.
 //
-// A slice that does not return keeps its worker: that is counted and said (job_figures::overrun), the other
-// workers go on, and the pool's end waits `patience` for it and then leaves its thread behind. So a job's
-// work owns what it uses.
+// A slice that does not return keeps its worker: that is counted and said (job_statistics::overrun), the
+// other workers go on, and the pool's end waits `patience` for it and then leaves its thread behind. So a
+// job's work owns what it uses.
 #pragma once
 
 #include <atomic>
@@ -42,7 +42,7 @@
   void cancel(job_id id);
   // Takes in what ended and sends out what may run. Returns when to call again.
   time_point step(time_point now, double room);
-  std::vector<job_figures> figures(time_point now) const { return scheduler_.figures(now); }
+  std::vector<job_statistics> figures(time_point now) const { return scheduler_.figures(now); }
 
  private:
   struct shared;
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -229,10 +229,10 @@
   return next;
 }
 
-std::vector<job_figures> scheduler::figures(time_point now) const {
-  std::vector<job_figures> all;
+std::vector<job_statistics> scheduler::figures(time_point now) const {
+  std::vector<job_statistics> all;
   for (const auto& [id, j] : jobs_) {
-    job_figures f = j.figures;
+    job_statistics f = j.figures;
     f.id = id;
     f.out = j.out;
     f.due = is_due(j, now);
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -68,7 +68,7 @@
   std::uint64_t round = 0;  // how often the job has begun
 };
 
-struct job_figures {
+struct job_statistics {
   job_id id = 0;
   std::string name;
   std::uint64_t slices = 0, rounds = 0, failures = 0;  // rounds: how often it began
@@ -95,7 +95,7 @@
   // When pick() may have something, with the load as it is.
   time_point due(time_point now) const;
 
-  std::vector<job_figures> figures(time_point now) const;
+  std::vector<job_statistics> figures(time_point now) const;
   std::size_t out() const { return out_; }
   // Not any more: it was cancelled, or ran its one time.
   bool knows(job_id id) const { return jobs_.contains(id); }
@@ -126,7 +126,7 @@
     time_point out_since{};
     duration pause{};
     bool out = false, cancelled = false, begun = false;
-    job_figures figures;
+    job_statistics figures;
   };
 
   void fill(time_point now);
--- a/src/server/background_jobs.cpp
+++ b/src/server/background_jobs.cpp
@@ -112,7 +112,7 @@
 
 time_point background_jobs::step(time_point now, std::optional<double> cores_busy, std::size_t queued) {
   slice_ended_ = false;
-  headroom_ = headroom_meter_.look(now, cores_busy, queued);
+  headroom_ = headroom_meter_.evaluate(now, cores_busy, queued);
   time_point due = pool_.step(now, headroom_);
   // Without full headroom the scheduler cannot tell when there will be more.
   if (headroom_ < 1) due = std::min(due, now + headroom_poll_interval);
@@ -124,7 +124,7 @@
   std::ostringstream out;
   out << "background.room=" << headroom_ << '\n';
   out << "background.faults=" << counters_.background_faults << '\n';
-  for (const scheduler::job_figures& job : pool_.figures(now)) {
+  for (const scheduler::job_statistics& job : pool_.figures(now)) {
     const std::string name = "background." + job.name;
     out << name << ".rounds=" << job.rounds << '\n'
         << name << ".slices=" << job.slices << '\n'
--- a/src/server/durable_idempotency.cpp
+++ b/src/server/durable_idempotency.cpp
@@ -62,7 +62,7 @@
 void durable_idempotency::open() {
   durable_service_ =
       std::make_unique<idempotency::durable_service>(file_system_, options_of(config_), counters_, notify_);
-  durable_service_->report_to(dispatcher_);
+  durable_service_->set_observer(dispatcher_);
   deferred_service_.take(*durable_service_);
 }
 
--- a/src/server/memory_idempotency.cpp
+++ b/src/server/memory_idempotency.cpp
@@ -24,7 +24,7 @@
                                                                      telemetry::counters& counters) {
   if (!settings.repeats) return nullptr;
   auto service = std::make_unique<idempotency::memory_service>(options_of(settings), counters);
-  service->report_to(requests);
+  service->set_observer(requests);
   // A run past its deadline is stopped at once: no result outlives the process, so finishing it saves
   // nothing.
   constexpr duration finish_within{};
--- a/src/server/node_admin_handler.cpp
+++ b/src/server/node_admin_handler.cpp
@@ -18,10 +18,10 @@
 std::string node_admin_handler::statistics() {
   std::string lines =
       admin::render_statistics(sources_.counters, class_names_, sources_.requests.unanswered());
-  if (sources_.cluster_agent) lines += sources_.cluster_agent->show_figures();
+  if (sources_.cluster_agent) lines += sources_.cluster_agent->show_statistics();
   if (sources_.fan_out_client) lines += sources_.fan_out_client->figures();
   if (sources_.transaction_coordinator) lines += sources_.transaction_coordinator->figures();
-  if (sources_.quota_client) lines += sources_.quota_client->show_figures();
+  if (sources_.quota_client) lines += sources_.quota_client->show_statistics();
   if (sources_.jobs) lines += sources_.jobs->render_statistics(net::steady_now());
   return lines;
 }
@@ -48,7 +48,7 @@
 
 std::optional<std::string> node_admin_handler::budgets() {
   if (!sources_.quota_client) return std::nullopt;
-  return sources_.quota_client->show_budgets();
+  return sources_.quota_client->show_quotas();
 }
 
 }  // namespace marblewharf::server
--- a/src/server/price_node.cpp
+++ b/src/server/price_node.cpp
@@ -107,7 +107,7 @@
 // Calls at upstreams are limited by the coordinator where there is one: it knows of fan-out calls as well.
 void price_node::start_quota_client() {
   if (!config_.budgets) return;
-  cluster::calls_user calls;
+  cluster::upstream_call_limiter calls;
   calls.limit = [this](std::size_t upstream, double limit) {
     if (transaction_coordinator_) {
       transaction_coordinator_->set_share(upstream, limit);
@@ -119,7 +119,7 @@
     const fan_out::client::calls current = transaction_coordinator_
                                                ? transaction_coordinator_->calls_at(upstream)
                                                : fan_out_client_->calls_at(upstream);
-    return cluster::calls_user::calls{current.in_flight, current.waiting, current.turned_away};
+    return cluster::upstream_call_limiter::calls{current.in_flight, current.waiting, current.turned_away};
   };
   quota_client_.emplace(*cluster_agent_, config_, dispatcher_, counters_, std::move(calls));
 }
@@ -154,7 +154,8 @@
   step_background_jobs(now, gauges);
   if (shutdown_.begun() && shutdown_.step(now)) reactor_.stop();
   const time_point connections_due = step_connections(now);
-  if (dispatcher_.due() < now || (memory_idempotency_ && memory_idempotency_->has_news())) return now;
+  if (dispatcher_.due() < now || (memory_idempotency_ && memory_idempotency_->has_pending_replies()))
+    return now;
   return std::min({connections_due, cluster_due, quota_due});
 }
 
@@ -212,7 +213,7 @@
   if (!background_jobs_ || background_jobs_->idle(now)) return;
   std::optional<double> cores_busy;
   if (cores_busy_gauge_ && *cores_busy_gauge_ < gauges.size()) cores_busy = gauges[*cores_busy_gauge_];
-  background_jobs_->step(now, cores_busy, dispatcher_.in_hand().waiting);
+  background_jobs_->step(now, cores_busy, dispatcher_.current_load().waiting);
 }
 
 // Steps all that has sockets, in the order of this list; returns the earliest due time of these parts and of
--- a/src/server/shutdown_sequence.cpp
+++ b/src/server/shutdown_sequence.cpp
@@ -11,7 +11,7 @@
   telemetry::log("drain", "notice to leave, %zu requests open%s", targets_.requests.open(),
                  successor_took_over ? "; a successor takes the clients" : "");
   shutdown_.emplace(now, successor_took_over, bounds_);
-  targets_.requests.on_drain(bounds_.stop);
+  targets_.requests.on_shutdown_notice(bounds_.stop);
 }
 
 bool shutdown_sequence::step(time_point now) {
--- a/src/transaction/coordinator.cpp
+++ b/src/transaction/coordinator.cpp
@@ -160,7 +160,7 @@
   reactor_.wake();
   if (request.request == participant_request::commit && response.reply == participant_reply::yes) {
     transaction->committed = true;
-    transaction->calls[request.participant].result = {fan_out::part_is::fresh, {}, response.body};
+    transaction->calls[request.participant].result = {fan_out::sub_response_state::fresh, {}, response.body};
   }
   const bool answered = response.reply != participant_reply::unknown;
   participants_.on_request_ended(
--- a/src/transaction/open_transaction.cpp
+++ b/src/transaction/open_transaction.cpp
@@ -55,7 +55,7 @@
 
 std::string compose_result(const open_transaction& transaction, const config& settings) {
   upstream::request_plan plan;
-  std::vector<fan_out::part_result> results;
+  std::vector<fan_out::sub_response> results;
   for (std::size_t i = 0; i < transaction.calls.size(); ++i) {
     const std::size_t dependency = transaction.plan->participants[i];
     plan.parts.push_back({settings.dependencies->endpoints[dependency].name, dependency, false, {}});
--- a/src/transaction/open_transaction.hpp
+++ b/src/transaction/open_transaction.hpp
@@ -22,7 +22,7 @@
   std::size_t endpoint_index = 0;  // of `address`; past the last where it is not configured any more
   std::shared_ptr<uwsgi::exchange> exchange;  // null: no request is in flight
   time_point sent_at{};                       // of the last request
-  fan_out::part_result result;                // of its commit
+  fan_out::sub_response result;               // of its commit
 };
 
 struct open_transaction {
--- a/src/upstream/plan.cpp
+++ b/src/upstream/plan.cpp
@@ -17,9 +17,9 @@
       : plan_(plan), dependencies_(dependencies), plan_index_(plan_index), part_index_(part_index) {}
 
   void run() {
-    const part_plan& part = plan_.parts[part_index_];
+    const sub_request_plan& part = plan_.parts[part_index_];
     add_dependency(part.from);
-    check_fallbacks(part.stand_ins);
+    check_fallbacks(part.fallbacks);
     const duration available = plan_.latency_objective - plan_.reserve;
     if (needed_ > available)
       fail(plan_fault::too_slow, "needs " + in_milliseconds(needed_) +
@@ -29,7 +29,7 @@
 
  private:
   [[noreturn]] void fail(plan_fault fault, const std::string& text) const {
-    throw bad_plan(fault, text, plan_index_, part_index_);
+    throw plan_error(fault, text, plan_index_, part_index_);
   }
 
   void add_dependency(std::size_t dependency) {
@@ -62,12 +62,12 @@
 
 void check_plan(const request_plan& plan, const std::vector<dependency_rules>& dependencies,
                 std::size_t plan_index) {
-  if (plan.parts.empty()) throw bad_plan(plan_fault::no_part, "has no part", plan_index, std::nullopt);
+  if (plan.parts.empty()) throw plan_error(plan_fault::no_part, "has no part", plan_index, std::nullopt);
   std::set<std::string> names;
   for (std::size_t i = 0; i < plan.parts.size(); ++i) {
     const std::string& name = plan.parts[i].name;
     if (!names.insert(name).second)
-      throw bad_plan(plan_fault::duplicate_part, "names a part twice: " + name, plan_index, i);
+      throw plan_error(plan_fault::duplicate_part, "names a part twice: " + name, plan_index, i);
     part_check(plan, dependencies, plan_index, i).run();
   }
 }
--- a/src/upstream/plan.hpp
+++ b/src/upstream/plan.hpp
@@ -44,18 +44,18 @@
 };
 
 // One sub-request.
-struct part_plan {
+struct sub_request_plan {
   std::string name;
   std::size_t from = 0;   // its own dependency
   bool required = false;  // the request fails without it
-  std::vector<fallback> stand_ins;
+  std::vector<fallback> fallbacks;
 };
 
 struct request_plan {
   std::string request_class;
   duration latency_objective{};                      // of the class
   duration reserve = std::chrono::milliseconds(50);  // of the objective, to assemble and send the response
-  std::vector<part_plan> parts;
+  std::vector<sub_request_plan> parts;
 };
 
 enum class plan_fault {
@@ -69,17 +69,16 @@
 };
 
 // A plan that cannot be kept. what() is for the operator.
-struct bad_plan : std::runtime_error {
-  bad_plan(plan_fault why, const std::string& text, std::size_t which_plan,
-           std::optional<std::size_t> which_part)
+struct plan_error : std::runtime_error {
+  plan_error(plan_fault why, const std::string& text, std::size_t which_plan,
+             std::optional<std::size_t> which_part)
       : std::runtime_error(text), fault(why), plan(which_plan), part(which_part) {}
   plan_fault fault;
   std::size_t plan;                 // index
   std::optional<std::size_t> part;  // index in the plan; none: the plan as a whole
-  int part_at = part ? static_cast<int>(*part) : -1;
 };
 
-// Throws bad_plan for the first fault.
+// Throws plan_error for the first fault.
 void check_plans(const std::vector<request_plan>& plans, const std::vector<dependency_rules>& dependencies);
 
 }  // namespace marblewharf::upstream
--- a/tests/admission_policy/policy_test.cpp
+++ b/tests/admission_policy/policy_test.cpp
@@ -689,7 +689,7 @@
   s.calls_period = 5s;
   s.abandoned_call_duration = 200ms;
   rig r(s);
-  std::vector<double> in_hand;  // a step is 10 ms
+  std::vector<double> current_load;  // a step is 10 ms
   request_id id = 0;
   request_id at_call = 0;
   duration gives_up{};
@@ -721,10 +721,10 @@
       if (more.empty()) break;
       r.send(more);
     }
-    in_hand.push_back((at_call != 0 ? 1 : 0) + (t < lingers ? 1 : 0));
-    if (in_hand.size() < 500) continue;
+    current_load.push_back((at_call != 0 ? 1 : 0) + (t < lingers ? 1 : 0));
+    if (current_load.size() < 500) continue;
     double sum = 0;
-    for (std::size_t i = in_hand.size() - 500; i < in_hand.size(); ++i) sum += in_hand[i];
+    for (std::size_t i = current_load.size() - 500; i < current_load.size(); ++i) sum += current_load[i];
     ASSERT_LE(sum / 500, s.fair_concurrent_calls) << "at " << t.count();
   }
   EXPECT_GE(placed, 5u);
--- a/tests/admission_policy/simulated_host.cpp
+++ b/tests/admission_policy/simulated_host.cpp
@@ -100,7 +100,7 @@
   if (what.schedule != request.schedule) return;
   switch (what.kind) {
     case entry_kind::slice_end: end_slice(request, batch); return;
-    case entry_kind::call_end: end_call(request, what, batch); return;
+    case entry_kind::call_result: end_call(request, what, batch); return;
     case entry_kind::run_end:
       if (request.where == stage::in_call) --calls_in_flight_;
       batch.emplace_back(completion{what.id, what.result, what.elapsed});
@@ -314,12 +314,12 @@
   if (profile_.slow_dependency && overloaded())
     takes = takes * (1 + calls_in_flight_) / profile_.calls_at_full_speed;
   if (limit > 0ns && takes > limit) {
-    plan_for(request, limit, entry_kind::call_end, outcome::timeout);
+    plan_for(request, limit, entry_kind::call_result, outcome::timeout);
     return;
   }
   constexpr outcome failures[] = {outcome::error, outcome::full, outcome::reset, outcome::connect_failed};
   const outcome result = below(10) == 0 ? failures[below(4)] : outcome::ok;
-  plan_for(request, takes, entry_kind::call_end, result);
+  plan_for(request, takes, entry_kind::call_result, result);
 }
 
 }  // namespace admission_policy::testing
--- a/tests/admission_policy/simulated_host.hpp
+++ b/tests/admission_policy/simulated_host.hpp
@@ -56,7 +56,16 @@
     duration slice{};       // time on a core between two calls
     unsigned schedule = 0;  // entries of the agenda that carry another number are void
   };
-  enum class entry_kind { first_attempt, retry, slice_end, call_end, run_end, cancellation, quota, shutdown };
+  enum class entry_kind {
+    first_attempt,
+    retry,
+    slice_end,
+    call_result,
+    run_end,
+    cancellation,
+    quota,
+    shutdown
+  };
   struct entry {
     entry_kind kind{};
     request_id id{};
--- a/tests/fan_out/state_machine_test.cpp
+++ b/tests/fan_out/state_machine_test.cpp
@@ -27,13 +27,13 @@
   struct sent {
     start_call what;
     time_point at, ends;
-    call_end how;
+    call_result how;
   };
   world(std::vector<request_plan> plans, std::vector<dependency_rules> rules, unsigned seed)
       : rules_of(rules), c(std::move(plans), std::move(rules), 1 << 20, seed), random(seed) {}
 
   void take() {
-    while (const auto a = c.pick()) {
+    while (const auto a = c.next_action()) {
       if (const auto* s = std::get_if<start_call>(&*a)) {
         ++started[s->dependency];
         CHECK(s->budget > 0s && s->budget <= rules_of[s->dependency].budget);
@@ -42,14 +42,14 @@
         flying.emplace(s->id, sent{*s, now, now + delay, how});
       } else if (const auto* x = std::get_if<cancel_call>(&*a)) {
         CHECK(flying.erase(x->id) == 1);
-      } else if (const auto* f = std::get_if<finished>(&*a)) {
+      } else if (const auto* f = std::get_if<request_finished>(&*a)) {
         CHECK(by.contains(f->id) && done.emplace(f->id, *f).second && now <= by[f->id] + 1ms);
         for (const auto& [id, out] : flying) CHECK(out.what.request != f->id);  // what is out is cancelled
         took[f->id] = now - begun[f->id];
       }
     }
   }
-  void begin(gathering_id id, duration budget, std::uint64_t subject = 1) {
+  void begin(fan_out_id id, duration budget, std::uint64_t subject = 1) {
     by[id] = now + budget;
     begun[id] = now;
     c.begin(id, 0, subject, now + budget, now);
@@ -84,13 +84,13 @@
   state_machine c;
   std::mt19937 random;
   time_point now = 1000s;
-  std::function<std::pair<duration, call_end>(const start_call&)> behave = [](const start_call&) {
-    return std::pair<duration, call_end>{10ms, call_end::good};
+  std::function<std::pair<duration, call_result>(const start_call&)> behave = [](const start_call&) {
+    return std::pair<duration, call_result>{10ms, call_result::succeeded};
   };
   std::map<call_id, sent> flying;
-  std::map<gathering_id, time_point> by, begun;
-  std::map<gathering_id, finished> done;
-  std::map<gathering_id, duration> took;
+  std::map<fan_out_id, time_point> by, begun;
+  std::map<fan_out_id, request_finished> done;
+  std::map<fan_out_id, duration> took;
   std::map<std::size_t, int> started;
 };
 
@@ -113,10 +113,10 @@
 // waits for one: what stands in does so at once, and calls go again when there is a share.
 void a_share_bounds_calls() {
   world w({four_parts()}, four_rules(), 11);
-  w.behave = [](const start_call&) { return std::pair<duration, call_end>{40ms, call_end::good}; };
+  w.behave = [](const start_call&) { return std::pair<duration, call_result>{40ms, call_result::succeeded}; };
   w.c.set_share(1, 3.7);
   unsigned most = 0;
-  for (gathering_id id = 1; id <= 60; ++id) {
+  for (fan_out_id id = 1; id <= 60; ++id) {
     w.begin(id, 2900ms);
     w.run_until(w.now + 3ms);
     most = std::max(most, w.c.in_flight(1));
@@ -127,7 +127,8 @@
   w.begin(100, 2900ms);
   w.run_until(w.now + 100ms);
   CHECK(w.done.contains(100) && w.took.at(100) <= 50ms);
-  CHECK(w.done.at(100).parts[1].how == part_is::missing && w.done.at(100).parts[0].how == part_is::fresh);
+  CHECK(w.done.at(100).parts[1].state == sub_response_state::missing &&
+        w.done.at(100).parts[0].state == sub_response_state::fresh);
   w.c.set_share(1, 2);
   w.begin(101, 2900ms);
   w.run_until(w.now + 100ms);
@@ -141,15 +142,15 @@
     world w({four_parts(*rc::gen::inRange(0, 2) == 1)}, four_rules(), seed);
     const int bad = *rc::gen::inRange(0, 100), late = *rc::gen::inRange(0, 50),
               refuses = *rc::gen::inRange(0, 30);
-    w.behave = [&](const start_call&) -> std::pair<duration, call_end> {
+    w.behave = [&](const start_call&) -> std::pair<duration, call_result> {
       const int dice = static_cast<int>(w.random() % 100);
       const duration d = std::chrono::milliseconds(1 + w.random() % 40);
-      if (dice < late) return {5s, call_end::good};
-      if (dice < late + refuses) return {d, call_end::not_now};
-      return {d, static_cast<int>(w.random() % 100) < bad ? call_end::failed : call_end::good};
+      if (dice < late) return {5s, call_result::succeeded};
+      if (dice < late + refuses) return {d, call_result::rejected};
+      return {d, static_cast<int>(w.random() % 100) < bad ? call_result::failed : call_result::succeeded};
     };
-    std::set<gathering_id> left;
-    for (gathering_id id = 1; id <= 150; ++id) {
+    std::set<fan_out_id> left;
+    for (fan_out_id id = 1; id <= 150; ++id) {
       w.begin(id, std::chrono::milliseconds(50 + w.random() % 2900));
       if (w.random() % 20 == 0 && !w.done.contains(id)) {
         w.c.cancel(id, w.now);
@@ -160,7 +161,7 @@
     }
     w.run_until(w.now + 5s);
     RC_ASSERT(w.c.open() == 0u && w.flying.empty());
-    for (gathering_id id = 1; id <= 150; ++id) RC_ASSERT(w.done.contains(id) != left.contains(id));
+    for (fan_out_id id = 1; id <= 150; ++id) RC_ASSERT(w.done.contains(id) != left.contains(id));
     for (std::size_t d = 0; d < 4; ++d) {
       const dependency_counts& n = w.c.counts(d);
       RC_ASSERT(w.c.in_flight(d) == 0u);
@@ -177,11 +178,11 @@
 void one_slows_eightfold() {
   world w({four_parts()}, four_rules(300ms), 7);
   bool slow = false;
-  w.behave = [&](const start_call& s) -> std::pair<duration, call_end> {
+  w.behave = [&](const start_call& s) -> std::pair<duration, call_result> {
     const duration d = std::chrono::milliseconds(30 + w.random() % 40);
-    return {slow && s.dependency == 2 ? d * 8 : d, call_end::good};
+    return {slow && s.dependency == 2 ? d * 8 : d, call_result::succeeded};
   };
-  gathering_id id = 0;
+  fan_out_id id = 0;
   const auto play = [&](int n) {
     for (int i = 0; i < n; ++i) {
       w.begin(++id, 2900ms);
@@ -196,7 +197,8 @@
   int healthy_missing = 0, complete_late = 0;
   for (const auto& [n, f] : w.done) {
     if (n <= 1000) continue;
-    for (const std::size_t part : {0u, 1u, 3u}) healthy_missing += f.parts[part].how != part_is::fresh;
+    for (const std::size_t part : {0u, 1u, 3u})
+      healthy_missing += f.parts[part].state != sub_response_state::fresh;
     complete_late += w.took[n] > 2900ms;
   }
   int calls = 0;
@@ -209,7 +211,7 @@
   slow = false;
   play(3000);
   int fresh = 0;
-  for (gathering_id n = id - 200; n <= id; ++n) fresh += w.done.contains(n) && w.done[n].complete;
+  for (fan_out_id n = id - 200; n <= id; ++n) fresh += w.done.contains(n) && w.done[n].complete;
   w.run_until(w.now + 5s);
   CHECK(fresh > 150);  // it comes back
 }
@@ -228,32 +230,33 @@
   world w({p}, rules, 3);
   std::set<std::size_t> down;
   w.behave = [&](const start_call& s) {
-    return std::pair<duration, call_end>{10ms,
-                                         down.contains(s.dependency) ? call_end::failed : call_end::good};
+    return std::pair<duration, call_result>{
+        10ms, down.contains(s.dependency) ? call_result::failed : call_result::succeeded};
   };
-  gathering_id id = 0;
+  fan_out_id id = 0;
   const auto ask = [&] {
     w.begin(++id, 2s);
     w.run_until(w.now + 3s);
     return w.done.at(id).parts[0];
   };
-  CHECK(ask().how == part_is::fresh && ask().bytes == "part of 0");
+  CHECK(ask().state == sub_response_state::fresh && ask().bytes == "part of 0");
   down = {0};
-  CHECK(ask().how == part_is::stand_in && ask().bytes == "part of 1");
+  CHECK(ask().state == sub_response_state::fallback && ask().bytes == "part of 1");
   down = {0, 1};
-  const part_result stale = ask();
-  CHECK(stale.how == part_is::stale && stale.bytes == "part of 0" && stale.age > 0s && stale.age < 30s);
+  const sub_response stale = ask();
+  CHECK(stale.state == sub_response_state::stale && stale.bytes == "part of 0" && stale.age > 0s &&
+        stale.age < 30s);
   w.run_until(w.now + 31s);
-  CHECK(ask().bytes == "none" && w.done.at(id).complete == false && !w.done.at(id).lacks);
+  CHECK(ask().bytes == "none" && w.done.at(id).complete == false && !w.done.at(id).missing_required);
   // A required part that is missing ends it at once.
   world r({four_parts(true)}, four_rules(), 4);
   r.behave = [&](const start_call& s) {
-    return std::pair<duration, call_end>{s.dependency == 1 ? 5ms : 400ms,
-                                         s.dependency == 1 ? call_end::failed : call_end::good};
+    return std::pair<duration, call_result>{s.dependency == 1 ? 5ms : 400ms,
+                                            s.dependency == 1 ? call_result::failed : call_result::succeeded};
   };
   r.begin(1, 2900ms);
   r.run_until(r.now + 3s);
-  CHECK(r.done.at(1).lacks == 1u && r.took.at(1) < 100ms);
+  CHECK(r.done.at(1).missing_required == 1u && r.took.at(1) < 100ms);
 }
 
 }  // namespace
--- a/tests/idempotency/durable_service_test.cpp
+++ b/tests/idempotency/durable_service_test.cpp
@@ -88,7 +88,7 @@
     o.unix_now = 1000s;
     o.steady_now = steady();
     service = std::make_unique<idempotency::durable_service>(disk, o, counters, [] {});
-    service->report_to(dispatch);
+    service->set_observer(dispatch);
     dispatch.use(*service, 10s);
   }
   request_id submit(const std::string& key) {
--- a/tests/idempotency/memory_service_test.cpp
+++ b/tests/idempotency/memory_service_test.cpp
@@ -37,7 +37,7 @@
                  .largest_result = 4096,
                  .open = 8},
                 counters) {
-    service.report_to(events);
+    service.set_observer(events);
   }
   claim_status arrive(request_id id, const std::string& key, time_point at, std::uint64_t fingerprint = 1) {
     request r;
--- a/tests/idempotency/recorded_folder_test.cpp
+++ b/tests/idempotency/recorded_folder_test.cpp
@@ -121,7 +121,7 @@
   reopened_service(const folder_copy& folder, std::chrono::nanoseconds unix_now)
       : steady_(std::chrono::steady_clock::now().time_since_epoch()),
         service_(files_, options_of(folder, unix_now, steady_), counters_, [] {}) {
-    service_.report_to(observer_);
+    service_.set_observer(observer_);
   }
 
   claim_status claim(const std::string& key, const std::string& request_class, const std::string& tenant,
--- a/tests/net/dispatcher_test.cpp
+++ b/tests/net/dispatcher_test.cpp
@@ -160,7 +160,7 @@
   std::vector<request_id> early, late;
   early.push_back(r.arrive(1));
   r.pass(10ms);
-  r.dispatch.on_drain(3s);
+  r.dispatch.on_shutdown_notice(3s);
   r.pass(600ms);
   for (int i = 0; i < 5; ++i) late.push_back(r.arrive());
   r.pass(2300ms);
--- a/tests/upstream/rules_test.cpp
+++ b/tests/upstream/rules_test.cpp
@@ -162,7 +162,7 @@
   const auto fault = [](const request_plan& p, duration budget = 800ms) {
     try {
       check_plans({p}, four_rules(budget));
-    } catch (const bad_plan& e) {
+    } catch (const plan_error& e) {
       return std::string(e.what());
     }
     return std::string();
@@ -174,19 +174,19 @@
   twice.parts[1].name = "part0";
   CHECK(fault(twice) == "names a part twice: part0");
   request_plan cycle = p;
-  cycle.parts[0].stand_ins = {{kind::dependency, 1, {}, ""}, {kind::dependency, 0, {}, ""}};
+  cycle.parts[0].fallbacks = {{kind::dependency, 1, {}, ""}, {kind::dependency, 0, {}, ""}};
   CHECK(fault(cycle) == "falls back on d0, which it has tried");
   request_plan unknown = p;
   unknown.parts[0].from = 9;
   CHECK(fault(unknown) == "names no dependency");
   request_plan behind = p;
-  behind.parts[0].stand_ins = {{kind::fixed, 0, {}, "x"}, {kind::stale, 0, 1s, ""}};
+  behind.parts[0].fallbacks = {{kind::fixed, 0, {}, "x"}, {kind::stale, 0, 1s, ""}};
   CHECK(fault(behind) == "has a fall-back behind a fixed one, which never fails");
   request_plan none = p;
   none.parts.clear();
   CHECK(fault(none) == "has no part");
   request_plan longer = p;
-  longer.parts[0].stand_ins = {
+  longer.parts[0].fallbacks = {
       {kind::dependency, 1, {}, ""}, {kind::dependency, 2, {}, ""}, {kind::dependency, 3, {}, ""}};
   CHECK(!fault(longer).empty());
 }
