--- a/src/admission_policy/answers.cpp
+++ b/src/admission_policy/answers.cpp
@@ -22,11 +22,12 @@
 void policy::impl::reject_request(request& rejected, rejection why) {
   reject answer{rejected.id, settings_.max_retry_after, false};
   if (!drain_.active()) {
-    const duration advice = std::max(retry_advice(), why.least_retry_after);
+    const duration advice = std::max(retry_advice(), why.min_retry_after);
     answer.retry_after = std::min(settings_.max_retry_after, advice);
-    answer.no_retry_elsewhere = why.no_retry_elsewhere ||
-                                overload_.overloaded_everywhere(slow_here(), load_signal_.wanted_share()) ||
-                                rejected.useful_until <= now_;
+    answer.no_retry_elsewhere =
+        why.no_retry_elsewhere ||
+        overload_.overloaded_everywhere(slow_here(), load_signal_.accepted_fraction()) ||
+        rejected.useful_until <= now_;
   }
   act(answer);
   rejected.answered = true;
@@ -70,7 +71,7 @@
   memory_.release(memory_.request_kb(moved.reserved_kb, was_started(moved.state)));
   if (moved.state == request_state::queued) curves_.dequeued(moved.tenant);
   requests_.move(moved, to);
-  memory_.book(memory_.request_kb(moved.reserved_kb, was_started(to)));
+  memory_.reserve(memory_.request_kb(moved.reserved_kb, was_started(to)));
 }
 
 // In the queue and at a call a request is looked at when its answer is due; on a core also at the end of its
--- a/src/admission_policy/concurrency_limiter.hpp
+++ b/src/admission_policy/concurrency_limiter.hpp
@@ -7,10 +7,10 @@
 namespace admission_policy {
 
 struct load_observation {
-  double cpu_busy = 1;            // share of the cores that is busy, 0 to 1
+  double cpu_busy = 1;            // fraction of the cores, 0 to 1
   double time_per_unit = 0;       // s of core time for a unit of work, now
   double best_time_per_unit = 0;  // s, at the best pace known
-  double speed = 1;               // share of full speed, see slow_start
+  double speed = 1;               // fraction of full speed, see slow_start
 };
 
 class concurrency_limiter {
--- a/src/admission_policy/decisions.cpp
+++ b/src/admission_policy/decisions.cpp
@@ -12,7 +12,7 @@
 
 // Waiting calls are looked at again after this, which is shorter than most round trips.
 constexpr duration waiting_call_interval = 20ms;
-// The gauge that tells the share of the cores that is busy.
+// The gauge of the fraction of the cores that is busy.
 constexpr const char* cpu_busy_gauge = "cpu_busy";
 
 }  // namespace
@@ -57,8 +57,8 @@
   }
 }
 
-// What cannot make its objective is rejected while its caller can still go elsewhere. Where the calls are
-// jammed, all servers share the cause.
+// What cannot make its objective is rejected while its caller can still go elsewhere. Where the dependency is
+// congested, no other server would do better.
 void policy::impl::shed_hopeless_requests() {
   reject_without_run_quota();
   const request_table::index& queue = requests_.queue();
@@ -77,7 +77,7 @@
     if (!forecast.misses_objective(queued, its_class)) continue;
     load_signal_.note_shed();
     const bool needs_call = its_class.weight_without_call <= 0 && calls_.expected_calls(queued) > 0;
-    reject_request(queued, {.no_retry_elsewhere = needs_call && calls_.jammed() && calls_.limited()});
+    reject_request(queued, {.no_retry_elsewhere = needs_call && calls_.congested() && calls_.limited()});
   }
 }
 
@@ -87,7 +87,7 @@
   if (!none) return;
   while (!requests_.queue().empty()) {
     request& first = *requests_.queue().begin()->entry;
-    reject_request(first, {.least_retry_after = quota_.next_quota_in});
+    reject_request(first, {.min_retry_after = quota_.next_quota_in});
   }
 }
 
--- a/src/admission_policy/dependency_call_admission.hpp
+++ b/src/admission_policy/dependency_call_admission.hpp
@@ -1,17 +1,16 @@
 // Decides on the calls of runs to the shared dependency: which may be placed and for how long, which are
-// tried again, and which runs go on without their call or fail.
+// retried, and which runs go on without their call or fail.
 //
-// Calls in flight stay below this server's share of what the dependency survives, at any moment and in the
-// mean over its period. Within that share the mean follows a cap: it grows while calls come back in about the
+// Calls in flight stay below this server's quota of what the dependency survives, at any moment and in the
+// mean over its period. Within that quota the mean follows a cap: it grows while calls come back in about the
 // best time and others wait, and is cut when round trips grow. That guards against a dependency that slows
-// long before it falls, and against servers that spend their share at once and then wait for the period
+// long before it falls, and against servers that spend their quota at once and then wait for the period
 // together. A call that the dependency may still work on after it was abandoned counts as in flight for a
 // while.
 #pragma once
 
 #include <deque>
 #include <set>
-#include <utility>
 #include <vector>
 
 #include "admission_policy/policy.hpp"
@@ -49,7 +48,7 @@
 
   bool may_place(unsigned in_flight) const;
   // How long the call of this run may take, from now, when so many others are in flight: it is given up when
-  // it would use up the share alone, or when the run could not go on in time without it.
+  // it would use up the quota alone, or when the run could not go on in time without it.
   duration time_limit(const waiting_call& call, unsigned in_flight, time_point now) const;
 
   // What is to become of a call that waits. What cannot come in time goes on without the call where that
@@ -66,26 +65,31 @@
   // Mean seconds of the round trips of late; 0 = none seen.
   double round_trip_seconds() const { return round_trip_s_; }
   // Whether round trips are far longer than the best.
-  bool jammed() const;
-  // Whether this server's share of the calls is stated.
+  bool congested() const;
+  // Whether this server's quota of calls is stated.
   bool limited() const { return fair_calls_ > 0; }
 
  private:
+  struct usage_span {
+    time_point end{};
+    double call_seconds = 0;  // calls in flight x seconds
+  };
+
   double occupied(unsigned in_flight) const;
-  double share() const;
+  double call_quota() const;
   double period_budget() const;
   void update_round_trip(const admission_policy::call_ended& ended, time_point now);
 
-  double fair_calls_;  // this server's share of the calls in flight; 0 = not stated
+  double fair_calls_;  // this server's quota of calls in flight; 0 = not stated
   duration period_;
   duration abandoned_duration_;
   duration tick_;
   std::multiset<time_point> abandoned_until_;
-  std::deque<std::pair<time_point, double>> spans_;  // end of a span, calls in flight x seconds in it
-  double used_ = 0;                                  // calls in flight x seconds over the period
-  double cap_;                                       // mean of the calls in flight that is meant
-  double credit_;                                    // calls in flight x seconds that may be used at once
-  double round_trip_s_ = 0;                          // mean of late; 0 = none seen
+  std::deque<usage_span> spans_;  // of the period
+  double used_ = 0;               // calls in flight x seconds over the period
+  double cap_;                    // mean of the calls in flight that is meant
+  double credit_;                 // calls in flight x seconds that may be used at once
+  double round_trip_s_ = 0;       // mean of late; 0 = none seen
   double best_round_trip_s_ = 0;
   unsigned ended_since_cut_ = 0;
   unsigned ended_ = 0;
--- a/src/admission_policy/idle_connection_advisor.hpp
+++ b/src/admission_policy/idle_connection_advisor.hpp
@@ -20,7 +20,7 @@
 
  private:
   std::map<unsigned, time_point> last_seen_;  // by caller
-  double returning_share_ = 1;                // of late arrivals, those whose caller was here shortly before
+  double returning_fraction_ = 1;             // of recent arrivals
   bool keeps_open_ = true;
 };
 
--- a/src/admission_policy/load_shedder.cpp
+++ b/src/admission_policy/load_shedder.cpp
@@ -9,7 +9,7 @@
 namespace admission_policy {
 namespace {
 
-// Times the best time beyond which the trouble is here, and other servers may do better.
+// This server is slow when a unit of work takes more than this many times its best time.
 constexpr double locally_slow_factor = 1.6;
 
 }  // namespace
--- a/src/admission_policy/load_signal.cpp
+++ b/src/admission_policy/load_signal.cpp
@@ -9,20 +9,20 @@
 namespace admission_policy {
 namespace {
 
-// Factor of the wanted share in a window with shedding: what comes in halves in half a second.
-constexpr double share_cut_factor = 0.85;
-// Growth of the wanted share in a window without: back to all in about three seconds.
-constexpr double share_growth = 0.03;
-// Least wanted share: enough comes in to see that the trouble has passed.
-constexpr double least_share = 0.1;
-// Share of the tightest objective; a longer delay before an attempt is read is overload.
-constexpr double late_read_share = 0.25;
-// Times the useful queue that callers may send while nothing is shed, so that none is bound.
+// Multiplies the accepted fraction in a control window with overload.
+constexpr double fraction_cut_factor = 0.85;
+// Added to the accepted fraction in a control window without.
+constexpr double fraction_growth = 0.03;
+// Lower bound of the accepted fraction: some requests come in and show when the overload has passed.
+constexpr double min_fraction = 0.1;
+// An attempt that waits longer than this fraction of the tightest objective to be read is a sign of overload.
+constexpr double late_read_fraction = 0.25;
+// Credit that callers get while nothing is shed, as a multiple of the requests that are useful here.
 constexpr double credit_factor = 4;
-// Share of the tightest objective for which queued work is useful: beyond it the queue only adds waiting.
-constexpr double useful_queue_share = 0.35;
+// Requests are useful in the queue up to this fraction of the tightest objective.
+constexpr double useful_queue_fraction = 0.35;
 // Smaller changes of the value are not advertised.
-constexpr double least_change = 1e-3;
+constexpr double min_change = 1e-3;
 
 }  // namespace
 
@@ -34,25 +34,25 @@
 }
 
 std::optional<advertise> load_signal::evaluate(double limit, double run_seconds, bool draining) {
-  const bool overloaded = shed_in_window_ || longest_read_delay_ > tightest_objective_ * late_read_share;
-  wanted_share_ = overloaded ? std::max(least_share, wanted_share_ * share_cut_factor)
-                             : std::min(1.0, wanted_share_ + share_growth);
+  const bool overloaded = shed_in_window_ || longest_read_delay_ > tightest_objective_ * late_read_fraction;
+  accepted_fraction_ = overloaded ? std::max(min_fraction, accepted_fraction_ * fraction_cut_factor)
+                                  : std::min(1.0, accepted_fraction_ + fraction_growth);
   shed_in_window_ = false;
   longest_read_delay_ = {};
   if (kind_ == signal_kind::none) return std::nullopt;
   const double next = value(limit, run_seconds, draining);
-  if (std::abs(next - advertised_) < least_change) return std::nullopt;
+  if (std::abs(next - advertised_) < min_change) return std::nullopt;
   advertised_ = next;
   return advertise{next};
 }
 
 double load_signal::value(double limit, double run_seconds, bool draining) const {
   if (draining) return kind_ == signal_kind::level ? 1 : 0;
-  if (kind_ == signal_kind::level) return 1 - wanted_share_;
-  if (kind_ != signal_kind::credit) return wanted_share_;
-  const double useful_queue_s = useful_queue_share * to_seconds(tightest_objective_);
+  if (kind_ == signal_kind::level) return 1 - accepted_fraction_;
+  if (kind_ != signal_kind::credit) return accepted_fraction_;
+  const double useful_queue_s = useful_queue_fraction * to_seconds(tightest_objective_);
   const double useful_requests = limit + useful_queue_s * limit / run_seconds;
-  return wanted_share_ * credit_factor * useful_requests / std::max(1u, callers_);
+  return accepted_fraction_ * credit_factor * useful_requests / std::max(1u, callers_);
 }
 
 }  // namespace admission_policy
--- a/src/admission_policy/load_signal.hpp
+++ b/src/admission_policy/load_signal.hpp
@@ -16,8 +16,8 @@
   void note_shed() { shed_in_window_ = true; }
   void note_read_delay(duration delay);
 
-  // Share of the usual traffic that is wanted, 0 to 1.
-  double wanted_share() const { return wanted_share_; }
+  // Fraction of the usual traffic that this server takes, 0 to 1.
+  double accepted_fraction() const { return accepted_fraction_; }
 
   // Once in a control window: the new value where it has changed and callers read one. `limit`: runs at once;
   // `run_seconds`: time of a run.
@@ -29,7 +29,7 @@
   signal_kind kind_;
   unsigned callers_;
   duration tightest_objective_;
-  double wanted_share_ = 1;
+  double accepted_fraction_ = 1;
   double advertised_ = -1;  // none yet
   bool shed_in_window_ = false;
   duration longest_read_delay_{};  // in this window
--- a/src/admission_policy/overload_detector.cpp
+++ b/src/admission_policy/overload_detector.cpp
@@ -8,22 +8,22 @@
 namespace admission_policy {
 namespace {
 
-// Seconds over which reads are averaged: longer than a burst of one caller.
+// Reads are averaged over so many seconds.
 constexpr double read_averaging_s = 2;
-// Where no quotas are stated, wanting less than this share of the traffic means overload.
-constexpr double low_wanted_share = 0.5;
-// Times the quota of this server: more than chance explains.
+// Where no quotas are stated, accepting less than this fraction of the traffic means overload.
+constexpr double low_accepted_fraction = 0.5;
+// Reads beyond this many times the quota of this server mean overload everywhere.
 constexpr double over_quota_factor = 1.1;
-// Reads beyond the quota, as a share of it, from which overload is certain.
+// Excess over the quota, as a fraction of it, from which on every rejected request is told so.
 constexpr double certain_excess = 1.2;
-// Times the quota from which it is the reads themselves that make runs slow.
+// From this many times the quota on, the reads themselves explain that runs are slow.
 constexpr double flood_factor = 2;
-// Times the best time: more than the runs of a full server slow each other.
+// This server is slow when a unit of work takes more than this many times what its runs at once explain.
 constexpr double far_slower_factor = 2.5;
 
 }  // namespace
 
-void overload_detector::pass(duration elapsed) {
+void overload_detector::advance(duration elapsed) {
   reads_per_second_ *= std::exp(-to_seconds(elapsed) / read_averaging_s);
 }
 
@@ -34,8 +34,8 @@
 
 // More is read than this server's quota: then it is everywhere. Where less comes in and is still too much,
 // the trouble is here, as it is where this server is slow although it reads no flood.
-bool overload_detector::overloaded_everywhere(bool slow_here, double wanted_share) {
-  if (total_quota_ <= 0) return !slow_here && wanted_share < low_wanted_share;
+bool overload_detector::overloaded_everywhere(bool slow_here, double accepted_fraction) {
+  if (total_quota_ <= 0) return !slow_here && accepted_fraction < low_accepted_fraction;
   if (slow_here && reads_per_second_ < flood_factor * total_quota_) return false;
   if (!retries_marked_) return reads_per_second_ > over_quota_factor * total_quota_;
   // Marked retries past their objective end by themselves, and a walk costs less. On a small server a few
--- a/src/admission_policy/policy.cpp
+++ b/src/admission_policy/policy.cpp
@@ -76,7 +76,7 @@
     gap = std::max(0ns, timer_at_ - accounted_);
     watchdog_.skip(now - accounted_ - gap);
   }
-  overload_.pass(gap);
+  overload_.advance(gap);
   const double running = static_cast<double>(requests_.running().size());
   const double runs_per_core = std::max(1.0, running / settings_.cores);
   for (const auto& run : requests_.running()) {
@@ -126,7 +126,7 @@
   added.finish_tag = tags.finish;
   added.spaced = tags.spaced;
   curves_.enqueued(added.tenant);
-  memory_.book(memory_.request_kb(added.reserved_kb, false));
+  memory_.reserve(memory_.request_kb(added.reserved_kb, false));
   request& queued = requests_.enqueue(added);
   set_deadline(queued);
   return queued;
@@ -148,7 +148,7 @@
   const rate_decision rate =
       rate_quotas_.take(queued.tenant, queued.request_class, quota_.next_quota_in, now_);
   if (!rate.admitted) {
-    reject_request(queued, {.least_retry_after = rate.retry_after});
+    reject_request(queued, {.min_retry_after = rate.retry_after});
     return;
   }
   const bool shareable_read = settings_.result_freshness > 0ns && attempt.key != 0 && !attempt.write;
@@ -168,7 +168,7 @@
   const time_point until = queued.arrived + life + safety_ticks * settings_.tick;
   act(retain_key{queued.id, until - now_});
   keys_.retain(queued.id, until);
-  memory_.book_key();
+  memory_.reserve_key();
 }
 
 void policy::impl::on(const completion& ended) {
@@ -216,7 +216,7 @@
   }
 }
 
-// A call that may have had its effect is tried again only where it is safe.
+// A call that may have had an effect is repeated only where the class is safe.
 void policy::impl::retry_call(request& failed, outcome result) {
   const bool never_ran = result == outcome::full || result == outcome::connect_failed;
   if (!never_ran && class_of(failed).effect != request_effect::safe) {
--- a/src/admission_policy/policy_impl.hpp
+++ b/src/admission_policy/policy_impl.hpp
@@ -34,7 +34,7 @@
 // What the caller of a rejected request is told beyond the usual.
 struct rejection {
   bool no_retry_elsewhere = false;
-  duration least_retry_after{};
+  duration min_retry_after{};
 };
 
 class policy::impl {
--- a/src/admission_policy/progress_watchdog.hpp
+++ b/src/admission_policy/progress_watchdog.hpp
@@ -13,7 +13,7 @@
 
 class progress_watchdog {
  public:
-  explicit progress_watchdog(duration tightest_objective) : patience_(tightest_objective) {}
+  explicit progress_watchdog(duration tightest_objective) : max_time_without_progress_(tightest_objective) {}
 
   // A run ended well, or the first one went to empty cores.
   void note_progress(time_point now);
@@ -31,7 +31,7 @@
   std::optional<health> evaluate(bool cores_empty, bool draining, time_point now);
 
  private:
-  duration patience_;
+  duration max_time_without_progress_;
   time_point last_progress_{};
   double missed_run_ends_ = 0;  // runs that should have ended since then
   health reported_ = health::good;
--- a/src/admission_policy/rate_quota_buckets.cpp
+++ b/src/admission_policy/rate_quota_buckets.cpp
@@ -7,7 +7,7 @@
 namespace admission_policy {
 namespace {
 
-// Seconds of a rate that may be used at once: arrivals are not evenly spaced.
+// So many seconds of a rate may be used at once, as arrivals are not evenly spaced.
 constexpr double burst_s = 0.1;
 
 double burst_of(const rate_quota& quota) {
--- a/src/admission_policy/request_table.cpp
+++ b/src/admission_policy/request_table.cpp
@@ -6,7 +6,7 @@
 
 request& request_table::enqueue(const request& added) {
   request& kept = requests_.emplace(added.id, added).first->second;
-  enter(kept);
+  add_to_index(kept);
   return kept;
 }
 
@@ -16,9 +16,9 @@
 }
 
 void request_table::move(request& moved, request_state to) {
-  leave(moved);
+  remove_from_index(moved);
   moved.state = to;
-  enter(moved);
+  add_to_index(moved);
 }
 
 void request_table::remove(request& removed) {
@@ -51,7 +51,7 @@
   return deadlines_.begin()->entry;
 }
 
-void request_table::leave(request& leaving) {
+void request_table::remove_from_index(request& leaving) {
   switch (leaving.state) {
     case request_state::queued: queue_.erase({leaving.finish_tag, leaving.id, &leaving}); break;
     case request_state::running: running_.erase({leaving.running_since, leaving.id, &leaving}); break;
@@ -64,7 +64,7 @@
   }
 }
 
-void request_table::enter(request& entering) {
+void request_table::add_to_index(request& entering) {
   switch (entering.state) {
     case request_state::queued: queue_.insert({entering.finish_tag, entering.id, &entering}); break;
     case request_state::running: running_.insert({entering.running_since, entering.id, &entering}); break;
--- a/src/admission_policy/request_table.hpp
+++ b/src/admission_policy/request_table.hpp
@@ -103,8 +103,8 @@
   request* next_due(time_point now);
 
  private:
-  void leave(request& leaving);
-  void enter(request& entering);
+  void remove_from_index(request& leaving);
+  void add_to_index(request& entering);
 
   std::map<request_id, request> requests_;
   index queue_;
--- a/src/admission_policy/service_time_estimator.cpp
+++ b/src/admission_policy/service_time_estimator.cpp
@@ -8,16 +8,16 @@
 namespace admission_policy {
 namespace {
 
-// Seconds of full cores over which evidence decays.
-constexpr double evidence_s = 1;
-// Runs at the best pace that are added while work is not stated. A long run may as well be a large one then:
-// they keep runs begun late and stopped early from making an overloaded server look ever slower.
+// Seconds of fully busy cores in which the weight of evidence falls to 1/e.
+constexpr double evidence_decay_s = 1;
+// Runs at the best time that are added to those seen while no expected work is stated. A long run may be a
+// large request then: without them, runs that are stopped early would make the estimate grow without end.
 constexpr double prior_runs = 3;
-// Least share of its work that a run which takes longer than estimated is taken to have left.
-constexpr double least_remaining_share = 0.3;
-// Runs a core at full speed from which on the best time is taken as known.
+// A run that takes longer than estimated is taken to have at least this fraction of its work left.
+constexpr double min_remaining_fraction = 0.3;
+// Until so many runs a core have ended at full speed, the best time follows the present one.
 constexpr double learning_runs_per_core = 5;
-// Factor a control window by which the best time is forgotten, more slowly than troubles last.
+// Multiplies the best time in each control window, so that a best time that no longer holds is forgotten.
 constexpr double best_time_growth = 1.001;
 
 }  // namespace
@@ -40,9 +40,9 @@
 }
 
 void service_time_estimator::add_core_time(double seconds) {
-  const double kept_share = std::exp(-seconds / (evidence_s * cores_));
-  core_seconds_ = core_seconds_ * kept_share + seconds;
-  units_done_ *= kept_share;
+  const double kept_fraction = std::exp(-seconds / (evidence_decay_s * cores_));
+  core_seconds_ = core_seconds_ * kept_fraction + seconds;
+  units_done_ *= kept_fraction;
 }
 
 void service_time_estimator::run_ended(double work, double speed) {
@@ -55,8 +55,8 @@
   double done = units_done_;
   for (const auto& running : requests.running()) {
     const double work = running.entry->work;
-    const double elapsed_share = to_seconds(now - running.time) / (work * ended_only);
-    done += work * elapsed_share / (1 + elapsed_share);
+    const double elapsed_fraction = to_seconds(now - running.time) / (work * ended_only);
+    done += work * elapsed_fraction / (1 + elapsed_fraction);
   }
   const double prior = work_is_stated_ ? 0 : prior_runs;
   return (core_seconds_ + prior * best_s_) / (done + prior);
@@ -69,7 +69,7 @@
 
 double remaining_seconds(const request& run, time_point until, double time_per_unit) {
   const double whole = run.work * time_per_unit;
-  return std::max(whole - to_seconds(until - run.running_since), least_remaining_share * whole);
+  return std::max(whole - to_seconds(until - run.running_since), min_remaining_fraction * whole);
 }
 
 }  // namespace admission_policy
--- a/src/admission_policy/service_time_estimator.hpp
+++ b/src/admission_policy/service_time_estimator.hpp
@@ -14,7 +14,7 @@
 
 class service_time_estimator {
  public:
-  // `speed` is the share of full speed that the server has, here and below.
+  // `speed` is the fraction of full speed that the server has, here and below.
   service_time_estimator(unsigned cores, double speed);
 
   // Units of work of a request that states this expected work (0 = none). The first one that does changes the
--- a/src/admission_policy/slow_start.cpp
+++ b/src/admission_policy/slow_start.cpp
@@ -7,15 +7,15 @@
 namespace admission_policy {
 
 slow_start::slow_start(const settings& given, time_point started)
-    : cold_(given.cold_start),
+    : cold_start_(given.cold_start),
       initial_speed_(given.cold_start_capacity),
       warm_after_(given.slow_start_duration),
       started_(started) {}
 
 double slow_start::speed(time_point now) const {
-  if (!cold_ || warm_after_ <= duration::zero()) return 1;
-  const double elapsed_share = std::min(1.0, to_seconds(now - started_) / to_seconds(warm_after_));
-  return std::min(1.0, initial_speed_ + (1 - initial_speed_) * elapsed_share);
+  if (!cold_start_ || warm_after_ <= duration::zero()) return 1;
+  const double elapsed_fraction = std::min(1.0, to_seconds(now - started_) / to_seconds(warm_after_));
+  return std::min(1.0, initial_speed_ + (1 - initial_speed_) * elapsed_fraction);
 }
 
 }  // namespace admission_policy
--- a/src/admission_policy/slow_start.hpp
+++ b/src/admission_policy/slow_start.hpp
@@ -9,12 +9,12 @@
  public:
   slow_start(const settings& given, time_point started);
 
-  // Share of full speed, above 0 and at most 1, that the server has reached for sure.
+  // Fraction of full speed, at most 1, that the server has reached at least.
   double speed(time_point now) const;
 
  private:
-  bool cold_;
-  double initial_speed_;  // share of full speed
+  bool cold_start_;
+  double initial_speed_;  // fraction of full speed
   duration warm_after_;
   time_point started_;
 };
--- a/src/admission_policy/unlinked_duplicate_detector.cpp
+++ b/src/admission_policy/unlinked_duplicate_detector.cpp
@@ -8,22 +8,23 @@
 namespace admission_policy {
 namespace {
 
-// Share of the objective before which no caller gives an attempt up to send another.
-constexpr double least_wait_share = 0.5;
+// A caller waits at least this fraction of the objective before it sends another attempt.
+constexpr double min_wait_fraction = 0.5;
 
 }  // namespace
 
 bool unlinked_duplicate_detector::check(const arrival& attempt, const class_settings& its_class,
                                         time_point arrived, bool retries_marked, time_point now) {
-  const duration least_wait = from_seconds(to_seconds(objective_of(its_class)) * least_wait_share);
-  while (!late_reads_.empty() && late_reads_.front().read + its_class.idempotency_window < now)
-    late_reads_.pop_front();
-  const bool found = std::any_of(late_reads_.begin(), late_reads_.end(), [&](const late_read& earlier) {
-    const bool same_origin = attempt.retry || (!retries_marked && earlier.caller == attempt.caller);
-    const time_point reached = earlier.read - earlier.read_delay;
-    return same_origin && earlier.read >= arrived && reached + least_wait <= arrived;
-  });
-  if (attempt.read_delay >= least_wait) late_reads_.push_back({now, attempt.read_delay, attempt.caller});
+  const duration min_wait = from_seconds(to_seconds(objective_of(its_class)) * min_wait_fraction);
+  while (!delayed_attempts_.empty() && delayed_attempts_.front().read + its_class.idempotency_window < now)
+    delayed_attempts_.pop_front();
+  const bool found =
+      std::any_of(delayed_attempts_.begin(), delayed_attempts_.end(), [&](const delayed_attempt& earlier) {
+        const bool same_origin = attempt.retry || (!retries_marked && earlier.caller == attempt.caller);
+        const time_point reached = earlier.read - earlier.read_delay;
+        return same_origin && earlier.read >= arrived && reached + min_wait <= arrived;
+      });
+  if (attempt.read_delay >= min_wait) delayed_attempts_.push_back({now, attempt.read_delay, attempt.caller});
   return found && attempt.duplicate_of == 0;
 }
 
--- a/src/admission_policy/unlinked_duplicate_detector.hpp
+++ b/src/admission_policy/unlinked_duplicate_detector.hpp
@@ -18,13 +18,13 @@
              time_point now);
 
  private:
-  struct late_read {
+  struct delayed_attempt {
     time_point read{};
     duration read_delay{};
     unsigned caller = 0;
   };
 
-  std::deque<late_read> late_reads_;  // by time of read
+  std::deque<delayed_attempt> delayed_attempts_;  // by time of read
 };
 
 }  // namespace admission_policy
--- a/tests/admission_policy/dependency_call_admission_test.cpp
+++ b/tests/admission_policy/dependency_call_admission_test.cpp
@@ -54,9 +54,9 @@
 TEST(DependencyCallAdmission, IsJammedWhenRoundTripsGrowFarBeyondTheBest) {
   dependency_call_admission calls(with_fair_calls(10));
   for (int i = 0; i < 10; ++i) calls.call_ended(succeeded(10ms), false, 10ms * i);
-  EXPECT_FALSE(calls.jammed());
+  EXPECT_FALSE(calls.congested());
   for (int i = 0; i < 10; ++i) calls.call_ended(succeeded(100ms), false, 1s + 10ms * i);
-  EXPECT_TRUE(calls.jammed());
+  EXPECT_TRUE(calls.congested());
 }
 
 TEST(DependencyCallAdmission, TakesAboutTwoSecondsOfTheCapAsDebt) {
--- a/tests/admission_policy/load_signal_test.cpp
+++ b/tests/admission_policy/load_signal_test.cpp
@@ -34,10 +34,10 @@
   load_signal signal = signal_of(signal_kind::none);
   signal.note_read_delay(250ms);
   signal.evaluate(limit, run_seconds, !draining);
-  EXPECT_EQ(signal.wanted_share(), 1);
+  EXPECT_EQ(signal.accepted_fraction(), 1);
   signal.note_read_delay(251ms);
   signal.evaluate(limit, run_seconds, !draining);
-  EXPECT_DOUBLE_EQ(signal.wanted_share(), 0.85);
+  EXPECT_DOUBLE_EQ(signal.accepted_fraction(), 0.85);
 }
 
 TEST(LoadSignal, NeverAsksForLessThanItsLeastShare) {
@@ -46,7 +46,7 @@
     signal.note_shed();
     signal.evaluate(limit, run_seconds, !draining);
   }
-  EXPECT_DOUBLE_EQ(signal.wanted_share(), 0.1);
+  EXPECT_DOUBLE_EQ(signal.accepted_fraction(), 0.1);
 }
 
 TEST(LoadSignal, DividesTheUsefulRequestsAmongCallersAsCredit) {
--- a/tests/admission_policy/memory_guard_test.cpp
+++ b/tests/admission_policy/memory_guard_test.cpp
@@ -18,17 +18,17 @@
 
 TEST(MemoryGuard, StartsRunsUpToThreeQuartersOfTheMemory) {
   memory_guard memory = guard_of(1000);
-  memory.book(450);
+  memory.reserve(450);
   EXPECT_TRUE(memory.fits_as_run(100));  // three times 100 KB come on top
-  memory.book(1);
+  memory.reserve(1);
   EXPECT_FALSE(memory.fits_as_run(100));
 }
 
 TEST(MemoryGuard, IsExceededAboveItsShareAndNotAfterRelease) {
   memory_guard memory = guard_of(1000);
-  memory.book(850);
+  memory.reserve(850);
   EXPECT_FALSE(memory.exceeded());
-  memory.book_key();
+  memory.reserve_key();
   EXPECT_TRUE(memory.exceeded());
   memory.release_key();
   EXPECT_FALSE(memory.exceeded());
@@ -42,7 +42,7 @@
 
 TEST(MemoryGuard, LimitsNothingWhereNoMemoryIsStated) {
   memory_guard memory = guard_of(0);
-  memory.book(1e9);
+  memory.reserve(1e9);
   EXPECT_TRUE(memory.fits_as_run(1e9));
   EXPECT_TRUE(memory.fits_another_key(1000000));
   EXPECT_FALSE(memory.exceeded());
--- a/tests/admission_policy/overload_detector_test.cpp
+++ b/tests/admission_policy/overload_detector_test.cpp
@@ -27,7 +27,7 @@
   EXPECT_FALSE(detector.overloaded_everywhere(!slow, all_traffic));
   read(detector, 1);
   EXPECT_TRUE(detector.overloaded_everywhere(!slow, all_traffic));
-  detector.pass(10s);
+  detector.advance(10s);
   EXPECT_FALSE(detector.overloaded_everywhere(!slow, all_traffic));
 }
 
