--- a/src/policy_settings/settings_reader.cpp
+++ b/src/policy_settings/settings_reader.cpp
@@ -31,12 +31,12 @@
   }
   duration time(const std::string& key, duration absent = {}) const {
     const double value = number(key, static_cast<double>(absent.count()));
-    if (value < 0 || value > 9e17) throw std::invalid_argument(key + " is no usable time");
+    if (value < 0 || value > most_nanoseconds) throw std::invalid_argument(key + " is no usable time");
     return duration{static_cast<std::int64_t>(value)};
   }
   unsigned count(const std::string& key, unsigned absent) const {
     const double value = number(key, absent);
-    if (value < 0 || value > 1e6) throw std::invalid_argument(key + " is no usable count");
+    if (value < 0 || value > most_count) throw std::invalid_argument(key + " is no usable count");
     return static_cast<unsigned>(value);
   }
   bool flag(const std::string& key, bool absent) const {
@@ -66,10 +66,13 @@
   }
 
  private:
+  static constexpr double most_nanoseconds = 9e17;  // some 28 years, well within the range of a duration
+  static constexpr double most_count = 1e6;
+
   const setting_paths& values_;
 };
 
-// One of a few words; the first is meant where the key is absent.
+// The meaning of one of the words that the key may have; that of the first where it is absent.
 template <typename T>
 T pick(const environment_reader& env, const std::string& key,
        std::initializer_list<std::pair<std::string_view, T>> words) {
@@ -81,6 +84,7 @@
   throw std::invalid_argument(key + " is none of its words: " + std::string(value));
 }
 
+// A list with one value for each class, or none where the key is absent.
 std::vector<std::string> class_list(const environment_reader& env, const std::string& key,
                                     std::size_t classes) {
   auto items = env.list(key);
@@ -90,72 +94,99 @@
   return items;
 }
 
+class_settings read_class(const environment_reader& env, const std::string& prefix) {
+  class_settings read;
+  read.name = env.text(prefix + "Name");
+  read.latency_objective = env.time(prefix + "Objective");
+  read.deadline = env.time(prefix + "Deadline");
+  read.objective_stretch = env.amount(prefix + "AimStretch", 0);
+  read.priority_weight = env.amount(prefix + "Credit", 1);
+  read.late_weight = env.number(prefix + "LateValue", 0);
+  read.effect = pick<request_effect>(
+      env, prefix + "Effect",
+      {{"safe", request_effect::safe}, {"keyed", request_effect::keyed}, {"unsafe", request_effect::unsafe}});
+  read.idempotency_window = env.time(prefix + "Window");
+  return read;
+}
+
+std::vector<class_settings> read_classes(const environment_reader& env) {
+  std::vector<class_settings> read;
+  const unsigned count = env.count("Classes.count", 0);
+  const auto calls = class_list(env, "Extra.ClassCalls", count);
+  const auto weights = class_list(env, "Extra.WorthWithout", count);
+  for (unsigned i = 0; i < count; ++i) {
+    class_settings one = read_class(env, "Classes." + std::to_string(i) + ".");
+    one.calls_dependency = !calls.empty() && calls[i] == "true";
+    if (!weights.empty())
+      one.weight_without_call = environment_reader::to_number("Extra.WorthWithout", weights[i]);
+    read.push_back(std::move(one));
+  }
+  return read;
+}
+
+std::vector<tenant_settings> read_tenants(const environment_reader& env) {
+  std::vector<tenant_settings> read;
+  const unsigned count = env.count("Tenants.count", 0);
+  for (unsigned i = 0; i < count; ++i) {
+    const std::string prefix = "Tenants." + std::to_string(i) + ".";
+    read.push_back({std::string(env.text(prefix + "Name")), env.amount(prefix + "QuotaPerS", 0)});
+  }
+  return read;
+}
+
+void read_capacity(const environment_reader& env, settings& into) {
+  into.servers = env.count("GroupSize", 1);
+  into.callers = env.count("Extra.Upstreams", 1);
+  into.cores = env.count("Extra.NCores", 0);
+  into.cold_start = env.flag("Extra.Cold", false);
+  into.cold_start_capacity = env.amount("Safety.StartCapacity", 1);
+  into.slow_start_duration = env.time("Safety.Cold");
+  into.concurrency_ceiling_per_core = env.amount("Safety.OverloadFactor", 0);
+  into.concurrency_ceiling_period = env.time("Safety.Fall");
+  into.memory_kb = env.amount("Extra.RamKb", 0);
+  into.running_memory_factor = env.amount("Extra.RunFactor", 1);
+  into.idempotency_key_kb = env.amount("Extra.KbPerKey", 0);
+  into.fair_concurrent_calls = env.amount("Extra.FairCalls", 0);
+  into.calls_period = env.time("Extra.CallsOver");
+  into.abandoned_call_duration = env.time("Extra.Lingers");
+}
+
+void read_answers(const environment_reader& env, settings& into) {
+  into.result_freshness = env.time("Extra.Fresh");
+  into.answer_slack = env.time("Safety.AnswerSlack");
+  into.drain_grace = env.time("Safety.DrainGrace");
+  into.load_signal_ttl = env.time("Extra.Heeded");
+  into.max_retry_after = env.time("Bounds.MaxRetryAfter");
+  into.retry_after = env.flag("Bounds.RetryAfter", false);
+}
+
+void read_host(const environment_reader& env, settings& into) {
+  into.tick = env.time("Tick");
+  into.halt = pick<halt_mode>(env, "Extra.Halt",
+                              {{"silent", halt_mode::none},
+                               {"none", halt_mode::none},
+                               {"drop", halt_mode::drop},
+                               {"pause", halt_mode::pause}});
+  into.signal = pick<signal_kind>(env, "Extra.Say",
+                                  {{"silent", signal_kind::none},
+                                   {"none", signal_kind::none},
+                                   {"level", signal_kind::level},
+                                   {"credit", signal_kind::credit},
+                                   {"weight", signal_kind::weight}});
+  into.gauges = env.list("Extra.Gauges");
+}
+
 }  // namespace
 
 settings settings_from(const setting_paths& paths) {
   const environment_reader env(paths);
-  settings s;
-  const unsigned classes = env.count("Classes.count", 0);
-  const auto calls = class_list(env, "Extra.ClassCalls", classes);
-  const auto without = class_list(env, "Extra.WorthWithout", classes);
-  for (unsigned i = 0; i < classes; ++i) {
-    const std::string at = "Classes." + std::to_string(i) + ".";
-    class_settings c;
-    c.name = env.text(at + "Name");
-    c.latency_objective = env.time(at + "Objective");
-    c.deadline = env.time(at + "Deadline");
-    c.objective_stretch = env.amount(at + "AimStretch", 0);
-    c.priority_weight = env.amount(at + "Credit", 1);
-    c.late_weight = env.number(at + "LateValue", 0);
-    c.effect = pick<request_effect>(env, at + "Effect",
-                                    {{"safe", request_effect::safe},
-                                     {"keyed", request_effect::keyed},
-                                     {"unsafe", request_effect::unsafe}});
-    c.idempotency_window = env.time(at + "Window");
-    c.calls_dependency = !calls.empty() && calls[i] == "true";
-    c.weight_without_call =
-        without.empty() ? 0 : environment_reader::to_number("Extra.WorthWithout", without[i]);
-    s.classes.push_back(std::move(c));
-  }
-  const unsigned tenants = env.count("Tenants.count", 0);
-  for (unsigned i = 0; i < tenants; ++i) {
-    const std::string at = "Tenants." + std::to_string(i) + ".";
-    s.tenants.push_back({std::string(env.text(at + "Name")), env.amount(at + "QuotaPerS", 0)});
-  }
-  s.servers = env.count("GroupSize", 1);
-  s.callers = env.count("Extra.Upstreams", 1);
-  s.cores = env.count("Extra.NCores", 0);
-  s.cold_start = env.flag("Extra.Cold", false);
-  s.cold_start_capacity = env.amount("Safety.StartCapacity", 1);
-  s.slow_start_duration = env.time("Safety.Cold");
-  s.concurrency_ceiling_per_core = env.amount("Safety.OverloadFactor", 0);
-  s.concurrency_ceiling_period = env.time("Safety.Fall");
-  s.memory_kb = env.amount("Extra.RamKb", 0);
-  s.running_memory_factor = env.amount("Extra.RunFactor", 1);
-  s.idempotency_key_kb = env.amount("Extra.KbPerKey", 0);
-  s.fair_concurrent_calls = env.amount("Extra.FairCalls", 0);
-  s.calls_period = env.time("Extra.CallsOver");
-  s.abandoned_call_duration = env.time("Extra.Lingers");
-  s.result_freshness = env.time("Extra.Fresh");
-  s.answer_slack = env.time("Safety.AnswerSlack");
-  s.drain_grace = env.time("Safety.DrainGrace");
-  s.load_signal_ttl = env.time("Extra.Heeded");
-  s.max_retry_after = env.time("Bounds.MaxRetryAfter");
-  s.retry_after = env.flag("Bounds.RetryAfter", false);
-  s.tick = env.time("Tick");
-  s.halt = pick<halt_mode>(env, "Extra.Halt",
-                           {{"silent", halt_mode::none},
-                            {"none", halt_mode::none},
-                            {"drop", halt_mode::drop},
-                            {"pause", halt_mode::pause}});
-  s.signal = pick<signal_kind>(env, "Extra.Say",
-                               {{"silent", signal_kind::none},
-                                {"none", signal_kind::none},
-                                {"level", signal_kind::level},
-                                {"credit", signal_kind::credit},
-                                {"weight", signal_kind::weight}});
-  s.gauges = env.list("Extra.Gauges");
-  return s;
+  settings read;
+  read.classes = read_classes(env);
+  read.tenants = read_tenants(env);
+  read_capacity(env, read);
+  read_answers(env, read);
+  read_host(env, read);
+  return read;
 }
 
 }  // namespace admission_policy
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -15,32 +15,19 @@
 
 using namespace admission_policy;
 
+// All instances of one simulation, by their numbers on the wire.
 class host {
  public:
   // Answers one batch; the reply has no header yet.
   std::string answer(time_point now, const std::vector<wire::record>& records) {
     std::string reply;
-    for (const wire::record& r : records) {
-      instance& i = instances_[r.instance];
-      if (const auto* o = std::get_if<wire::opened>(&r.content)) {
-        open(reply, r.instance, i, *o, now);
-      } else if (std::holds_alternative<wire::crashed>(r.content)) {
-        i = instance{};
-      } else if (const auto* u = std::get_if<wire::unknown>(&r.content)) {
-        if (reported_.insert(u->code).second) std::cerr << "unknown event code " << u->code << " skipped\n";
-      } else if (!i.faulty) {
-        if (!i.decider) {
-          throw wire::bad_frame("event for instance " + std::to_string(r.instance) + ", which is not open");
-        }
-        i.pending.push_back(std::get<event>(r.content));
-        touched_.insert(r.instance);
-      }
-    }
+    for (const wire::record& record : records) take(reply, record, now);
     for (const wire::instance_id id : touched_) {
-      instance& i = instances_[id];
-      if (!i.decider) continue;
-      for (const action& a : i.decider->handle(now, i.pending)) wire::encode(reply, id, a);
-      i.pending.clear();
+      instance& touched = instances_[id];
+      if (!touched.decider) continue;
+      for (const action& decided : touched.decider->handle(now, touched.pending))
+        wire::encode(reply, id, decided);
+      touched.pending.clear();
     }
     touched_.clear();
     return reply;
@@ -48,25 +35,46 @@
 
  private:
   struct instance {
-    std::unique_ptr<policy> decider;
-    std::vector<event> pending;
-    bool faulty = false;
+    std::unique_ptr<policy> decider;  // null until the instance is opened
+    std::vector<event> pending;       // of the present batch
+    bool faulty = false;              // its settings could not be used: its events are dropped
   };
 
-  void open(std::string& reply, wire::instance_id id, instance& i, const wire::opened& o, time_point now) {
-    i = instance{};
+  void take(std::string& reply, const wire::record& record, time_point now) {
+    instance& addressed = instances_[record.instance];
+    if (const auto* opened = std::get_if<wire::opened>(&record.content)) {
+      open(reply, record.instance, addressed, *opened, now);
+    } else if (std::holds_alternative<wire::crashed>(record.content)) {
+      addressed = instance{};
+    } else if (const auto* unknown = std::get_if<wire::unknown>(&record.content)) {
+      const bool first = reported_.insert(unknown->code).second;
+      if (first) std::cerr << "unknown event code " << unknown->code << " skipped\n";
+    } else if (!addressed.faulty) {
+      if (!addressed.decider) {
+        throw wire::bad_frame("event for instance " + std::to_string(record.instance) +
+                              ", which is not open");
+      }
+      addressed.pending.push_back(std::get<event>(record.content));
+      touched_.insert(record.instance);
+    }
+  }
+
+  void open(std::string& reply, wire::instance_id id, instance& opening, const wire::opened& request,
+            time_point now) {
+    opening = instance{};
     try {
-      i.decider = std::make_unique<policy>(wire::parse_settings(o.environment), o.seed, now);
+      opening.decider =
+          std::make_unique<policy>(wire::parse_settings(request.environment), request.seed, now);
       touched_.insert(id);
-    } catch (const std::invalid_argument& e) {
-      i.faulty = true;
-      wire::encode_fault(reply, id, e.what());
+    } catch (const std::invalid_argument& error) {
+      opening.faulty = true;
+      wire::encode_fault(reply, id, error.what());
     }
   }
 
   std::map<wire::instance_id, instance> instances_;
   std::set<wire::instance_id> touched_;
-  std::set<unsigned> reported_;
+  std::set<unsigned> reported_;  // unknown codes, each reported once
 };
 
 // Reads up to `size` bytes, less only at the end of input. Memory grows with what arrives, not with what a
@@ -86,7 +94,7 @@
 }
 
 void serve() {
-  host h;
+  host simulated;
   while (true) {
     const std::string head = read_bytes(wire::batch_header_size);
     if (head.empty()) return;
@@ -96,7 +104,7 @@
       throw wire::bad_frame("batch cut short: " + std::to_string(body.size()) + " of " +
                             std::to_string(size) + " bytes");
     }
-    const std::string reply = h.answer(now, wire::decode_batch(body));
+    const std::string reply = simulated.answer(now, wire::decode_batch(body));
     const std::string header = wire::reply_header(reply.size());
     std::fwrite(header.data(), 1, header.size(), stdout);
     std::fwrite(reply.data(), 1, reply.size(), stdout);
