--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -68,13 +68,13 @@
   }
 
   std::string_view take_bytes(std::size_t count) {
-    if (count > bytes_.size() - at_) {
+    if (count > bytes_.size() - position_) {
       throw bad_frame(what_ + " at byte " + std::to_string(offset_) + ": " + std::to_string(count) +
-                      " bytes wanted at position " + std::to_string(at_) + ", " +
-                      std::to_string(bytes_.size() - at_) + " left");
+                      " bytes wanted at position " + std::to_string(position_) + ", " +
+                      std::to_string(bytes_.size() - position_) + " left");
     }
-    const std::string_view taken = bytes_.substr(at_, count);
-    at_ += count;
+    const std::string_view taken = bytes_.substr(position_, count);
+    position_ += count;
     return taken;
   }
 
@@ -100,80 +100,84 @@
   [[noreturn]] void fail(const std::string& why) const {
     throw bad_frame(what_ + " at byte " + std::to_string(offset_) + ": " + why);
   }
-  bool at_end() const { return at_ == bytes_.size(); }
-  std::size_t position() const { return at_; }
+  bool at_end() const { return position_ == bytes_.size(); }
+  std::size_t position() const { return position_; }
 
  private:
   std::string_view bytes_;
   std::size_t offset_;
   std::string what_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
 };
 
 event read_arrival(reader& in) {
-  arrival a;
-  a.id = in.take<std::uint32_t>();
-  a.duplicate_of = in.take<std::uint32_t>();
-  a.key = in.take<std::uint64_t>();
-  a.reserved_kb = in.take_number();
-  a.client_timeout = in.take_duration();
-  a.expected_work = in.take_duration();
-  a.read_delay = in.take_duration();
-  a.tenant = in.take<std::uint16_t>();
+  arrival read;
+  read.id = in.take<std::uint32_t>();
+  read.duplicate_of = in.take<std::uint32_t>();
+  read.key = in.take<std::uint64_t>();
+  read.reserved_kb = in.take_number();
+  read.client_timeout = in.take_duration();
+  read.expected_work = in.take_duration();
+  read.read_delay = in.take_duration();
+  read.tenant = in.take<std::uint16_t>();
   const auto flags = in.take<std::uint8_t>();
-  a.request_class = in.take<std::uint16_t>();
-  a.rank = in.take_number();
-  a.caller = in.take<std::uint16_t>();
-  if ((flags & hint_flag) == 0) a.expected_work = duration{};
-  a.retry = (flags & retry_flag) != 0;
-  a.write = (flags & write_flag) != 0;
-  return a;
+  read.request_class = in.take<std::uint16_t>();
+  read.rank = in.take_number();
+  read.caller = in.take<std::uint16_t>();
+  if ((flags & hint_flag) == 0) read.expected_work = duration{};
+  read.retry = (flags & retry_flag) != 0;
+  read.write = (flags & write_flag) != 0;
+  return read;
+}
+
+opened read_opened(reader& in) {
+  opened read;
+  read.seed = in.take<std::uint64_t>();
+  read.environment = in.take_bytes(in.take<std::uint32_t>());
+  return read;
+}
+
+event read_call_ended(reader& in) {
+  call_ended read;
+  read.id = in.take<std::uint32_t>();
+  read.elapsed = in.take_duration();
+  read.result = in.take_outcome();
+  return read;
+}
+
+event read_timer_fired(reader& in) {
+  timer_fired read;
+  in.take<std::uint64_t>();  // its name: the policy sets only one kind of timer
+  const auto count = in.take<std::uint8_t>();
+  for (unsigned i = 0; i < count; ++i) read.gauges.push_back(in.take_number());
+  return read;
+}
+
+event read_completion(reader& in) {
+  completion read;
+  read.id = in.take<std::uint32_t>();
+  read.result = in.take_outcome();
+  read.elapsed = in.take_duration();
+  return read;
 }
 
 record read_record(std::uint8_t code, reader& in) {
-  record r;
-  r.instance = in.take<std::uint16_t>();
-  in.name(" for instance " + std::to_string(r.instance));
+  record read;
+  read.instance = in.take<std::uint16_t>();
+  in.name(" for instance " + std::to_string(read.instance));
   switch (static_cast<event_code>(code)) {
-    case event_code::call: r.content = read_arrival(in); break;
-    case event_code::open_instance: {
-      opened o;
-      o.seed = in.take<std::uint64_t>();
-      o.environment = in.take_bytes(in.take<std::uint32_t>());
-      r.content = std::move(o);
-      break;
-    }
-    case event_code::hangup: r.content = event{client_cancelled{in.take<std::uint32_t>()}}; break;
-    case event_code::blocked: r.content = event{call_needed{in.take<std::uint32_t>()}}; break;
-    case event_code::notice: r.content = event{shutdown_notice{in.take_duration()}}; break;
-    case event_code::returned: {
-      call_ended c;
-      c.id = in.take<std::uint32_t>();
-      c.elapsed = in.take_duration();
-      c.result = in.take_outcome();
-      r.content = event{c};
-      break;
-    }
-    case event_code::alarm: {
-      timer_fired t;
-      in.take<std::uint64_t>();  // its name: the module sets only one kind of timer
-      const auto count = in.take<std::uint8_t>();
-      for (unsigned i = 0; i < count; ++i) t.gauges.push_back(in.take_number());
-      r.content = event{std::move(t)};
-      break;
-    }
-    case event_code::crash_now: r.content = crashed{}; break;
-    case event_code::result: {
-      completion c;
-      c.id = in.take<std::uint32_t>();
-      c.result = in.take_outcome();
-      c.elapsed = in.take_duration();
-      r.content = event{c};
-      break;
-    }
-    default: r.content = unknown{code};
+    case event_code::call: read.content = read_arrival(in); break;
+    case event_code::open_instance: read.content = read_opened(in); break;
+    case event_code::hangup: read.content = event{client_cancelled{in.take<std::uint32_t>()}}; break;
+    case event_code::blocked: read.content = event{call_needed{in.take<std::uint32_t>()}}; break;
+    case event_code::notice: read.content = event{shutdown_notice{in.take_duration()}}; break;
+    case event_code::returned: read.content = read_call_ended(in); break;
+    case event_code::alarm: read.content = read_timer_fired(in); break;
+    case event_code::crash_now: read.content = crashed{}; break;
+    case event_code::result: read.content = read_completion(in); break;
+    default: read.content = unknown{code};
   }
-  return r;
+  return read;
 }
 
 template <typename T>
@@ -201,65 +205,77 @@
     put<std::uint32_t>(out, size + 2);
     put<std::uint16_t>(out, instance);
   }
-  void about(action_code code, instance_id i, request_id id, std::uint32_t more = 0) {
-    begin(code, i, 4 + more);
+  void about(action_code code, instance_id instance, request_id id, std::uint32_t more = 0) {
+    begin(code, instance, 4 + more);
     put<std::uint32_t>(out, id);
   }
-  void text(action_code code, instance_id i, std::string_view body) {
+  void text(action_code code, instance_id instance, std::string_view body) {
     body = body.substr(0, std::numeric_limits<std::uint16_t>::max());
-    begin(code, i, static_cast<std::uint32_t>(2 + body.size()));
+    begin(code, instance, static_cast<std::uint32_t>(2 + body.size()));
     put<std::uint16_t>(out, static_cast<std::uint16_t>(body.size()));
     out.append(body);
   }
 
-  void write(instance_id i, const start& a) { about(action_code::start, i, a.id); }
-  void write(instance_id i, const stop_run& a) { about(action_code::interrupt, i, a.id); }
-  void write(instance_id i, const reject& a) {
-    about(action_code::refuse, i, a.id, 9);
-    put<std::uint64_t>(out, raw_time(a.retry_after));
-    put<std::uint8_t>(out, a.no_retry_elsewhere ? 1 : 0);
+  void write(instance_id instance, const start& written) { about(action_code::start, instance, written.id); }
+  void write(instance_id instance, const stop_run& written) {
+    about(action_code::interrupt, instance, written.id);
+  }
+  void write(instance_id instance, const reject& written) {
+    about(action_code::refuse, instance, written.id, 9);
+    put<std::uint64_t>(out, raw_time(written.retry_after));
+    put<std::uint8_t>(out, written.no_retry_elsewhere ? 1 : 0);
+  }
+  void write(instance_id instance, const admission_policy::fail& written) {
+    about(action_code::give_up, instance, written.id);
+  }
+  void write(instance_id instance, const place_call& written) {
+    about(action_code::go_call, instance, written.id, 8);
+    put<std::uint64_t>(out, raw_time(written.limit));
   }
-  void write(instance_id i, const admission_policy::fail& a) { about(action_code::give_up, i, a.id); }
-  void write(instance_id i, const place_call& a) {
-    about(action_code::go_call, i, a.id, 8);
-    put<std::uint64_t>(out, raw_time(a.limit));
+  void write(instance_id instance, const skip_call& written) {
+    about(action_code::fall_back, instance, written.id);
   }
-  void write(instance_id i, const skip_call& a) { about(action_code::fall_back, i, a.id); }
-  void write(instance_id i, const retain_key& a) {
-    about(action_code::retain, i, a.id, 8);
-    put<std::uint64_t>(out, raw_time(a.ttl));
+  void write(instance_id instance, const retain_key& written) {
+    about(action_code::retain, instance, written.id, 8);
+    put<std::uint64_t>(out, raw_time(written.ttl));
   }
-  void write(instance_id i, const forget_key& a) { about(action_code::erase, i, a.id); }
-  void write(instance_id i, const share_result& a) { about(action_code::share, i, a.id); }
-  void write(instance_id i, const set_health& a) {
-    begin(action_code::status, i, 2);
-    put<std::uint8_t>(out, a.good ? 1 : 0);
-    put<std::uint8_t>(out, a.from_store ? 1 : 0);
+  void write(instance_id instance, const forget_key& written) {
+    about(action_code::erase, instance, written.id);
   }
-  void write(instance_id i, const advertise& a) {
-    begin(action_code::say, i, 4);
-    put<float>(out, static_cast<float>(a.value));
+  void write(instance_id instance, const share_result& written) {
+    about(action_code::share, instance, written.id);
   }
-  void write(instance_id i, const close_idle& a) {
-    begin(action_code::idle_limit, i, 8);
-    put<std::uint64_t>(out, raw_time(a.after));
+  void write(instance_id instance, const set_health& written) {
+    begin(action_code::status, instance, 2);
+    put<std::uint8_t>(out, written.good ? 1 : 0);
+    put<std::uint8_t>(out, written.from_store ? 1 : 0);
   }
-  void write(instance_id i, const set_timer& a) {
-    begin(action_code::notify_me, i, 16);
+  void write(instance_id instance, const advertise& written) {
+    begin(action_code::say, instance, 4);
+    put<float>(out, static_cast<float>(written.value));
+  }
+  void write(instance_id instance, const close_idle& written) {
+    begin(action_code::idle_limit, instance, 8);
+    put<std::uint64_t>(out, raw_time(written.after));
+  }
+  void write(instance_id instance, const set_timer& written) {
+    begin(action_code::notify_me, instance, 16);
     put<std::uint64_t>(out, 0);
-    put<std::uint64_t>(out, raw_time(a.after));
+    put<std::uint64_t>(out, raw_time(written.after));
+  }
+  void write(instance_id instance, const log_line& written) {
+    text(action_code::debug, instance, written.text);
   }
-  void write(instance_id i, const log_line& a) { text(action_code::debug, i, a.text); }
 };
 
 }  // namespace
 
 batch_header decode_header(std::string_view bytes) {
   reader in(bytes, 0, "batch header");
-  batch_header h;
-  h.size = in.take<std::uint32_t>();
-  h.now = in.take_duration();
-  return h;
+  batch_header header;
+  header.size = in.take<std::uint32_t>();
+  header.now = in.take_duration();
+  return header;
 }
 
 std::vector<record> decode_batch(std::string_view body) {
@@ -276,7 +292,7 @@
 }
 
 void encode(std::string& reply, instance_id instance, const action& what) {
-  std::visit([&](const auto& a) { action_writer{reply}.write(instance, a); }, what);
+  std::visit([&](const auto& written) { action_writer{reply}.write(instance, written); }, what);
 }
 
 void encode_fault(std::string& reply, instance_id instance, std::string_view text) {
