--- a/src/middleware/gathering_plan.cpp
+++ b/src/middleware/gathering_plan.cpp
@@ -55,6 +55,7 @@
 
 std::vector<upstream::dependency_rules> rules_of(const std::vector<source>& sources) {
   std::vector<upstream::dependency_rules> rules;
+  rules.reserve(sources.size());
   for (const source& each : sources) rules.push_back(rules_of_source(each));
   return rules;
 }
