--- a/src/fan_out/client.cpp
+++ b/src/fan_out/client.cpp
@@ -7,6 +7,7 @@
 #include <utility>
 
 #include "fan_out/response_assembly.hpp"
+#include "upstream/response_deadline.hpp"
 #include "uwsgi/packet.hpp"
 
 namespace marblewharf::fan_out {
@@ -29,15 +30,6 @@
   return by_class;
 }
 
-// When the sub-responses of a request are wanted at the latest: the plan's reserve is left for the answer to
-// reach the client within the class's objective.
-time_point assembly_deadline(const request& what, const admission_policy::class_settings& request_class,
-                             const upstream::request_plan& plan) {
-  const bool has_objective = request_class.latency_objective.count() > 0;
-  return what.arrived + (has_objective ? request_class.latency_objective : request_class.deadline) -
-         plan.reserve;
-}
-
 struct interpreted_response {
   call_end end = call_end::failed;
   duration retry_after{};  // of a rejection
@@ -91,9 +83,9 @@
   if (found == runs_.end()) return;
   const run_state& run = found->second;
   const time_point now = net::steady_now();
-  const time_point assembly = assembly_deadline(run.what, config_.settings.classes[run.what.request_class],
-                                                state_machine_.plan_at(run.plan));
-  begin_fan_out(id, std::min(now + limit, std::max(now, assembly)));
+  const time_point wanted_by = upstream::response_deadline(
+      run.what, config_.settings.classes[run.what.request_class], state_machine_.plan_at(run.plan).reserve);
+  begin_fan_out(id, std::min(now + limit, std::max(now, wanted_by)));
 }
 
 // The request goes on without calls: its deadline is now, so that only fallbacks without a call are used.
--- a/src/fan_out/state_machine.cpp
+++ b/src/fan_out/state_machine.cpp
@@ -6,7 +6,7 @@
 namespace marblewharf::fan_out {
 
 state_machine::state_machine(std::vector<upstream::request_plan> plans,
-                             std::vector<upstream::dependency_rules> rules, std::size_t cache_bytes,
+                             const std::vector<upstream::dependency_rules>& rules, std::size_t cache_bytes,
                              std::uint64_t seed)
     : plans_(std::move(plans)), cache_(cache_bytes), random_(seed) {
   check_plans(plans_, rules);
--- a/src/fan_out/state_machine.hpp
+++ b/src/fan_out/state_machine.hpp
@@ -47,8 +47,9 @@
 class state_machine {
  public:
   // Throws upstream::bad_plan for plans that check_plans() does not take. `cache_bytes`: of stale responses.
-  state_machine(std::vector<upstream::request_plan> plans, std::vector<upstream::dependency_rules> rules,
-                std::size_t cache_bytes, std::uint64_t seed);
+  state_machine(std::vector<upstream::request_plan> plans,
+                const std::vector<upstream::dependency_rules>& rules, std::size_t cache_bytes,
+                std::uint64_t seed);
 
   // `which`: the plan. `subject`: what the request is about; stale responses are of the same subject. `by`:
   // the deadline, at which `finished` is wanted at the latest.
--- a/src/transaction/coordinator.hpp
+++ b/src/transaction/coordinator.hpp
@@ -12,13 +12,13 @@
 // Owned by the event loop's thread; the disk has a thread of its own.
 #pragma once
 
-#include <compare>
 #include <cstdint>
 #include <functional>
 #include <memory>
 #include <optional>
 #include <set>
 #include <string>
+#include <tuple>
 #include <unordered_map>
 #include <vector>
 
@@ -74,7 +74,7 @@
   struct timer {
     time_point due{};
     transaction_id id;
-    auto operator<=>(const timer&) const = default;
+    bool operator<(const timer& other) const { return std::tie(due, id) < std::tie(other.due, other.id); }
   };
 
   // Taking the log's folder.
@@ -87,7 +87,6 @@
   std::optional<duration> reject_for(const write_plan& plan, const request& what);
   std::shared_ptr<open_transaction> begin(request_id id, const request& what);
   transaction_id next_id() const;
-  time_point decision_deadline(const write_plan& plan, const request& what) const;
   const write_plan* plan_of(const request& what) const;
   std::string key_of(const request& what) const;
   void inquire_result(request_id id, const std::string& key, const outcome_id& outcome);
--- a/src/transaction/coordinator_intake.cpp
+++ b/src/transaction/coordinator_intake.cpp
@@ -5,6 +5,7 @@
 
 #include "transaction/admission.hpp"
 #include "transaction/coordinator.hpp"
+#include "upstream/response_deadline.hpp"
 
 namespace marblewharf::transaction {
 
@@ -63,20 +64,13 @@
   return text;
 }
 
-// The reserve is left for the answer to reach the client within the class's objective.
-time_point coordinator::decision_deadline(const write_plan& plan, const request& what) const {
-  const auto& request_class = config_.settings.classes[what.request_class];
-  const bool has_objective = request_class.latency_objective.count() > 0;
-  return what.arrived + (has_objective ? request_class.latency_objective : request_class.deadline) -
-         plan.reserve;
-}
-
 std::shared_ptr<open_transaction> coordinator::begin(request_id id, const request& what) {
   auto transaction = make_transaction(config_, next_id(), what.request_class, what.payload, key_of(what));
   last_number_ = std::max(last_number_, transaction->number);
   transaction->client = id;
   participants_.choose_endpoints(*transaction);
-  transaction->decide_by = decision_deadline(*transaction->plan, what);
+  transaction->decide_by = upstream::response_deadline(what, config_.settings.classes[what.request_class],
+                                                       transaction->plan->reserve);
   transaction->reserved_bytes = disk_space_of_transaction(what.payload.size(), config_.bounds.write_buffer);
   reserved_bytes_ += transaction->reserved_bytes;
   update_fan_out_share(*transaction);
--- a/src/transaction/log_folder.cpp
+++ b/src/transaction/log_folder.cpp
@@ -28,6 +28,7 @@
                     std::int64_t now) {
   const std::vector<store::batch> batches = legacy.migrate(now, tables.salt());
   std::vector<const store::batch*> rows;
+  rows.reserve(batches.size());
   for (const store::batch& batch : batches) rows.push_back(&batch);
   const store::batch* migrated = rows.back();
   rows.pop_back();
--- a/tests/peers/uwsgi_server.hpp
+++ b/tests/peers/uwsgi_server.hpp
@@ -1,5 +1,5 @@
-// A stand-in for whatever speaks uwsgi behind the node: one thread, any number of connections, and for each
-// request what a function of the test's says: when, and how well or badly, it is answered.
+// A fake uwsgi server behind the node: one thread, any number of connections. A function of the test says for
+// each request when, and how well or badly, it is answered.
 #pragma once
 
 #include <atomic>
@@ -43,7 +43,7 @@
   using script = std::function<reaction(const uwsgi_request&)>;
 
   explicit uwsgi_server(script s) : script_(std::move(s)) {
-    CHECK(::fcntl(door_.fd(), F_SETFL, O_NONBLOCK) == 0);
+    CHECK(::fcntl(listener_.fd(), F_SETFL, O_NONBLOCK) == 0);
     thread_ = std::thread([this] { serve(); });
   }
   ~uwsgi_server() {
@@ -51,8 +51,8 @@
     thread_.join();
     for (auto& [fd, c] : open_) ::close(fd);
   }
-  int port() const { return door_.port; }
-  std::string address() const { return harness::own_host() + ":" + std::to_string(door_.port); }
+  int port() const { return listener_.port; }
+  std::string address() const { return harness::own_host() + ":" + std::to_string(listener_.port); }
 
   // From any thread.
   std::atomic<int> requests = 0, most_open = 0, hung_up = 0;  // hung_up: by the node, before the answer
@@ -63,11 +63,11 @@
 
  private:
   using clock = std::chrono::steady_clock;
-  struct talk {
+  struct connection_state {
     std::string in;
     std::optional<reaction> answer;
     clock::time_point due{};
-    bool done = false;
+    bool answered = false;
   };
 
   static std::size_t le16(const std::string& s, std::size_t at) {
@@ -95,16 +95,16 @@
 
   void serve() {
     while (!over_) {
-      std::vector<pollfd> all = {{door_.fd(), POLLIN, 0}};
+      std::vector<pollfd> all = {{listener_.fd(), POLLIN, 0}};
       int wait = 20;
       for (const auto& [fd, t] : open_) {
         all.push_back({fd, POLLIN, 0});
-        if (t.answer && !t.done)
+        if (t.answer && !t.answered)
           wait = std::clamp<int>(static_cast<int>((t.due - clock::now()) / 1ms), 0, wait);
       }
       ::poll(all.data(), all.size(), wait);
       if (all[0].revents != 0) {
-        for (int fd; (fd = ::accept4(door_.fd(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK)) >= 0;)
+        for (int fd; (fd = ::accept4(listener_.fd(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK)) >= 0;)
           open_[fd];
         most_open = std::max<int>(most_open, static_cast<int>(open_.size()));
       }
@@ -113,18 +113,18 @@
       }
       std::vector<int> due;
       for (const auto& [fd, t] : open_) {
-        if (t.answer && !t.done && t.due <= clock::now()) due.push_back(fd);
+        if (t.answer && !t.answered && t.due <= clock::now()) due.push_back(fd);
       }
       for (const int fd : due) answer(fd);
     }
   }
   void read(int fd) {
-    talk& t = open_[fd];
+    connection_state& t = open_[fd];
     char chunk[8192];
     const ssize_t n = ::recv(fd, chunk, sizeof chunk, 0);
     if (n < 0 && errno == EAGAIN) return;
     if (n <= 0) {
-      if (t.answer && !t.done) ++hung_up;
+      if (t.answer && !t.answered) ++hung_up;
       ::close(fd);
       open_.erase(fd);
       return;
@@ -139,10 +139,10 @@
     }
   }
   void answer(int fd) {
-    talk& t = open_[fd];
+    connection_state& t = open_[fd];
     const std::string good = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(t.answer->body.size()) +
                              "\r\n\r\n" + t.answer->body;
-    t.done = true;
+    t.answered = true;
     bool close = true;
     switch (t.answer->how) {
       case manner::whole: put(fd, good); break;
@@ -153,7 +153,7 @@
       case manner::half: put(fd, good.substr(0, good.size() / 2)); break;
       case manner::hang:
         put(fd, good.substr(0, 1));
-        t.done = false;
+        t.answered = false;
         t.due = clock::now() + 1h;
         close = false;
         break;
@@ -168,10 +168,10 @@
     [[maybe_unused]] const ssize_t n = ::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
   }
 
-  harness::listener door_;
+  harness::listener listener_;
   std::mutex guard_;
   script script_;
-  std::map<int, talk> open_;
+  std::map<int, connection_state> open_;
   std::atomic<bool> over_ = false;
   std::thread thread_;
 };
