--- a/src/cluster/quota_client.cpp
+++ b/src/cluster/quota_client.cpp
@@ -1,9 +1,8 @@
 #include "cluster/quota_client.hpp"
 
-#include <time.h>
-
 #include <algorithm>
 #include <cmath>
+#include <ctime>
 #include <sstream>
 
 #include "cluster/member_addresses.hpp"
--- a/src/failover/zone_view.cpp
+++ b/src/failover/zone_view.cpp
@@ -54,7 +54,7 @@
   const auto votes = votes_.find(zone);
   if (votes == votes_.end()) return epoch;
   for (const auto& [voter, record] : votes->second)
-    if (stands(record, now) && record.latest.out == out) epoch = std::max(epoch, record.latest.epoch);
+    if (is_standing(record, now) && record.latest.out == out) epoch = std::max(epoch, record.latest.epoch);
   return epoch;
 }
 
@@ -79,7 +79,7 @@
       observed == zone_observation::healthy && now - healthy_since_[zone] >= options_.hold_down;
   const bool out = wants_out || (current.out && !wants_in);
   const std::uint64_t epoch = wants_out || wants_in ? target_epoch(now, zone, out) : current.epoch;
-  const std::optional<vote> own_vote = update_own_vote(now, vote{self_, zone, epoch, out, 0});
+  std::optional<vote> own_vote = update_own_vote(now, vote{self_, zone, epoch, out, 0});
   if (own_vote) count_votes(now, zone);
   return own_vote;
 }
@@ -90,7 +90,7 @@
   vote_record& record = votes_[intended.zone][self_];
   const bool changed = record.latest.epoch != intended.epoch;
   const bool withdrawal = intended.epoch == 0;
-  const bool withdrawal_still_sent = record.latest.round > 0 && stands(record, now);
+  const bool withdrawal_still_sent = record.latest.round > 0 && is_standing(record, now);
   if (withdrawal && !changed && !withdrawal_still_sent) return std::nullopt;
   if (changed || now - record.received >= options_.vote_lease / renewals_per_lease) {
     if (!withdrawal || changed) record.received = now;
@@ -163,22 +163,24 @@
   std::map<std::uint64_t, votes_by_zone> standing;  // by epoch, then by the voters' zone
   for (const auto& [voter, record] : votes_[zone]) {
     const std::string& voters_zone = zone_of_.at(voter);
-    if (record.latest.epoch > decided_epoch && stands(record, now) && in_contact(voters_zone, now))
+    if (record.latest.epoch > decided_epoch && is_standing(record, now) && in_contact(voters_zone, now))
       ++standing[record.latest.epoch][voters_zone];
   }
   const std::size_t other_zones = zones_.size() - 1;
   const auto has_majority = [this](const auto& zone_votes) {
     return 2 * zone_votes.second > configured_members_.at(zone_votes.first);
   };
-  // The highest epoch with a quorum: votes for e + 2 mean that their voters saw e + 1 decided.
-  for (auto candidate = standing.rbegin(); candidate != standing.rend(); ++candidate) {
-    const auto& [epoch, zone_votes] = *candidate;
+  const auto has_quorum = [&](const auto& epoch_votes) {
+    const votes_by_zone& zone_votes = epoch_votes.second;
     const auto agreeing = std::count_if(zone_votes.begin(), zone_votes.end(), has_majority);
-    if (2 * static_cast<std::size_t>(agreeing) <= other_zones) continue;
-    decisions_[zone] = zone_decision{epoch, is_out_epoch(epoch), now};
-    return true;
-  }
-  return false;
+    return 2 * static_cast<std::size_t>(agreeing) > other_zones;
+  };
+  // The highest epoch with a quorum: votes for e + 2 mean that their voters saw e + 1 decided.
+  const auto highest = std::find_if(standing.rbegin(), standing.rend(), has_quorum);
+  if (highest == standing.rend()) return false;
+  const std::uint64_t epoch = highest->first;
+  decisions_[zone] = zone_decision{epoch, is_out_epoch(epoch), now};
+  return true;
 }
 
 }  // namespace marblewharf::failover
--- a/src/failover/zone_view.hpp
+++ b/src/failover/zone_view.hpp
@@ -97,7 +97,7 @@
   std::optional<vote> update_own_vote(time_point now, const vote& intended);
   bool in_contact(const std::string& zone, time_point now) const;
   bool quorum_in_contact(const std::string& observed_zone, time_point now) const;
-  bool stands(const vote_record& record, time_point now) const {
+  bool is_standing(const vote_record& record, time_point now) const {
     return now - record.received < options_.vote_lease;
   }
   std::uint64_t target_epoch(time_point now, const std::string& zone, bool out) const;
--- a/src/membership/dissemination.cpp
+++ b/src/membership/dissemination.cpp
@@ -31,13 +31,13 @@
   return addresses;
 }
 
-std::vector<std::string> dissemination::take_in_turn(const std::map<std::string, member_update>& members,
-                                                     std::size_t limit) {
+std::vector<std::string> dissemination::take_round_robin(const std::map<std::string, member_update>& members,
+                                                         std::size_t limit) {
   std::vector<std::string> addresses;
-  auto next = members.upper_bound(last_in_turn_);
+  auto next = members.upper_bound(last_round_robin_);
   for (std::size_t i = 0; i < limit && i < members.size(); ++i) {
     if (next == members.end()) next = members.begin();
-    last_in_turn_ = next->first;
+    last_round_robin_ = next->first;
     addresses.push_back(next->first);
     ++next;
   }
--- a/src/membership/dissemination.hpp
+++ b/src/membership/dissemination.hpp
@@ -30,13 +30,13 @@
   // The next `limit` members of the table in turn, each once at the most. A change is sent a bounded number
   // of times, so a member that missed all copies (it joined just then, or they were lost) would otherwise
   // never learn of it.
-  std::vector<std::string> take_in_turn(const std::map<std::string, member_update>& members,
-                                        std::size_t limit);
+  std::vector<std::string> take_round_robin(const std::map<std::string, member_update>& members,
+                                            std::size_t limit);
 
  private:
   unsigned retransmit_multiplier_;
   std::map<std::string, unsigned> transmissions_left_;
-  std::string last_in_turn_;
+  std::string last_round_robin_;
 };
 
 }  // namespace marblewharf::membership
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -146,7 +146,7 @@
       outgoing.gossip.push_back(found->second);
     }
   }
-  for (const std::string& address : dissemination_.take_in_turn(members_, options_.refresh_per_message))
+  for (const std::string& address : dissemination_.take_round_robin(members_, options_.refresh_per_message))
     if (address != to) outgoing.gossip.push_back(members_.at(address));
 }
 
@@ -265,8 +265,8 @@
 }
 
 // Suspects the target of a probe that went unanswered. Lifeguard: a helper that sent nothing at all hints at
-// trouble of this member itself; where all helpers tried in vain the trouble is the target's. Without helpers
-// nothing tells the two apart.
+// trouble of this member itself; where all helpers got no answer either the trouble is the target's. Without
+// helpers nothing tells the two apart.
 void swim::finish_probe(time_point now) {
   const probe finished = std::exchange(probe_, probe{});
   if (!finished.is_unanswered()) return;
--- a/src/membership/swim.hpp
+++ b/src/membership/swim.hpp
@@ -87,7 +87,7 @@
     std::uint64_t sequence = 0;
     time_point sent{};
     unsigned helpers = 0;
-    unsigned nacks = 0;  // helpers that tried in vain
+    unsigned nacks = 0;  // helpers that got no answer either
     bool is_unanswered() const { return state == probe_state::direct || state == probe_state::indirect; }
   };
 
--- a/src/scheduler/headroom_meter.cpp
+++ b/src/scheduler/headroom_meter.cpp
@@ -4,13 +4,21 @@
 
 namespace marblewharf::scheduler {
 
+namespace {
+
+constexpr double no_headroom = 0;
+constexpr double full_headroom = 1;
+
+}  // namespace
+
 double headroom_meter::look(std::chrono::nanoseconds now, std::optional<double> cores_busy,
                             std::size_t waiting) {
-  if (waiting > 0) waited_ = now;
-  if (waited_ && now - *waited_ < rules_.calm) return 0;
-  if (!cores_busy) return 1;
-  if (rules_.busy <= rules_.quiet) return *cores_busy < rules_.busy ? 1 : 0;
-  return std::clamp((rules_.busy - *cores_busy) / (rules_.busy - rules_.quiet), 0.0, 1.0);
+  if (waiting > 0) last_waiting_ = now;
+  if (last_waiting_ && now - *last_waiting_ < options_.calm) return no_headroom;
+  if (!cores_busy) return full_headroom;
+  const double span = options_.busy - options_.quiet;
+  if (span <= 0) return *cores_busy < options_.busy ? full_headroom : no_headroom;
+  return std::clamp((options_.busy - *cores_busy) / span, no_headroom, full_headroom);
 }
 
 }  // namespace marblewharf::scheduler
--- a/src/scheduler/pool.cpp
+++ b/src/scheduler/pool.cpp
@@ -2,10 +2,11 @@
 
 #include <sys/resource.h>
 #include <sys/syscall.h>
-#include <time.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <condition_variable>
+#include <ctime>
 #include <deque>
 #include <exception>
 #include <mutex>
@@ -15,131 +16,159 @@
 
 namespace {
 
-constexpr duration patience = std::chrono::milliseconds(300);  // for slices at the pool's end
+// How long the destructor waits for slices that run.
+constexpr duration stop_timeout = std::chrono::milliseconds(300);
 
-duration processor_time() {
-  timespec t{};
-  ::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &t);
-  return std::chrono::seconds(t.tv_sec) + std::chrono::nanoseconds(t.tv_nsec);
+constexpr int lowest_priority = 19;
+
+duration thread_cpu_time() {
+  timespec used{};
+  ::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &used);
+  return std::chrono::seconds(used.tv_sec) + std::chrono::nanoseconds(used.tv_nsec);
+}
+
+// Requests come first, whatever a slice does. Where the system refuses, the budgets still limit the slices.
+void lower_thread_priority() {
+  ::setpriority(PRIO_PROCESS, static_cast<id_t>(::syscall(SYS_gettid)), lowest_priority);
+}
+
+struct queued_slice {
+  job_id job = 0;
+  std::shared_ptr<work> task;
+};
+
+struct ended_slice {
+  job_id job = 0;
+  slice_result result;
+  duration cpu{};
+};
+
+ended_slice run_slice(const queued_slice& queued, const std::atomic<bool>& stopping) {
+  ended_slice ended{queued.job, {}, {}};
+  const duration before = thread_cpu_time();
+  try {
+    ended.result = (*queued.task)(stopping);
+  } catch (const std::exception& fault) {
+    ended.result = {slice_end::failed, 0, 0, fault.what()};
+  }
+  ended.cpu = thread_cpu_time() - before;
+  return ended;
 }
 
 }  // namespace
 
-struct pool::shared {
-  struct task {
-    job_id job = 0;
-    std::shared_ptr<work> what;
-  };
-  struct ended {
-    job_id job = 0;
-    slice_result result;
-    duration cpu{};
-  };
-  std::mutex guard;
-  std::condition_variable asked, gone;
-  std::deque<task> queue;    // under guard
-  std::vector<ended> done;   // under guard
-  std::vector<bool> ended_;  // under guard: threads
-  std::atomic<bool> leaving = false;
-  std::function<void()> notify;  // not called once leaving
+struct pool::shared_state {
+  std::mutex mutex;
+  std::condition_variable work_available;  // or stopping
+  std::condition_variable worker_exited;
+  // Guarded by `mutex`.
+  std::deque<queued_slice> queue;
+  std::vector<ended_slice> ended;
+  std::vector<bool> exited;  // by worker
+
+  std::atomic<bool> stopping = false;
+  std::function<void()> notify;  // not called once stopping
 };
 
-pool::pool(options o, std::function<void()> notify,
-           std::function<void(const std::string&, const std::string&)> note, time_point now)
-    : scheduler_(o, now), note_(std::move(note)), shared_(std::make_shared<shared>()) {
-  shared_->notify = std::move(notify);
-  shared_->ended_.assign(o.workers, false);
-  for (std::size_t i = 0; i < o.workers; ++i) threads_.emplace_back([s = shared_, i] { serve(s, i); });
+pool::pool(options settings, std::function<void()> notify, note_handler note, time_point now)
+    : scheduler_(settings, now), note_(std::move(note)), state_(std::make_shared<shared_state>()) {
+  state_->notify = std::move(notify);
+  state_->exited.assign(settings.workers, false);
+  for (std::size_t worker = 0; worker < settings.workers; ++worker)
+    threads_.emplace_back([state = state_, worker] { run_worker(state, worker); });
 }
 
 pool::~pool() {
-  std::unique_lock lock(shared_->guard);
-  shared_->leaving = true;
-  shared_->queue.clear();
-  shared_->asked.notify_all();
-  const auto all_gone = [this] {
-    for (const bool e : shared_->ended_)
-      if (!e) return false;
-    return true;
+  std::unique_lock lock(state_->mutex);
+  state_->stopping = true;
+  state_->queue.clear();
+  state_->work_available.notify_all();
+  const auto all_exited = [this] {
+    return std::all_of(state_->exited.begin(), state_->exited.end(), [](bool exited) { return exited; });
   };
-  shared_->gone.wait_for(lock, patience, all_gone);
-  const std::vector<bool> ended = shared_->ended_;
+  state_->worker_exited.wait_for(lock, stop_timeout, all_exited);
+  const std::vector<bool> exited = state_->exited;
   lock.unlock();
-  for (std::size_t i = 0; i < threads_.size(); ++i) {
-    if (ended[i]) {
-      threads_[i].join();
+  for (std::size_t worker = 0; worker < threads_.size(); ++worker) {
+    if (exited[worker]) {
+      threads_[worker].join();
     } else {
-      threads_[i].detach();  // its slice does not return: a process that cannot end would be worse
+      threads_[worker].detach();  // its slice does not return: a process that cannot end would be worse
     }
   }
 }
 
-void pool::serve(const std::shared_ptr<shared>& s, std::size_t which) {
-  // Requests first, whatever a slice does. Where the system refuses, the budgets still bound it.
-  constexpr int lowest = 19;
-  ::setpriority(PRIO_PROCESS, static_cast<id_t>(::syscall(SYS_gettid)), lowest);
-  std::unique_lock lock(s->guard);
+void pool::run_worker(const std::shared_ptr<shared_state>& state, std::size_t worker) {
+  lower_thread_priority();
+  std::unique_lock lock(state->mutex);
   while (true) {
-    s->asked.wait(lock, [&] { return s->leaving || !s->queue.empty(); });
-    if (s->leaving) break;
-    const shared::task t = std::move(s->queue.front());
-    s->queue.pop_front();
+    state->work_available.wait(lock, [&] { return state->stopping || !state->queue.empty(); });
+    if (state->stopping) break;
+    const queued_slice queued = std::move(state->queue.front());
+    state->queue.pop_front();
     lock.unlock();
-    shared::ended e{t.job, {}, {}};
-    const duration before = processor_time();
-    try {
-      e.result = (*t.what)(s->leaving);
-    } catch (const std::exception& x) {
-      e.result = {slice_end::failed, 0, 0, x.what()};
-    }
-    e.cpu = processor_time() - before;
+    ended_slice ended = run_slice(queued, state->stopping);
     lock.lock();
-    s->done.push_back(std::move(e));
-    if (!s->leaving) s->notify();
+    state->ended.push_back(std::move(ended));
+    if (!state->stopping) state->notify();
   }
-  s->ended_[which] = true;
-  s->gone.notify_all();
+  state->exited[worker] = true;
+  state->worker_exited.notify_all();
 }
 
-job_id pool::add(job_rules rules, work w, time_point from) {
+job_id pool::add(job_rules rules, work task, time_point first_due) {
   const std::string name = rules.name;
-  const job_id id = scheduler_.add(std::move(rules), from);
-  jobs_[id] = {name, std::make_shared<work>(std::move(w))};
+  const job_id id = scheduler_.add(std::move(rules), first_due);
+  jobs_[id] = {name, std::make_shared<work>(std::move(task))};
   return id;
 }
 
 void pool::cancel(job_id id) {
   scheduler_.cancel(id);
-  if (!scheduler_.knows(id)) jobs_.erase(id);  // else when its slice has ended
+  if (!scheduler_.contains(id)) jobs_.erase(id);  // else once its slice has ended
+}
+
+time_point pool::step(time_point now, double headroom) {
+  collect_ended_slices(now);
+  scheduler_.set_headroom(headroom, now);
+  start_slices(now);
+  report_overruns(now);
+  return scheduler_.due(now);
 }
 
-time_point pool::step(time_point now, double room) {
-  std::vector<shared::ended> done;
+void pool::collect_ended_slices(time_point now) {
+  std::vector<ended_slice> all_ended;
   {
-    const std::lock_guard lock(shared_->guard);
-    done = std::exchange(shared_->done, {});
+    const std::lock_guard lock(state_->mutex);
+    all_ended = std::exchange(state_->ended, {});
   }
-  for (const shared::ended& e : done) {
-    scheduler_.on_end(e.job, e.result.how, {e.cpu, e.result.read, e.result.written}, now);
-    const auto at = jobs_.find(e.job);
-    if (at == jobs_.end()) continue;
-    at->second.overrun_said = false;
-    if (!e.result.note.empty()) note_(at->second.name, e.result.note);
-    if (!scheduler_.knows(e.job)) jobs_.erase(at);
+  for (const ended_slice& ended : all_ended) {
+    const slice_result& result = ended.result;
+    scheduler_.on_end(ended.job, result.how, {ended.cpu, result.read, result.written}, now);
+    const auto job = jobs_.find(ended.job);
+    if (job == jobs_.end()) continue;
+    job->second.overrun_reported = false;
+    if (!result.note.empty()) note_(job->second.name, result.note);
+    if (!scheduler_.contains(ended.job)) jobs_.erase(job);
   }
-  scheduler_.set_load(room, now);
-  bool sent = false;
-  while (const auto s = scheduler_.pick(now)) {
-    const std::lock_guard lock(shared_->guard);
-    shared_->queue.push_back({s->job, jobs_.at(s->job).what});
-    sent = true;
+}
+
+void pool::start_slices(time_point now) {
+  bool started = false;
+  while (const std::optional<slice> next = scheduler_.pick(now)) {
+    const std::lock_guard lock(state_->mutex);
+    state_->queue.push_back({next->job, jobs_.at(next->job).task});
+    started = true;
   }
-  if (sent) shared_->asked.notify_all();
-  for (const job_figures& f : scheduler_.figures(now)) {
-    if (f.overrun && !std::exchange(jobs_.at(f.id).overrun_said, true))
-      note_(f.name, "a slice does not come to its end");
+  if (started) state_->work_available.notify_all();
+}
+
+void pool::report_overruns(time_point now) {
+  for (const job_figures& figures : scheduler_.figures(now)) {
+    if (!figures.overrun) continue;
+    const bool reported = std::exchange(jobs_.at(figures.id).overrun_reported, true);
+    if (!reported) note_(figures.name, "a slice does not come to its end");
   }
-  return scheduler_.due(now);
 }
 
 }  // namespace marblewharf::scheduler
--- a/src/scheduler/pool.hpp
+++ b/src/scheduler/pool.hpp
@@ -1,10 +1,9 @@
-// Worker threads for the slices that the scheduler picks. The owner's thread calls everything here; slices
-// run on threads of the pool, at the lowest priority of the system, with a queue that never holds more than
-// there are workers.
+// Worker threads for the slices that the scheduler picks, at the lowest priority of the system, with a queue
+// that never holds more slices than there are workers.
 //
-// A slice that does not return keeps its worker: that is counted and said (job_figures::overrun), the other
-// workers go on, and the pool's end waits `patience` for it and then leaves its thread behind. So a job's
-// work owns what it uses.
+// The owner's thread calls everything here; slices run on threads of the pool. A slice that does not return
+// keeps its worker: that is counted and reported (job_figures::overrun), and the other workers go on. The
+// destructor waits a short while for it and then detaches its thread, so a job's work must own what it uses.
 #pragma once
 
 #include <atomic>
@@ -19,44 +18,52 @@
 
 namespace marblewharf::scheduler {
 
-// What one slice did. Processor time is measured by the pool.
+// What one slice did. The pool measures its processor time.
 struct slice_result {
   slice_end how = slice_end::done;
   std::uint64_t read = 0, written = 0;  // bytes
-  std::string note;                     // for the owner, on its own thread; empty: nothing
+  std::string note;                     // handed to the owner on its own thread; empty: nothing
 };
-// On a worker's thread. `leaving`: the pool is at its end, return soon. What it throws counts as failed, its
-// text as note.
-using work = std::function<slice_result(const std::atomic<bool>& leaving)>;
+
+// Runs one slice, on a worker's thread. `stopping`: the pool is being destroyed, return soon. An exception
+// counts as failed, with its text as the note.
+using work = std::function<slice_result(const std::atomic<bool>& stopping)>;
 
 class pool {
  public:
-  // `notify`: step() has something to do; from a worker's thread. `note`: of a job's slice, from step().
-  pool(options o, std::function<void()> notify,
-       std::function<void(const std::string& job, const std::string&)> note, time_point now);
+  using note_handler = std::function<void(const std::string& job, const std::string& note)>;
+
+  // `notify`: step() has something to do; called on a worker's thread. `note`: of a job's slice; called by
+  // step().
+  pool(options settings, std::function<void()> notify, note_handler note, time_point now);
   ~pool();
   pool(const pool&) = delete;
   pool& operator=(const pool&) = delete;
 
-  job_id add(job_rules rules, work w, time_point from);
+  job_id add(job_rules rules, work task, time_point first_due);
   void cancel(job_id id);
-  // Takes in what ended and sends out what may run. Returns when to call again.
-  time_point step(time_point now, double room);
+  // Takes in the slices that ended and starts those that may run. `headroom`: as in
+  // scheduler::set_headroom(). Returns when to call again.
+  time_point step(time_point now, double headroom);
   std::vector<job_figures> figures(time_point now) const { return scheduler_.figures(now); }
 
  private:
-  struct shared;
-  static void serve(const std::shared_ptr<shared>& s, std::size_t which);
-
-  scheduler scheduler_;
-  struct entry {
+  struct shared_state;
+  struct pooled_job {
     std::string name;
-    std::shared_ptr<work> what;
-    bool overrun_said = false;  // of the slice that is out
+    std::shared_ptr<work> task;
+    bool overrun_reported = false;  // of the slice that runs
   };
-  std::map<job_id, entry> jobs_;
-  std::function<void(const std::string&, const std::string&)> note_;
-  std::shared_ptr<shared> shared_;  // outlives the pool where a thread is left behind
+
+  static void run_worker(const std::shared_ptr<shared_state>& state, std::size_t worker);
+  void collect_ended_slices(time_point now);
+  void start_slices(time_point now);
+  void report_overruns(time_point now);
+
+  scheduler scheduler_;
+  std::map<job_id, pooled_job> jobs_;
+  note_handler note_;
+  std::shared_ptr<shared_state> state_;  // outlives the pool where a thread is detached
   std::vector<std::thread> threads_;
 };
 
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -1,7 +1,6 @@
 #include "scheduler/scheduler.hpp"
 
 #include <algorithm>
-#include <limits>
 #include <stdexcept>
 #include <utility>
 
@@ -10,235 +9,237 @@
 namespace {
 
 constexpr time_point never = time_point::max();
-
-double seconds(duration d) {
-  return std::chrono::duration<double>(d).count();
-}
+// A budget that opens later than that is looked at again after it.
+constexpr seconds longest_wait{3600};
+// Puts urgent jobs before all others, whatever their priorities.
+constexpr double urgent_advantage = 1e6;
+// Guards the division by the ageing time.
+constexpr seconds shortest_ageing{1e-9};
 
 }  // namespace
 
-// ---- Budgets ----------------------------------------------------------------------------------------------
-
-void scheduler::bucket::fill(double s, double share, double burst_s) {
-  if (rate > 0) left = std::min(left + rate * share * s, rate * burst_s);
-}
-
-double scheduler::bucket::wait(double share) const {
-  if (open()) return 0;
-  return share > 0 ? -left / (rate * share) : std::numeric_limits<double>::infinity();
-}
-
-scheduler::buckets::buckets(const rates& r, double burst_s)
-    : cpu{r.cpu, r.cpu * burst_s}, read{r.read, r.read * burst_s}, written{r.written, r.written * burst_s} {}
-
-void scheduler::buckets::fill(double s, double share, double burst_s) {
-  for (bucket* b : {&cpu, &read, &written}) b->fill(s, share, burst_s);
-}
-
-void scheduler::buckets::take(const cost& c) {
-  cpu.left -= seconds(c.cpu);
-  read.left -= static_cast<double>(c.read);
-  written.left -= static_cast<double>(c.written);
-}
-
-double scheduler::buckets::wait(double share) const {
-  return std::max({cpu.wait(share), read.wait(share), written.wait(share)});
-}
+scheduler::scheduler(options settings, time_point now)
+    : options_(settings), shared_budget_(settings.budget, settings.burst), last_refill_(now) {}
 
 // ---- Jobs -------------------------------------------------------------------------------------------------
 
-scheduler::scheduler(options o, time_point now)
-    : options_(o), all_(o.budget, seconds(o.burst)), filled_(now) {}
-
-// Whether `from` waits for `to`, directly or through others.
-bool scheduler::reaches(const std::string& from, const std::string& to) const {
-  if (from == to) return true;
-  for (const auto& [id, j] : jobs_) {
-    if (j.rules.name != from || j.cancelled) continue;
-    for (const std::string& next : j.rules.after)
-      if (reaches(next, to)) return true;
+// Whether the job `name` waits for `other`, directly or through further jobs, or is the same.
+bool scheduler::waits_for(const std::string& name, const std::string& other) const {
+  if (name == other) return true;
+  for (const auto& [id, each] : jobs_) {
+    if (each.rules.name != name || each.state == job_state::cancelling) continue;
+    for (const std::string& before : each.rules.after)
+      if (waits_for(before, other)) return true;
   }
   return false;
 }
 
-job_id scheduler::add(job_rules rules, time_point from) {
-  for (const auto& [id, j] : jobs_)
-    if (j.rules.name == rules.name && !j.cancelled)
+job_id scheduler::add(job_rules rules, time_point first_due) {
+  for (const auto& [id, each] : jobs_)
+    if (each.rules.name == rules.name && each.state != job_state::cancelling)
       throw std::invalid_argument("scheduler: two jobs named " + rules.name);
-  // What is there has no circle; a new one closes one exactly where it waits for itself.
+  // The jobs so far have no cycle; a new one closes one exactly where it waits for itself.
   for (const std::string& before : rules.after)
-    if (reaches(before, rules.name))
+    if (waits_for(before, rules.name))
       throw std::invalid_argument("scheduler: " + rules.name + " and " + before + " wait for each other");
-  job j;
-  j.left = buckets(rules.budget, seconds(options_.burst));
-  j.due_at = j.waits_since = from;
-  j.figures.name = rules.name;
-  ++last_;
-  if (!rules.after.empty()) ordered_.insert(last_);
-  j.rules = std::move(rules);
-  jobs_.emplace(last_, std::move(j));
-  return last_;
+  job added;
+  added.budget = work_budget(rules.budget, options_.burst);
+  added.due_at = first_due;
+  added.waiting_since = first_due;
+  added.figures.name = rules.name;
+  ++last_id_;
+  if (!rules.after.empty()) dependent_jobs_.insert(last_id_);
+  added.rules = std::move(rules);
+  jobs_.emplace(last_id_, std::move(added));
+  return last_id_;
 }
 
 void scheduler::cancel(job_id id) {
-  const auto at = jobs_.find(id);
-  if (at == jobs_.end()) return;
-  if (at->second.out) {
-    at->second.cancelled = true;
+  const auto position = jobs_.find(id);
+  if (position == jobs_.end()) return;
+  if (position->second.state == job_state::waiting) {
+    erase(position);
   } else {
-    erase(at);
+    position->second.state = job_state::cancelling;
   }
 }
 
-void scheduler::erase(std::map<job_id, job>::iterator at) {
-  ordered_.erase(at->first);
-  jobs_.erase(at);
+void scheduler::erase(std::map<job_id, job>::iterator position) {
+  dependent_jobs_.erase(position->first);
+  jobs_.erase(position);
 }
 
-void scheduler::set_load(double room, time_point now) {
-  fill(now);  // up to here by the load before
-  room_ = std::clamp(room, 0.0, 1.0);
+// ---- Budgets ----------------------------------------------------------------------------------------------
+
+void scheduler::set_headroom(double headroom, time_point now) {
+  refill(now);  // up to now at the headroom before
+  headroom_ = std::clamp(headroom, 0.0, 1.0);
 }
 
-void scheduler::fill(time_point now) {
-  if (now <= filled_) return;
-  const double s = seconds(now - filled_), burst = seconds(options_.burst);
-  bool urgent = false;
-  for (auto& [id, j] : jobs_) {
-    const double share = share_of(j, now);
-    urgent = urgent || (is_urgent(j, now) && !j.cancelled);
-    j.left.fill(s, share, burst);
+void scheduler::refill(time_point now) {
+  if (now <= last_refill_) return;
+  const seconds elapsed = now - last_refill_;
+  bool any_urgent = false;
+  for (auto& [id, each] : jobs_) {
+    each.budget.refill(elapsed, rate_share(each, now), options_.burst);
+    any_urgent = any_urgent || (each.state != job_state::cancelling && is_urgent(each, now));
   }
-  all_.fill(s, urgent ? std::max(room_, options_.urgent) : room_, burst);
-  filled_ = now;
+  const double shared_rate = any_urgent ? std::max(headroom_, options_.urgent) : headroom_;
+  shared_budget_.refill(elapsed, shared_rate, options_.burst);
+  last_refill_ = now;
 }
 
-// Jobs that are due and wait for this one: it is as urgent, and as far ahead, as they are, or they would wait
+double scheduler::rate_share(const job& which, time_point now) const {
+  return is_urgent(which, now) ? std::max(headroom_, options_.urgent) : headroom_;
+}
+
+// ---- Order ------------------------------------------------------------------------------------------------
+
+// Visits the due jobs that wait for this one. It inherits their urgency and priority, or they would wait
 // behind others.
-template <typename F>
-void scheduler::each_that_waits_for(const job& j, time_point now, F&& f) const {
-  for (const job_id id : ordered_) {
-    const job& other = jobs_.at(id);
-    if (!other.cancelled && now >= other.due_at && other.rules.after.contains(j.rules.name)) f(other);
+template <typename Visitor>
+void scheduler::visit_due_dependents(const job& which, time_point now, Visitor&& visit) const {
+  for (const job_id id : dependent_jobs_) {
+    const job& dependent = jobs_.at(id);
+    const bool dependent_is_due = dependent.state != job_state::cancelling && now >= dependent.due_at;
+    if (dependent_is_due && dependent.rules.after.contains(which.rules.name)) visit(dependent);
   }
 }
 
-bool scheduler::is_urgent(const job& j, time_point now) const {
-  if (now < j.due_at) return false;
-  bool urgent = j.rules.deadline.count() > 0 && now - j.due_at >= j.rules.deadline;
-  each_that_waits_for(j, now, [&](const job& other) { urgent = urgent || is_urgent(other, now); });
+bool scheduler::is_urgent(const job& which, time_point now) const {
+  if (now < which.due_at) return false;
+  bool urgent = which.rules.deadline.count() > 0 && now - which.due_at >= which.rules.deadline;
+  visit_due_dependents(which, now,
+                       [&](const job& dependent) { urgent = urgent || is_urgent(dependent, now); });
   return urgent;
 }
 
-double scheduler::share_of(const job& j, time_point now) const {
-  return is_urgent(j, now) ? std::max(room_, options_.urgent) : room_;
+bool scheduler::is_blocked(const job& which, time_point now) const {
+  if (which.rules.after.empty()) return false;
+  const auto blocks = [&](const auto& entry) {
+    const job& other = entry.second;
+    if (other.state == job_state::cancelling || !which.rules.after.contains(other.rules.name)) return false;
+    return other.state == job_state::running || now >= other.due_at;
+  };
+  return std::any_of(jobs_.begin(), jobs_.end(), blocks);
 }
 
-bool scheduler::blocked(const job& j, time_point now) const {
-  if (j.rules.after.empty()) return false;
-  for (const auto& [id, other] : jobs_)
-    if (!other.cancelled && j.rules.after.contains(other.rules.name) && (other.out || now >= other.due_at))
-      return true;
-  return false;
+// The lowest runs first: urgent jobs before all others, then by priority, improved by the time of waiting.
+double scheduler::effective_priority(const job& which, time_point now) const {
+  const seconds waited = now - which.waiting_since;
+  const double steps = waited / std::max<seconds>(shortest_ageing, options_.ageing);
+  double priority = which.rules.priority - steps - (is_urgent(which, now) ? urgent_advantage : 0);
+  visit_due_dependents(which, now, [&](const job& dependent) {
+    priority = std::min(priority, effective_priority(dependent, now));
+  });
+  return priority;
 }
 
-// The lower, the sooner: what is urgent before all else, then by priority, of which waiting takes steps away.
-double scheduler::rank(const job& j, time_point now) const {
-  const double waited = seconds(now - j.waits_since) / std::max(1e-9, seconds(options_.ageing));
-  constexpr double far_ahead = 1e6;
-  double own = j.rules.priority - waited - (is_urgent(j, now) ? far_ahead : 0);
-  each_that_waits_for(j, now, [&](const job& other) { own = std::min(own, rank(other, now)); });
-  return own;
+bool scheduler::is_runnable(const job& which, time_point now) const {
+  return is_due(which, now) && rate_share(which, now) > 0 && which.budget.is_open() &&
+         !is_blocked(which, now);
 }
 
-std::optional<slice> scheduler::pick(time_point now) {
-  fill(now);
-  if (out_ >= options_.workers || !all_.open()) return std::nullopt;
-  job* best = nullptr;
-  job_id which = 0;
-  for (auto& [id, j] : jobs_) {
-    if (!is_due(j, now) || share_of(j, now) <= 0 || !j.left.open() || blocked(j, now)) continue;
-    if (best != nullptr && rank(*best, now) <= rank(j, now)) continue;
-    best = &j;
-    which = id;
+std::map<job_id, scheduler::job>::iterator scheduler::next_runnable(time_point now) {
+  auto next = jobs_.end();
+  for (auto each = jobs_.begin(); each != jobs_.end(); ++each) {
+    if (!is_runnable(each->second, now)) continue;
+    const bool goes_first =
+        next == jobs_.end() || effective_priority(each->second, now) < effective_priority(next->second, now);
+    if (goes_first) next = each;
   }
-  if (best == nullptr) return std::nullopt;
-  best->out = true;
-  best->out_since = now;
-  if (!std::exchange(best->begun, true)) ++best->figures.rounds;
-  ++best->figures.slices;
-  ++out_;
-  return slice{which, best->rules.name, best->figures.rounds};
+  return next;
+}
+
+// ---- Slices -----------------------------------------------------------------------------------------------
+
+std::optional<slice> scheduler::pick(time_point now) {
+  refill(now);
+  if (running_ >= options_.workers || !shared_budget_.is_open()) return std::nullopt;
+  const auto next = next_runnable(now);
+  if (next == jobs_.end()) return std::nullopt;
+  job& picked = next->second;
+  picked.state = job_state::running;
+  picked.slice_started = now;
+  if (!std::exchange(picked.in_round, true)) ++picked.figures.rounds;
+  ++picked.figures.slices;
+  ++running_;
+  return slice{next->first, picked.rules.name, picked.figures.rounds};
 }
 
 void scheduler::on_end(job_id id, slice_end how, const cost& used, time_point now) {
-  const auto at = jobs_.find(id);
-  if (at == jobs_.end() || !at->second.out) return;
-  fill(now);
-  job& j = at->second;
-  j.out = false;
-  --out_;
-  all_.take(used);
-  j.left.take(used);
-  j.figures.used.cpu += used.cpu;
-  j.figures.used.read += used.read;
-  j.figures.used.written += used.written;
-  j.waits_since = now;
-  if (j.cancelled) {
-    erase(at);
+  const auto position = jobs_.find(id);
+  if (position == jobs_.end() || position->second.state == job_state::waiting) return;
+  refill(now);
+  job& ended = position->second;
+  const bool was_cancelled = ended.state == job_state::cancelling;
+  ended.state = job_state::waiting;
+  --running_;
+  shared_budget_.take(used);
+  ended.budget.take(used);
+  ended.figures.used.cpu += used.cpu;
+  ended.figures.used.read += used.read;
+  ended.figures.used.written += used.written;
+  ended.waiting_since = now;
+  const bool runs_once = ended.rules.every.count() == 0;
+  if (was_cancelled || (how == slice_end::done && runs_once)) {
+    erase(position);
     return;
   }
-  switch (how) {
-    case slice_end::more: return;
-    case slice_end::failed:
-      ++j.figures.failures;
-      j.pause = j.pause.count() == 0 ? options_.first_pause : std::min(j.pause * 2, options_.longest_pause);
-      // Its deadline counts from the new moment: one that fails always is not urgent for ever.
-      j.due_at = now + j.pause;
-      break;
-    case slice_end::done:
-      j.pause = {};
-      if (j.rules.every.count() == 0) {
-        erase(at);
-        return;
-      }
-      // From its end, not its plan: rounds that were missed are not made up for.
-      j.due_at = now + j.rules.every;
-      break;
+  if (how == slice_end::more) return;
+  if (how == slice_end::failed) {
+    schedule_retry(ended, now);
+  } else {
+    ended.failure_pause = {};
+    ended.due_at = now + ended.rules.every;  // from its end: missed rounds are not made up for
+  }
+  ended.in_round = false;
+  ended.waiting_since = ended.due_at;
+}
+
+// Its deadline counts from the retry: a job that always fails is not urgent all the time.
+void scheduler::schedule_retry(job& failed, time_point now) {
+  ++failed.figures.failures;
+  const bool first_failure = failed.failure_pause.count() == 0;
+  failed.failure_pause =
+      first_failure ? options_.first_pause : std::min(failed.failure_pause * 2, options_.longest_pause);
+  failed.due_at = now + failed.failure_pause;
+}
+
+time_point scheduler::earliest_start(const job& which, time_point now) const {
+  const time_point due_at = std::max(now, which.due_at);
+  const double share = rate_share(which, due_at);
+  if (share <= 0) {  // it waits for its deadline
+    const bool has_deadline = which.rules.deadline.count() > 0;
+    return has_deadline ? std::max(due_at, which.due_at + which.rules.deadline) : never;
   }
-  j.begun = false;
-  j.waits_since = j.due_at;
+  const seconds wait = std::max(shared_budget_.until_open(share), which.budget.until_open(share));
+  if (wait <= seconds{0}) return due_at;
+  const double wait_ns = std::min(wait, longest_wait).count() * 1e9;
+  return due_at + duration(static_cast<std::int64_t>(wait_ns) + 1);
 }
 
 time_point scheduler::due(time_point now) const {
-  if (out_ >= options_.workers) return never;
+  if (running_ >= options_.workers) return never;
   time_point next = never;
-  for (const auto& [id, j] : jobs_) {
-    if (j.out || j.cancelled) continue;
-    const double share = share_of(j, std::max(now, j.due_at));
-    time_point when = std::max(now, j.due_at);
-    if (share <= 0) {  // it waits for its deadline, at the earliest
-      if (j.rules.deadline.count() == 0) continue;
-      when = std::max(when, j.due_at + j.rules.deadline);
-    } else if (const double wait = std::max(all_.wait(share), j.left.wait(share)); wait > 0) {
-      constexpr double longest_s = 3600;  // looked at again then
-      when += duration(static_cast<std::int64_t>(std::min(wait, longest_s) * 1e9) + 1);
-    }
-    if (when > now || !blocked(j, now)) next = std::min(next, when);
+  for (const auto& [id, each] : jobs_) {
+    if (each.state != job_state::waiting) continue;
+    const time_point start = earliest_start(each, now);
+    if (start > now || !is_blocked(each, now)) next = std::min(next, start);
   }
   return next;
 }
 
 std::vector<job_figures> scheduler::figures(time_point now) const {
   std::vector<job_figures> all;
-  for (const auto& [id, j] : jobs_) {
-    job_figures f = j.figures;
-    f.id = id;
-    f.out = j.out;
-    f.due = is_due(j, now);
-    f.urgent = is_urgent(j, now);
-    f.overrun = j.out && now - j.out_since > options_.overrun;
-    all.push_back(std::move(f));
+  for (const auto& [id, each] : jobs_) {
+    job_figures figures = each.figures;
+    figures.id = id;
+    figures.running = each.state != job_state::waiting;
+    figures.due = is_due(each, now);
+    figures.urgent = is_urgent(each, now);
+    figures.overrun = figures.running && now - each.slice_started > options_.overrun;
+    all.push_back(std::move(figures));
   }
   return all;
 }
--- a/tests/scheduler/scheduler_test.cpp
+++ b/tests/scheduler/scheduler_test.cpp
@@ -25,9 +25,8 @@
 
 namespace {
 
-// Any jobs, loads and costs: over any span the slices use no more of a budget than its rate, burst and the
-// slices that were out when it was emptied; never two of one job at once; nothing runs without room but what
-// is urgent.
+// Any jobs, headroom and costs: over any span the slices use no more of a budget than its rate, burst and the
+// slices that ran when it was emptied; never two of one job at once; without headroom only urgent jobs run.
 void within_budgets() {
   CHECK(rc::check("budgets over any span", [] {
     sched::options o;
@@ -56,11 +55,11 @@
     std::vector<use> used;
     std::map<sched::job_id, std::pair<sched::time_point, double>> out;  // until, bytes
     constexpr double most_a_slice = 3000;
-    double room = 1;
+    double headroom = 1;
     for (sched::time_point now = 0ns; now < 6s; now += 1ms) {
       if (*rc::gen::inRange(0, 200) == 0) {
-        room = *rc::gen::element(0.0, 0.0, 0.3, 1.0);
-        s.set_load(room, now);
+        headroom = *rc::gen::element(0.0, 0.0, 0.3, 1.0);
+        s.set_headroom(headroom, now);
       }
       for (auto i = out.begin(); i != out.end();) {
         if (i->second.first > now) {
@@ -77,7 +76,7 @@
       }
       while (const auto next = s.pick(now)) {
         RC_ASSERT(!out.contains(next->job));
-        if (room == 0)
+        if (headroom == 0)
           for (const sched::job_figures& f : s.figures(now)) RC_ASSERT(f.id != next->job || f.urgent);
         out[next->job] = {now + 2ms, *rc::gen::inRange(100, static_cast<int>(most_a_slice))};
         RC_ASSERT(out.size() <= o.workers);
@@ -101,7 +100,7 @@
   }));
 }
 
-// A job of the least priority beside ones that always want to run: it has its turn, and every other one too.
+// A job of the lowest priority beside ones that are always due: it has its turn, and every other one too.
 void nobody_starves() {
   sched::options o;
   o.ageing = 1s;
@@ -124,7 +123,7 @@
   for (const auto& [id, times] : ran) CHECK(times > 0);
 }
 
-// A job waits for those that it names; one that is urgent pulls them along; circles are refused.
+// A job waits for those that it names; they inherit its urgency; cycles are rejected.
 void order_and_deadlines() {
   sched::scheduler s({}, 0ns);
   sched::job_rules first{
@@ -145,9 +144,9 @@
     refused = true;
   }
   CHECK(refused);
-  s.set_load(0, 0s);
+  s.set_headroom(0, 0s);
   CHECK(!s.pick(1s) && s.due(1s) == 10s);
-  // At its deadline `last` is urgent, and so is what it waits for; `other` stays where it is.
+  // At its deadline `last` is urgent, and so is what it waits for; `other` is not.
   auto next = s.pick(10s);
   CHECK(next && next->name == "first");
   s.on_end(next->job, sched::slice_end::done, {}, 11s);
@@ -155,13 +154,13 @@
   CHECK(next && next->name == "last");
   s.on_end(next->job, sched::slice_end::done, {}, 12s);
   CHECK(!s.pick(13s));
-  s.set_load(1, 13s);
+  s.set_headroom(1, 13s);
   next = s.pick(13s);
   CHECK(next && next->name == "other");
 }
 
-// One that fails always comes back ever later and leaves the others alone; one that is cancelled runs no
-// more; one that does not yield is said to.
+// A job that always fails is retried after ever longer pauses and does not hold up the others; a cancelled
+// one runs no more; a slice that does not return is reported.
 void failing_cancelled_stuck() {
   sched::options o;
   o.first_pause = 1s;
@@ -183,13 +182,13 @@
   const auto next = s.pick(60s);
   CHECK(next);
   s.cancel(next->job);
-  CHECK(s.knows(next->job));
+  CHECK(s.contains(next->job));
   for (const sched::job_figures& f : s.figures(66s)) CHECK(f.overrun == (f.id == next->job));
   s.on_end(next->job, sched::slice_end::more, {}, 67s);
-  CHECK(!s.knows(next->job));
+  CHECK(!s.contains(next->job));
 }
 
-void room() {
+void headroom() {
   sched::headroom_meter m({.quiet = 0.5, .busy = 0.9, .calm = 1s});
   CHECK(m.look(1s, 0.2, 0) == 1 && m.look(1s, 0.95, 0) == 0);
   const double half = m.look(1s, 0.7, 0);
@@ -198,8 +197,8 @@
   CHECK(m.look(9s, std::nullopt, 0) == 1);
 }
 
-// Slices on real threads: never two of one job at once, notes come to the owner's thread, and a job that does
-// not yield keeps neither the others nor the end of the pool.
+// Slices on real threads: never two of one job at once, notes come to the owner's thread, and a slice that
+// does not return holds up neither the other jobs nor the end of the pool.
 void threads() {
   struct state {  // outlives the pool: so may a slice
     std::atomic<int> inside = 0, ran = 0, both = 0, notified = 0;
@@ -247,8 +246,8 @@
   std::this_thread::sleep_for(100ms);
 }
 
-// Each changed byte of a closed segment that counts is found and named; a folder that is well has no fault; a
-// segment that goes meanwhile is none.
+// Each changed byte of a closed segment that a checksum covers is found and named; an intact folder has no
+// fault; a segment that is removed meanwhile is none.
 void scrubs() {
   char name[] = "/tmp/marblewharf-scrub-XXXXXX";
   CHECK(::mkdtemp(name) != nullptr);
@@ -320,7 +319,7 @@
                                                    {"nobody_starves", nobody_starves},
                                                    {"order_and_deadlines", order_and_deadlines},
                                                    {"failing_cancelled_stuck", failing_cancelled_stuck},
-                                                   {"room", room},
+                                                   {"headroom", headroom},
                                                    {"threads", threads},
                                                    {"scrubs", scrubs}};
   tests.at(argv[1])();
