--- a/bench/failover_bench.cpp
+++ b/bench/failover_bench.cpp
@@ -1,7 +1,7 @@
-// Measures failover against fleets of nine real processes: time from a zone's loss to every member's agreed
-// view over 50 seeded faults, false declarations under 20% loss, the share of routed calls that stay in their
-// zone when all is well, and what a node costs with membership off beside an earlier build of the program.
-// One table, one run.
+// Measures failover on clusters of nine real processes: time from a zone's loss to every member's agreed view
+// over 50 seeded faults, false decisions under 20% loss, the fraction of routed calls that stay in their zone
+// when all is healthy, and what a node costs with membership off beside an earlier build of the program. One
+// table, one run.
 //
 //   marblewharf_failover_bench [EARLIER_PROGRAM [cost]]
 //
@@ -11,15 +11,16 @@
 
 #include "../tools/fleet/experiments.hpp"
 
-using namespace fleet_experiments;
+using namespace cluster_experiments;
 
 namespace {
 
 constexpr int faults = 50, fleets = 4, probe_ms = 100;
 
-double at(std::vector<double> v, double quantile) {
-  std::sort(v.begin(), v.end());
-  return v[std::min(v.size() - 1, static_cast<std::size_t>(quantile * static_cast<double>(v.size())))];
+double quantile_of(std::vector<double> values, double quantile) {
+  std::sort(values.begin(), values.end());
+  const auto rank = static_cast<std::size_t>(quantile * static_cast<double>(values.size()));
+  return values[std::min(values.size() - 1, rank)];
 }
 
 // Processor time of the reactor for each of `n` requests, 16 open at a time on one connection.
@@ -84,11 +85,11 @@
         "| cost of a request with membership off, over the earlier program (median of 25 pairs; least, most) "
         "| "
         "%.3f (%.3f, %.3f) |\n",
-        at(ratios, 0.5), at(ratios, 0), at(ratios, 1));
-    std::printf("| the same of the two medians, us of the reactor | %.2f / %.2f |\n", at(now, 0.5),
-                at(before, 0.5));
+        quantile_of(ratios, 0.5), quantile_of(ratios, 0), quantile_of(ratios, 1));
+    std::printf("| the same of the two medians, us of the reactor | %.2f / %.2f |\n", quantile_of(now, 0.5),
+                quantile_of(before, 0.5));
     std::printf("| the same of the least of each, which other load on the machine moves least | %.3f |\n",
-                at(now, 0) / at(before, 0));
+                quantile_of(now, 0) / quantile_of(before, 0));
   }
   if (argc > 2 && std::string(argv[2]) == "cost") return 0;
   std::printf("| routed calls that stay in their zone, all well (2,000 calls) | %.4f |\n",
@@ -97,7 +98,7 @@
   const auto looks = lossy(0.2, 0, 0ms, 60, fleets, probe_ms);
   long declared = 0, suspect = 0, dead = 0;
   std::map<int, long> of_fleet;
-  for (const lossy_look& l : looks) {
+  for (const lossy_sample& l : looks) {
     suspect += l.suspect;
     dead += l.dead;
     of_fleet[l.fleet] = std::max(of_fleet[l.fleet], l.declared_out);
@@ -123,11 +124,12 @@
     std::printf(
         "| zone %s (%zu faults): loss to agreed view, probe intervals: median, 99th percentile | %.1f, %.1f "
         "|\n",
-        *how != '\0' ? how : "lost", agreed.size(), at(agreed, 0.5), at(agreed, 0.99));
+        *how != '\0' ? how : "lost", agreed.size(), quantile_of(agreed, 0.5), quantile_of(agreed, 0.99));
     std::printf(
         "| ... first member to last: median, 99th; heal to whole again (hold-down %d): median, 99th | "
         "%.1f, %.1f; %.1f, %.1f |\n",
-        1000 / probe_ms, at(spread, 0.5), at(spread, 0.99), at(back, 0.5), at(back, 0.99));
+        1000 / probe_ms, quantile_of(spread, 0.5), quantile_of(spread, 0.99), quantile_of(back, 0.5),
+        quantile_of(back, 0.99));
   }
   std::printf("| verdicts on healthy zones in these faults | %ld |\n", wrong);
   return 0;
--- a/tests/cluster/fleet.hpp
+++ b/tests/cluster/fleet.hpp
@@ -1,6 +1,6 @@
-// A fleet of price nodes on loopback: N processes of the real program in zones and regions, each with a
-// runtime and a console of its own, their membership datagrams led through the fault relay. Shared by the
-// tests, the tool and the measurement. The seed is MARBLEWHARF_SEED's, or 1.
+// A cluster of price nodes on loopback: processes of the real program in zones and regions, each with a
+// runtime and a console of its own, their membership datagrams sent through the fault relay. Shared by the
+// tests, the tool and the bench. The seed is MARBLEWHARF_SEED's, or 1.
 #pragma once
 
 #include <atomic>
@@ -16,15 +16,15 @@
 #include "../net/harness.hpp"
 #include "relay.hpp"
 
-namespace fleet_faults {
+namespace cluster_faults {
 
 using namespace harness;
 
-// UDP ports on this process's own address, held until this goes: given away one by one, the system hands the
-// same one out again, to the next node or to the relay (19 of 3,000 fleets of nine).
-class held_udp_ports {
+// UDP ports on this process's own address, reserved until this is destroyed: released one by one, the system
+// hands the same one out again, to the next node or to the relay.
+class reserved_udp_ports {
  public:
-  explicit held_udp_ports(int n) {
+  explicit reserved_udp_ports(int n) {
     for (int i = 0; i < n; ++i) {
       fds_.push_back(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
       sockaddr_in a = address_of(0);
@@ -34,11 +34,11 @@
       ports.push_back(ntohs(a.sin_port));
     }
   }
-  ~held_udp_ports() {
+  ~reserved_udp_ports() {
     for (const int fd : fds_) ::close(fd);
   }
-  held_udp_ports(const held_udp_ports&) = delete;
-  held_udp_ports& operator=(const held_udp_ports&) = delete;
+  reserved_udp_ports(const reserved_udp_ports&) = delete;
+  reserved_udp_ports& operator=(const reserved_udp_ports&) = delete;
 
   std::vector<int> ports;
 
@@ -46,8 +46,8 @@
   std::vector<int> fds_;
 };
 
-// A figure of show-stat, by name.
-inline long figure(int console, const std::string& name) {
+// A statistic of show-stat, by name.
+inline long statistic(int console, const std::string& name) {
   const std::string text = call(console, "show-stat\n");
   const std::size_t at = text.find("\n" + name + "=");
   CHECK(at != std::string::npos);
@@ -59,7 +59,7 @@
   return given != nullptr ? std::strtoull(given, nullptr, 10) : 1;
 }
 
-struct fleet_options {
+struct test_cluster_options {
   int zones = 3, per_zone = 3;
   std::vector<std::string> regions = {};  // by zone; empty: all in r0
   int probe_ms = 100;
@@ -69,17 +69,17 @@
   std::function<void(int, node_options&)> edit = {};
 };
 
-class fleet {
+class test_cluster {
  public:
-  explicit fleet(fleet_options o = {}) : options_(std::move(o)) {
+  explicit test_cluster(test_cluster_options o = {}) : options_(std::move(o)) {
     std::vector<int> zone_of;
-    std::optional<held_udp_ports> held(size());
+    std::optional<reserved_udp_ports> held(size());
     udp_ = held->ports;
     for (int i = 0; i < size(); ++i) {
       zone_of.push_back(i / options_.per_zone);
-      members_.push_back(std::make_unique<one>());
+      members_.push_back(std::make_unique<member_slot>());
     }
-    relay = std::make_unique<fleet_faults::relay>(own_host(), udp_, zone_of, seed());
+    relay = std::make_unique<cluster_faults::relay>(own_host(), udp_, zone_of, seed());
     held.reset();
     for (int i = 0; i < size(); ++i) start(i);
   }
@@ -98,7 +98,7 @@
   // Starts node i, or starts it again with the same addresses.
   void start(int i) {
     const std::lock_guard lock(guard(i));
-    member(i).now->n.reset();
+    member(i).current->n.reset();
     launch(i, 0);
   }
   void kill(int i) {
@@ -107,73 +107,73 @@
     at(i).signal(SIGKILL);
     at(i).wait();
   }
-  // A replacement: a second process of node i beside the first, with the same addresses but for runtime and
-  // console. Returns once it takes clients; at(i) is the second from then on.
-  void beside(int i) {
+  // Hot restart: a second process of node i beside the first, with the same addresses but for runtime and
+  // console. Returns once it accepts clients; at(i) is the second from then on.
+  void start_replacement(int i) {
     {
       const std::lock_guard lock(guard(i));
-      one& m = member(i);
-      CHECK(m.before == nullptr);
-      m.before = std::exchange(m.now, std::make_unique<process>());
+      member_slot& m = member(i);
+      CHECK(m.replaced == nullptr);
+      m.replaced = std::exchange(m.current, std::make_unique<process>());
       launch(i, m.port);
     }
-    wait([&] { return call(console(i), "ready\n").rfind("200 yes", 0) == 0; }, i);
+    wait_until([&] { return call(console(i), "ready\n").rfind("200 yes", 0) == 0; }, i);
   }
   // The console of the first of the two.
-  int console_before(int i) const { return member(i).before->console; }
-  // The first of the two ends: told to leave, or killed. Returns its log.
-  std::string leave(int i, int signal = SIGTERM) {
-    one& m = member(i);
-    m.before->n->signal(signal);
-    const int status = m.before->n->wait();
+  int replaced_console(int i) const { return member(i).replaced->console; }
+  // Ends the first of the two by a signal. Returns its log.
+  std::string end_replaced(int i, int signal = SIGTERM) {
+    member_slot& m = member(i);
+    m.replaced->n->signal(signal);
+    const int status = m.replaced->n->wait();
     CHECK(signal == SIGKILL || status == 0);
     const std::lock_guard lock(m.guard);
-    const auto gone = std::exchange(m.before, nullptr);
-    return gone->n->log();
+    const auto ended = std::exchange(m.replaced, nullptr);
+    return ended->n->log();
   }
-  // Held while a node starts or is killed: whoever plays its runtime beside the test holds it too.
+  // Held while a node starts or is killed, and by the thread of its fake runtime.
   std::mutex& guard(int i) const { return member(i).guard; }
-  // Where its clients connect; 0: it is not there.
+  // Where its clients connect; 0: it does not run.
   int port(int i) const { return member(i).port; }
   bool running(int i) const { return port(i) != 0; }
-  node& at(int i) { return *member(i).now->n; }
-  // For each process of node i that is there: its runtime, and a number that no process before it had.
+  node& at(int i) { return *member(i).current->n; }
+  // For each process of node i that runs: its runtime, and a number unique to the process.
   template <typename F>
   void each_runtime(int i, F&& f) {
-    one& m = member(i);
-    if (running(i)) f(m.now->r, m.now->number);
-    if (m.before != nullptr) f(m.before->r, m.before->number);
+    member_slot& m = member(i);
+    if (running(i)) f(m.current->r, m.current->number);
+    if (m.replaced != nullptr) f(m.replaced->r, m.replaced->number);
   }
   int udp(int i) const { return udp_[static_cast<std::size_t>(i)]; }
-  int console(int i) const { return member(i).now->console; }
+  int console(int i) const { return member(i).current->console; }
   // What the others send to: the relay's port for this node.
   std::string address(int i) const { return own_host() + ":" + std::to_string(relay->front(i)); }
 
   std::string zones_seen_by(int i) const { return call(console(i), "show-zones\n"); }
   std::string members_seen_by(int i) const { return call(console(i), "show-members\n"); }
-  // The line that show-zones of some member has for zone z, up to its state.
+  // The line of show-zones for zone z, up to its state.
   std::string zone_line(int z, bool out) const {
     return "\nz" + std::to_string(z) + " " + region(z) + (out ? " out" : " in");
   }
-  bool says(int i, int z, bool out) const {
+  bool sees_zone(int i, int z, bool out) const {
     return zones_seen_by(i).find(zone_line(z, out)) != std::string::npos;
   }
-  // Waits until every member in `observers` says so of zone z.
-  void all_say(const std::vector<int>& observers, int z, bool out) const {
-    for (const int i : observers) wait([&] { return says(i, z, out); }, i);
+  // Waits until every member in `observers` shows zone z so.
+  void wait_for_zone(const std::vector<int>& observers, int z, bool out) const {
+    for (const int i : observers) wait_until([&] { return sees_zone(i, z, out); }, i);
   }
   // Waits until show-members of member i has such a line.
-  void member_says(int i, const std::string& line) const {
-    wait([&] { return members_seen_by(i).find(line) != std::string::npos; }, i);
+  void wait_for_member_line(int i, const std::string& line) const {
+    wait_until([&] { return members_seen_by(i).find(line) != std::string::npos; }, i);
   }
-  // Waits until each of `observers` says all zones in and all the others of `expected` alive.
-  void whole(const std::vector<int>& observers, std::size_t expected) const {
+  // Waits until each of `observers` shows all zones in and all other members of `expected` alive.
+  void wait_until_healthy(const std::vector<int>& observers, std::size_t expected) const {
     for (const int i : observers) {
-      for (int z = 0; z < options_.zones; ++z) all_say({i}, z, false);
-      wait([&] { return alive_seen_by(i) == expected - 1; }, i);
+      for (int z = 0; z < options_.zones; ++z) wait_for_zone({i}, z, false);
+      wait_until([&] { return alive_seen_by(i) == expected - 1; }, i);
     }
   }
-  void whole() const { whole(all(), static_cast<std::size_t>(size())); }
+  void wait_until_healthy() const { wait_until_healthy(all(), static_cast<std::size_t>(size())); }
   std::size_t alive_seen_by(int i) const {
     const std::string text = members_seen_by(i);
     std::size_t alive = 0;
@@ -181,16 +181,16 @@
       ++alive;
     return alive;
   }
-  // How often these members saw any zone declared out. Figures, not log lines: those have a bound a second.
+  // How often these members saw any zone decided out. Statistics, since log lines have a bound a second.
   long declared_out(const std::vector<int>& who) const {
     long n = 0;
-    for (const int i : who) n += figure(console(i), "fleet.declared_out");
+    for (const int i : who) n += statistic(console(i), "fleet.declared_out");
     return n;
   }
-  // What happens is waited for, not timed: three times the harness's patience, since nine processes under
-  // sanitizers on a busy machine are slow.
+  // Waits three times as long as the harness does elsewhere: nine processes under sanitizers on a busy
+  // machine are slow.
   template <typename F>
-  void wait(F&& done, int i) const {
+  void wait_until(F&& done, int i) const {
     const auto until = harness::clock::now() + std::chrono::milliseconds(3 * patience_ms);
     while (!done()) {
       if (harness::clock::now() > until)
@@ -200,7 +200,7 @@
     }
   }
 
-  std::unique_ptr<fleet_faults::relay> relay;
+  std::unique_ptr<cluster_faults::relay> relay;
 
  private:
   struct process {
@@ -209,16 +209,16 @@
     int number = 0;
     std::unique_ptr<node> n;
   };
-  struct one {
-    std::unique_ptr<process> now = std::make_unique<process>(), before;
+  struct member_slot {
+    std::unique_ptr<process> current = std::make_unique<process>(), replaced;
     std::atomic<int> port = 0;
     std::mutex guard;
   };
-  one& member(int i) const { return *members_[static_cast<std::size_t>(i)]; }
+  member_slot& member(int i) const { return *members_[static_cast<std::size_t>(i)]; }
 
   // Listens where clients connect: at `port`, or 0 for one of its own.
   void launch(int i, int port) {
-    process& p = *member(i).now;
+    process& p = *member(i).current;
     node_options o;
     o.quota = o.other_quota = 100000;
     o.operators = operators(i);
@@ -250,10 +250,10 @@
     return o.str();
   }
 
-  fleet_options options_;
+  test_cluster_options options_;
   std::vector<int> udp_;
-  std::vector<std::unique_ptr<one>> members_;
+  std::vector<std::unique_ptr<member_slot>> members_;
   std::atomic<int> launched_ = 0;
 };
 
-}  // namespace fleet_faults
+}  // namespace cluster_faults
--- a/tests/cluster/relay.hpp
+++ b/tests/cluster/relay.hpp
@@ -1,4 +1,4 @@
-// A fault relay between the nodes of a fleet, in userspace on loopback: each node advertises a port of the
+// A fault relay between the nodes of a cluster, in userspace on loopback: each node advertises a port of the
 // relay, which passes datagrams on to the node's own port unless the faults set say otherwise.
 //
 // Faults: links cut one way or both (between nodes or whole zones), a share of datagrams lost, a share sent
@@ -26,7 +26,7 @@
 
 #include "../check.hpp"
 
-namespace fleet_faults {
+namespace cluster_faults {
 
 class relay {
  public:
@@ -170,4 +170,4 @@
   std::thread thread_;
 };
 
-}  // namespace fleet_faults
+}  // namespace cluster_faults
--- a/tests/cluster/routed.hpp
+++ b/tests/cluster/routed.hpp
@@ -1,25 +1,26 @@
-// A fleet of nine in three zones whose node 0 gathers from a stand-in beside each member: where its calls go.
+// A cluster of nine nodes in three zones whose node 0 calls a fake upstream beside each member: where its
+// calls go.
 #pragma once
 
 #include "../net/uwsgi_peer.hpp"
 #include "../peers/uwsgi_server.hpp"
 #include "fleet.hpp"
 
-namespace fleet_faults {
+namespace cluster_faults {
 
-// Node 0 gathers `kurse` from a stand-in beside each of the nine members.
-struct routed {
-  routed() {
+// Node 0 calls the upstream `kurse`, which has an endpoint beside each of the nine members.
+struct locality_cluster {
+  locality_cluster() {
     for (int i = 0; i < 9; ++i)
       at.push_back(std::make_unique<peers::uwsgi_server>([](const peers::uwsgi_request&) {
         return peers::reaction{0us, peers::manner::whole, "101.42"};
       }));
-    fleet_options o;
+    test_cluster_options o;
     o.regions = {"r0", "r0", "r1"};
     // Address of a member known only once the relay is up: the places are zones here, members where
     // `by_member`.
     o.operators = [this](int i) { return i == 0 ? front() : std::string(); };
-    f = std::make_unique<fleet>(o);
+    f = std::make_unique<test_cluster>(o);
   }
   std::string front() const {
     std::ostringstream o;
@@ -31,8 +32,8 @@
       << "part kurse {\n class = kurs-abfrage\n from = kurse\n required = yes\n}\n";
     return o.str();
   }
-  // Calls that each of the nine stand-ins got of `n` requests, one after the other.
-  std::vector<int> ask(int n, bool all_well = true) {
+  // Sends `n` requests one after the other, and returns the calls that each of the nine endpoints received.
+  std::vector<int> count_calls(int n, bool all_well = true) {
     std::vector<int> before, got;
     for (const auto& s : at) before.push_back(s->requests);
     for (int i = 0; i < n; ++i) {
@@ -56,7 +57,7 @@
   int port = free_port();
   std::string places = "z0, z0, z0, z1, z1, z1, z2, z2, z2";
   std::vector<std::unique_ptr<peers::uwsgi_server>> at;
-  std::unique_ptr<fleet> f;
+  std::unique_ptr<test_cluster> f;
 };
 
-}  // namespace fleet_faults
+}  // namespace cluster_faults
--- a/tests/net/budgets_test.cpp
+++ b/tests/net/budgets_test.cpp
@@ -1,5 +1,5 @@
-// Wholes divided among nine price nodes on loopback, with faults between the processes; an auditor sums what
-// their logs say was in force at every instant (ctest -L quota).
+// Quotas divided among nine price nodes on loopback, with faults between the processes; an audit adds up the
+// shares that their logs show in force at every instant (ctest -L quota).
 #include <filesystem>
 #include <map>
 
@@ -9,180 +9,178 @@
 #include "uwsgi_peer.hpp"
 
 using namespace harness;
-using namespace fleet_faults;
+using namespace cluster_faults;
 
 namespace {
 
-// The allocator killed in the middle of its rounds: the next one goes on; then the first comes back.
+// The leader is killed: the next one goes on; then the first restarts.
 void allocator_killed() {
-  shared_fleet s;
-  s.all_want(400);
-  s.settled(everyone());
+  quota_cluster s;
+  s.set_all_demand(400);
+  s.wait_for_fair_shares(all_nodes());
   const int first = s.leader(), other = (first + 1) % 9;
   s.kill(first);
-  s.f->wait([&] { return s.leader() >= 0 && s.leader() != first; }, other);
-  s.settled(without({first}));
+  s.f->wait_until([&] { return s.leader() >= 0 && s.leader() != first; }, other);
+  s.wait_for_fair_shares(without({first}));
   s.f->start(first);
-  s.settled(everyone());
+  s.wait_for_fair_shares(all_nodes());
   s.audit();
 }
 
-// The allocator cut off from half of the fleet, in the half without a majority: that half falls to its safe
-// share, the other takes over; healed, all have their part again.
+// Partition with the leader on the side without a majority: that side falls to its guaranteed shares, the
+// other takes over; healed, all have their fair shares again.
 void allocator_cut_off() {
-  shared_fleet s;
-  s.all_want(400);
-  s.settled(everyone());
+  quota_cluster s;
+  s.set_all_demand(400);
+  s.wait_for_fair_shares(all_nodes());
   const int first = s.leader();
   const std::set<int> side = {first, (first + 1) % 9, (first + 2) % 9, (first + 3) % 9};
   s.cut(side);
-  for (const int i : side) s.f->wait([&] { return s.share(i) == 1; }, i);
-  for (const int i : without(side)) s.f->wait([&] { return s.share(i) > 14; }, i);
+  for (const int i : side) s.f->wait_until([&] { return s.share(i) == 1; }, i);
+  for (const int i : without(side)) s.f->wait_until([&] { return s.share(i) > 14; }, i);
   s.f->relay->heal();
-  s.settled(everyone());
+  s.wait_for_fair_shares(all_nodes());
   s.audit();
 }
 
-// Paused past its lease and resumed: it acts on the safe share at once, and not an instant on the old one. It
-// is cut off while it wakes, so that no renewal hides what it goes by.
+// Paused past its lease and resumed: it acts on the guaranteed share at once, and at no instant on the old
+// one. It is cut off when it resumes, so that no renewal hides which share it acts on.
 void paused() {
-  shared_fleet s;
-  s.all_want(400);
-  s.settled(everyone());
+  quota_cluster s;
+  s.set_all_demand(400);
+  s.wait_for_fair_shares(all_nodes());
   s.f->at(7).signal(SIGSTOP);
-  s.f->wait([&] { return s.share(8) > 10.2; }, 8);  // the others have its part
+  s.f->wait_until([&] { return s.share(8) > 10.2; }, 8);  // the others have its part
   s.cut({7});
   s.f->at(7).signal(SIGCONT);
   for (int look = 0; look < 10; ++look) {
-    CHECK(s.share(7) == s.safe);
+    CHECK(s.share(7) == s.guaranteed_share);
     std::this_thread::sleep_for(30ms);
   }
   s.f->relay->heal();
-  s.settled(everyone());
+  s.wait_for_fair_shares(all_nodes());
   s.audit();
 }
 
-// Three clocks as fast as the bound allows, three as slow, shares moving all the time.
+// Three clocks as fast as the drift allows, three as slow, shares moving all the time.
 void clocks_apart() {
-  shared_fleet s({.drift = 0.05, .rate = [](int i) { return i % 3 == 0 ? 1.05 : i % 3 == 1 ? 0.95 : 1.0; }});
+  quota_cluster s({.drift = 0.05, .rate = [](int i) { return i % 3 == 0 ? 1.05 : i % 3 == 1 ? 0.95 : 1.0; }});
   for (int round = 0; round < 6; ++round) {
-    for (int i = 0; i < 9; ++i) s.want(i, (i + round) % 3 == 0 ? 400 : 1);
+    for (int i = 0; i < 9; ++i) s.set_demand(i, (i + round) % 3 == 0 ? 400 : 1);
     if (round == 2) s.kill(0);  // whoever leads or not, here it is one with a fast clock
     if (round == 3) s.f->start(0);
     if (round == 4) s.f->at(5).signal(SIGSTOP);
     if (round == 5) s.f->at(5).signal(SIGCONT);
     std::this_thread::sleep_for(1500ms);
   }
-  s.all_want(400);
-  s.settled(everyone());
+  s.set_all_demand(400);
+  s.wait_for_fair_shares(all_nodes());
   s.audit();
 }
 
-// Nine nodes join at once: none knows the others, each asks for far more than its part.
+// Nine nodes join at once: none knows the others, each has demand for far more than its share.
 void all_join() {
-  shared_fleet s;
-  s.all_want(400);
-  s.settled(everyone());
+  quota_cluster s;
+  s.set_all_demand(400);
+  s.wait_for_fair_shares(all_nodes());
   s.audit();
 }
 
-// Half of the fleet leaves at once: five are still a majority, and have all of the whole but the safe shares
-// after a while.
+// Four nodes die at once: five are still a majority, and after a while have all but the guaranteed shares of
+// the others.
 void half_leaves() {
-  shared_fleet s;
-  s.all_want(400);
-  s.settled(everyone());
+  quota_cluster s;
+  s.set_all_demand(400);
+  s.wait_for_fair_shares(all_nodes());
   for (const int i : {1, 3, 5, 7}) s.kill(i);
-  s.f->wait([&] { return s.share(0) > 14 && s.share(8) > 14; }, 0);
+  s.f->wait_until([&] { return s.share(0) > 14 && s.share(8) > 14; }, 0);
   s.audit();
 }
 
-// A burst on one node while the others idle: its share grows to nearly the whole within a few renewals; when
-// the others wake it is divided.
+// A burst on one node while the others idle: its share grows to nearly the limit within a few renewals; when
+// the others have demand too, it is divided.
 void burst() {
-  shared_fleet s;
-  s.f->wait([&] { return s.leader() >= 0 && s.lease_stands(4); }, 0);
-  s.want(4, 400);
-  s.f->wait([&] { return s.share(4) > 55; }, 4);
-  s.all_want(400);
-  s.settled(everyone());
+  quota_cluster s;
+  s.f->wait_until([&] { return s.leader() >= 0 && s.lease_stands(4); }, 0);
+  s.set_demand(4, 400);
+  s.f->wait_until([&] { return s.share(4) > 55; }, 4);
+  s.set_all_demand(400);
+  s.wait_for_fair_shares(all_nodes());
   s.audit();
 }
 
-// Far more is wanted on every node than there is: what is in force is nearly the whole, the rest is refused
-// at once with the time to come back.
+// Demand far above the limit on every node: the shares in force are nearly the limit, the rest is rejected at
+// once with a retry-after.
 void far_above() {
-  shared_fleet s;
-  s.all_want(900);
-  s.settled(everyone());
-  CHECK(s.sum() >= 0.9 * shared_fleet::whole);
-  CHECK(s.refused(2) > 0 && s.latest_refusal_ms() < 1000);
+  quota_cluster s;
+  s.set_all_demand(900);
+  s.wait_for_fair_shares(all_nodes());
+  CHECK(s.sum() >= 0.9 * quota_cluster::global_limit);
+  CHECK(s.rejected(2) > 0 && s.longest_rejection_ms() < 1000);
   s.audit();
 }
 
-// The whole is of runs in flight: what all runtimes have at one instant never passes it, while the allocator
-// is cut off with three others, a node is paused and another is killed and started anew; with demand far
-// above it is nearly used up.
+// A quota of runs in flight: the runs of all runtimes never exceed it, while the leader is cut off with three
+// others, a node is paused and another is killed and restarted; with demand far above, it is nearly used up.
 void runs_in_flight() {
-  shared_fleet s({.run_ms = 150});
-  s.all_want(400);
-  s.settled(everyone());
-  s.f->wait([&] { return s.in_flight() > 0.75 * shared_fleet::whole; }, 0);
+  quota_cluster s({.run_ms = 150});
+  s.set_all_demand(400);
+  s.wait_for_fair_shares(all_nodes());
+  s.f->wait_until([&] { return s.in_flight() > 0.75 * quota_cluster::global_limit; }, 0);
   const int first = s.leader();
   const std::set<int> side = {first, (first + 1) % 9, (first + 2) % 9, (first + 3) % 9};
   s.cut(side);
-  for (const int i : without(side)) s.f->wait([&] { return s.share(i) > 14; }, i);
+  for (const int i : without(side)) s.f->wait_until([&] { return s.share(i) > 14; }, i);
   s.f->relay->heal();
-  s.settled(everyone());
+  s.wait_for_fair_shares(all_nodes());
   s.f->at(7).signal(SIGSTOP);
-  s.f->wait([&] { return s.share(8) > 10.2; }, 8);
+  s.f->wait_until([&] { return s.share(8) > 10.2; }, 8);
   s.f->at(7).signal(SIGCONT);
   s.kill(2);
-  s.f->wait([&] { return s.share(3) > 10.2; }, 3);
+  s.f->wait_until([&] { return s.share(3) > 10.2; }, 3);
   s.f->start(2);
-  s.settled(everyone());
-  s.f->wait([&] { return s.in_flight() > 0.75 * shared_fleet::whole; }, 0);
-  std::printf("most in flight at one instant: %d of %.0f\n", s.most_in_flight(), shared_fleet::whole);
-  CHECK(s.most_in_flight() <= shared_fleet::whole);
+  s.wait_for_fair_shares(all_nodes());
+  s.f->wait_until([&] { return s.in_flight() > 0.75 * quota_cluster::global_limit; }, 0);
+  std::printf("most in flight at one instant: %d of %.0f\n", s.most_in_flight(), quota_cluster::global_limit);
+  CHECK(s.most_in_flight() <= quota_cluster::global_limit);
   s.audit();
 }
 
-// Nodes replaced one after another by second processes, the one that allocates among them, while far more
-// runs are wanted than there may be: for a while two processes of a member run side by side, and what all of
-// them have in flight stays within the whole all the same.
+// Hot restarts of one node after another, the leader among them, with demand far above the limit: for a while
+// two processes of a member run side by side, and the runs of all of them stay within the limit all the same.
 void replaced() {
-  shared_fleet s({.run_ms = 150, .safe = 5});
-  s.all_want(400);
-  s.settled(everyone());
+  quota_cluster s({.run_ms = 150, .guaranteed_share = 5});
+  s.set_all_demand(400);
+  s.wait_for_fair_shares(all_nodes());
   const int first = s.leader();
   for (const int i : {first, (first + 1) % 9, (first + 2) % 9}) {
     s.replace(i, [] { std::this_thread::sleep_for(2s); });  // past the lease, and past a suspicion
-    s.settled(everyone());
+    s.wait_for_fair_shares(all_nodes());
   }
-  CHECK(s.f->declared_out(everyone()) == 0);
-  std::printf("most in flight at one instant: %d of %.0f\n", s.most_in_flight(), shared_fleet::whole);
-  CHECK(s.most_in_flight() <= shared_fleet::whole);
+  CHECK(s.f->declared_out(all_nodes()) == 0);
+  std::printf("most in flight at one instant: %d of %.0f\n", s.most_in_flight(), quota_cluster::global_limit);
+  CHECK(s.most_in_flight() <= quota_cluster::global_limit);
   s.audit();
 }
 
-// Nodes killed and started anew at once, with runs longer than that takes: what the process before left at
-// the runtime still counts, its safe share too.
+// Nodes killed and restarted at once, with runs longer than that takes: runs that the process before left at
+// the runtime still count, those in its guaranteed share too.
 void restarted_at_once() {
-  shared_fleet s({.run_ms = 700, .safe = 5});
-  s.all_want(400);
-  s.settled(everyone());
-  s.f->wait([&] { return s.in_flight() > 0.75 * shared_fleet::whole; }, 0);
+  quota_cluster s({.run_ms = 700, .guaranteed_share = 5});
+  s.set_all_demand(400);
+  s.wait_for_fair_shares(all_nodes());
+  s.f->wait_until([&] { return s.in_flight() > 0.75 * quota_cluster::global_limit; }, 0);
   for (const int i : {2, 5, 8}) {
     s.kill(i);
     s.f->start(i);
   }
-  s.settled(everyone());
-  std::printf("most in flight at one instant: %d of %.0f\n", s.most_in_flight(), shared_fleet::whole);
-  CHECK(s.most_in_flight() <= shared_fleet::whole);
+  s.wait_for_fair_shares(all_nodes());
+  std::printf("most in flight at one instant: %d of %.0f\n", s.most_in_flight(), quota_cluster::global_limit);
+  CHECK(s.most_in_flight() <= quota_cluster::global_limit);
   s.audit();
 }
 
-// Of an operator's file: kurs-meldung is a write over the dependency kurse and another participant.
+// Part of an operator's file: kurs-meldung is a transaction over the upstream kurse and another participant.
 std::string written(const std::string& folder, const std::string& other) {
   return "dependency buch {\n endpoints = {\"" + other +
          "\"}\n}\nclass kurs-meldung {\n uwsgi_values = {\"/kurs/liste\"}\n keyed = yes\n window = 10m\n"
@@ -191,10 +189,10 @@
          "-writes\"\n step_var = STEP\n id_var = WRITE_ID\n retry = 60ms\n longest_retry = 200ms\n}\n";
 }
 
-// The whole is of calls in flight at a dependency that all nine nodes gather from: the stand-in counts what
-// is open at one instant, while the allocator is killed and started anew and a node is paused; far more is
-// wanted all the time.
-// `writes`: the dependency is a participant of writes, whose steps count as much.
+// A quota of calls in flight at an upstream that all nine nodes call: the fake upstream counts the calls that
+// are open at one instant, while the leader is killed and restarted and a node is paused, with demand far
+// above the limit all the time. `writes`: the upstream is a participant of transactions, whose steps count as
+// much.
 void calls_in_flight(bool writes) {
   constexpr int most = 45, each = 15;
   peers::uwsgi_server source([](const peers::uwsgi_request&) {
@@ -205,7 +203,7 @@
   CHECK(::mkdtemp(folders) != nullptr);
   std::vector<int> ports;
   for (int i = 0; i < 9; ++i) ports.push_back(free_port());
-  fleet_options o;
+  test_cluster_options o;
   o.operators = [&](int i) {
     std::ostringstream t;
     t << "uwsgi {\n listen = \"" << own_host() << ":" << ports[static_cast<std::size_t>(i)]
@@ -221,7 +219,7 @@
     return t.str();
   };
   o.edit = [](int, node_options& n) { n.cores = 128; };
-  fleet f(o);
+  test_cluster f(o);
   std::atomic<bool> over = false;
   std::vector<std::thread> callers;
   for (int i = 0; i < 9 * each; ++i) {
@@ -243,24 +241,24 @@
       }
     });
   }
-  f.whole();
+  f.wait_until_healthy();
   const auto leader = [&] {
     for (int i = 0; i < 9; ++i)
-      if (figure(f.console(i), "budgets.leads") == 1) return i;
+      if (statistic(f.console(i), "budgets.leads") == 1) return i;
     return -1;
   };
-  f.wait([&] { return source.most_open > 0.7 * most; }, 0);
-  f.wait([&] { return leader() >= 0; }, 0);
+  f.wait_until([&] { return source.most_open > 0.7 * most; }, 0);
+  f.wait_until([&] { return leader() >= 0; }, 0);
   const int first = leader();
   CHECK(first >= 0);
   f.kill(first);
   std::this_thread::sleep_for(3s);
   f.start(first);
-  f.whole();
+  f.wait_until_healthy();
   f.at(4).signal(SIGSTOP);
   std::this_thread::sleep_for(2500ms);
   f.at(4).signal(SIGCONT);
-  f.whole();
+  f.wait_until_healthy();
   std::this_thread::sleep_for(2s);
   over = true;
   for (std::thread& t : callers) t.join();
--- a/tools/fleet/experiments.hpp
+++ b/tools/fleet/experiments.hpp
@@ -1,9 +1,9 @@
-// Experiments on fleets of real processes on loopback: what the tool writes as tables and the measurement
-// sums up.
+// Experiments on clusters of real processes on loopback: the tool writes their results as tables, the bench
+// summarises them.
 //
-// Each fleet is nine processes in three zones behind the tests' fault relay; several fleets run side by side,
-// each on a thread of its own. All randomness from the seed given. Times are the steady clock's, in
-// milliseconds.
+// Each cluster has nine processes in three zones behind the tests' fault relay; several clusters run side by
+// side, each on a thread of its own. All randomness comes from the given seed. Times are the steady clock's,
+// in milliseconds.
 #pragma once
 
 #include <atomic>
@@ -15,9 +15,9 @@
 
 #include "../../tests/cluster/routed.hpp"
 
-namespace fleet_experiments {
+namespace cluster_experiments {
 
-using namespace fleet_faults;
+using namespace cluster_faults;
 
 inline double ms(harness::clock::duration d) {
   return std::chrono::duration<double, std::milli>(d).count();
@@ -27,10 +27,10 @@
 struct zone_loss {
   int fleet = 0, fault = 0, zone = 0;
   std::string how;       // killed, cut (both ways), one_way
-  double first_ms = 0;   // from the fault until the first member says the zone out
+  double first_ms = 0;   // from the fault until the first member shows the zone out
   double agreed_ms = 0;  // ... until every member of the other zones does
-  double back_ms = 0;    // from the heal or restart until all say in and all know all
-  long wrong = 0;        // verdicts on a zone that was well
+  double back_ms = 0;    // from the heal or restart until all show it in and know all members
+  long wrong = 0;        // decisions against a healthy zone
 };
 
 // `faults` of them over `fleets` fleets side by side.
@@ -39,13 +39,13 @@
   std::mutex guard, starting;
   std::atomic<int> next = 0;
   const auto run = [&](int number) {
-    std::unique_ptr<fleet> f;
+    std::unique_ptr<test_cluster> f;
     {
-      // One after the other: ports are found free, then bound.
+      // One after the other: ports are first found free, then bound.
       const std::lock_guard lock(starting);
-      f = std::make_unique<fleet>(fleet_options{.probe_ms = probe_ms});
+      f = std::make_unique<test_cluster>(test_cluster_options{.probe_ms = probe_ms});
     }
-    f->whole();
+    f->wait_until_healthy();
     for (int fault; (fault = next++) < faults;) {
       std::mt19937_64 random(seed_of_all * 1000 + static_cast<std::uint64_t>(fault));
       zone_loss row{number, fault, static_cast<int>(random() % 3), ""};
@@ -70,7 +70,7 @@
       std::vector<int> waiting = others;
       while (!waiting.empty()) {
         std::erase_if(waiting, [&](int i) {
-          const bool out = f->says(i, row.zone, true);
+          const bool out = f->sees_zone(i, row.zone, true);
           if (out && row.first_ms == 0) row.first_ms = ms(harness::clock::now() - begun);
           return out;
         });
@@ -83,7 +83,7 @@
       f->relay->heal();
       if (row.how == "killed")
         for (const int i : f->members_of(row.zone, row.zone + 1)) f->start(i);
-      f->whole();
+      f->wait_until_healthy();
       row.back_ms = ms(harness::clock::now() - healed);
       const std::lock_guard lock(guard);
       rows.push_back(row);
@@ -97,40 +97,40 @@
   return rows;
 }
 
-// One look at all members of a fleet under loss.
-struct lossy_look {
+// One sample of all members of a cluster under loss.
+struct lossy_sample {
   int fleet = 0;
   double second = 0;
   long suspect = 0,
        dead = 0;          // views of members that are not alive, over all members; all are alive in truth
-  long declared_out = 0;  // verdicts, over all members since the start
+  long declared_out = 0;  // decisions, over all members since the start
   long worst_local_health = 0;
 };
 
-inline std::vector<lossy_look> lossy(double loss, double twice, std::chrono::milliseconds delay, int seconds,
-                                     int fleets, int probe_ms) {
-  std::vector<lossy_look> rows;
+inline std::vector<lossy_sample> lossy(double loss, double twice, std::chrono::milliseconds delay,
+                                       int seconds, int fleets, int probe_ms) {
+  std::vector<lossy_sample> rows;
   std::mutex guard, starting;
   const auto run = [&](int number) {
-    std::unique_ptr<fleet> f;
+    std::unique_ptr<test_cluster> f;
     {
       const std::lock_guard lock(starting);
-      f = std::make_unique<fleet>(fleet_options{.probe_ms = probe_ms});
+      f = std::make_unique<test_cluster>(test_cluster_options{.probe_ms = probe_ms});
     }
-    f->whole();
+    f->wait_until_healthy();
     f->relay->lose(loss);
     f->relay->duplicate(twice);
     f->relay->delay(delay);
     const auto begun = harness::clock::now();
     while (harness::clock::now() - begun < std::chrono::seconds(seconds)) {
       std::this_thread::sleep_for(250ms);
-      lossy_look row{number, ms(harness::clock::now() - begun) / 1000};
+      lossy_sample row{number, ms(harness::clock::now() - begun) / 1000};
       for (const int i : f->all()) {
         const int console = f->console(i);
-        row.suspect += figure(console, "fleet.members_suspect");
-        row.dead += figure(console, "fleet.members_dead");
-        row.declared_out += figure(console, "fleet.declared_out");
-        row.worst_local_health = std::max(row.worst_local_health, figure(console, "fleet.local_health"));
+        row.suspect += statistic(console, "fleet.members_suspect");
+        row.dead += statistic(console, "fleet.members_dead");
+        row.declared_out += statistic(console, "fleet.declared_out");
+        row.worst_local_health = std::max(row.worst_local_health, statistic(console, "fleet.local_health"));
       }
       const std::lock_guard lock(guard);
       rows.push_back(row);
@@ -142,12 +142,12 @@
   return rows;
 }
 
-// Share of routed calls that stay in the caller's zone while all is well.
+// Fraction of routed calls that stay in the caller's zone while all is healthy.
 inline double share_in_zone(int calls) {
-  routed r;
-  r.f->whole();
-  const std::vector<int> got = r.ask(calls);
-  return static_cast<double>(routed::sum(got, 0, 3)) / static_cast<double>(calls);
+  locality_cluster r;
+  r.f->wait_until_healthy();
+  const std::vector<int> got = r.count_calls(calls);
+  return static_cast<double>(locality_cluster::sum(got, 0, 3)) / static_cast<double>(calls);
 }
 
-}  // namespace fleet_experiments
+}  // namespace cluster_experiments
--- a/tools/fleet/main.cpp
+++ b/tools/fleet/main.cpp
@@ -13,7 +13,7 @@
 
 #include "experiments.hpp"
 
-using namespace fleet_experiments;
+using namespace cluster_experiments;
 
 namespace {
 
@@ -82,85 +82,121 @@
   std::printf("%zu rows in %s.csv and %s.h5\n", t.columns.front().values.size(), out.c_str(), out.c_str());
 }
 
-}  // namespace
-
-int main(int argc, char** argv) {
-  CLI::App app("Experiments on fleets of nine price nodes on loopback, with faults between them");
-  app.require_subcommand(1);
-  app.footer(
-      "MARBLEWHARF_SEED sets the seed (1 where it is not set).\n"
-      "  marblewharf_fleet losses --faults 50 --out /tmp/losses\n"
-      "  marblewharf_fleet lossy --loss 0.2 --seconds 120 --out /tmp/lossy");
+struct experiment_options {
   std::string out = "fleet";
-  int faults = 10, fleets = 2, probe_ms = 100, seconds = 30, delay_ms = 30;
-  double loss = 0.2, twice = 0.1;
-  CLI::App* losses =
+  int faults = 10;
+  int fleets = 2;
+  int probe_ms = 100;
+  int seconds = 30;
+  int delay_ms = 30;
+  double loss = 0.2;
+  double duplicated = 0.1;
+};
+
+void add_common_options(CLI::App& command, experiment_options& options) {
+  command.add_option("--out", options.out, "results go to OUT.csv, OUT.h5, OUT.gp, OUT.png")
+      ->capture_default_str();
+  command.add_option("--fleets", options.fleets, "fleets side by side")
+      ->capture_default_str()
+      ->check(CLI::Range(1, 16));
+  command.add_option("--probe-ms", options.probe_ms, "probe interval")
+      ->capture_default_str()
+      ->check(CLI::Range(10, 5000));
+}
+
+CLI::App* add_losses_command(CLI::App& app, experiment_options& options) {
+  CLI::App* const command =
       app.add_subcommand("losses", "zones lost and back: time until all agree, time until all is whole");
-  CLI::App* loss_run = app.add_subcommand(
-      "lossy", "datagrams lost, sent twice and delayed: what is believed of healthy members");
-  for (CLI::App* c : {losses, loss_run}) {
-    c->add_option("--out", out, "results go to OUT.csv, OUT.h5, OUT.gp, OUT.png")->capture_default_str();
-    c->add_option("--fleets", fleets, "fleets side by side")->capture_default_str()->check(CLI::Range(1, 16));
-    c->add_option("--probe-ms", probe_ms, "probe interval")
-        ->capture_default_str()
-        ->check(CLI::Range(10, 5000));
-  }
-  losses->add_option("--faults", faults, "zones lost in all")
+  add_common_options(*command, options);
+  command->add_option("--faults", options.faults, "zones lost in all")
       ->capture_default_str()
       ->check(CLI::Range(1, 100000));
-  loss_run->add_option("--seconds", seconds, "length")->capture_default_str()->check(CLI::Range(1, 86400));
-  loss_run->add_option("--loss", loss, "share of datagrams lost")
+  return command;
+}
+
+CLI::App* add_lossy_command(CLI::App& app, experiment_options& options) {
+  CLI::App* const command = app.add_subcommand(
+      "lossy", "datagrams lost, sent twice and delayed: what is believed of healthy members");
+  add_common_options(*command, options);
+  command->add_option("--seconds", options.seconds, "length")
+      ->capture_default_str()
+      ->check(CLI::Range(1, 86400));
+  command->add_option("--loss", options.loss, "share of datagrams lost")
       ->capture_default_str()
       ->check(CLI::Range(0.0, 1.0));
-  loss_run->add_option("--twice", twice, "share sent twice")
+  command->add_option("--twice", options.duplicated, "share sent twice")
       ->capture_default_str()
       ->check(CLI::Range(0.0, 1.0));
-  loss_run->add_option("--delay-ms", delay_ms, "longest delay of a datagram")
+  command->add_option("--delay-ms", options.delay_ms, "longest delay of a datagram")
       ->capture_default_str()
       ->check(CLI::Range(0, 10000));
+  return command;
+}
+
+void run_losses(const experiment_options& options) {
+  using row = zone_loss;
+  const auto rows = zone_losses(options.faults, options.fleets, options.probe_ms, seed());
+  const table results = table_of<row>("losses", rows,
+                                      {{"fault", [](const row& r) { return r.fault; }},
+                                       {"fleet", [](const row& r) { return r.fleet; }},
+                                       {"zone", [](const row& r) { return r.zone; }},
+                                       {"killed", [](const row& r) { return r.how == "killed"; }},
+                                       {"one_way", [](const row& r) { return r.how == "one_way"; }},
+                                       {"first_ms", [](const row& r) { return r.first_ms; }},
+                                       {"agreed_ms", [](const row& r) { return r.agreed_ms; }},
+                                       {"back_ms", [](const row& r) { return r.back_ms; }},
+                                       {"wrong", [](const row& r) { return static_cast<double>(r.wrong); }}});
+  const std::string csv = options.out + ".csv'";
+  write_all(options.out, results,
+            "set xlabel 'fault'\nset ylabel 'ms'\nplot '" + csv +
+                " using 1:7 with points title 'all agree', '" + csv +
+                " using 1:8 with points title 'whole again'");
+}
+
+void run_lossy(const experiment_options& options) {
+  using row = lossy_sample;
+  const auto rows = lossy(options.loss, options.duplicated, std::chrono::milliseconds(options.delay_ms),
+                          options.seconds, options.fleets, options.probe_ms);
+  const table results = table_of<row>(
+      "lossy", rows,
+      {{"second", [](const row& r) { return r.second; }},
+       {"fleet", [](const row& r) { return r.fleet; }},
+       {"suspect", [](const row& r) { return static_cast<double>(r.suspect); }},
+       {"dead", [](const row& r) { return static_cast<double>(r.dead); }},
+       {"declared_out", [](const row& r) { return static_cast<double>(r.declared_out); }},
+       {"local_health", [](const row& r) { return static_cast<double>(r.worst_local_health); }}});
+  const std::string csv = options.out + ".csv'";
+  write_all(options.out, results,
+            "set xlabel 'second'\nset ylabel 'views'\nplot '" + csv +
+                " using 1:3 with points title 'suspect', '" + csv + " using 1:4 with points title 'dead', '" +
+                csv + " using 1:5 with points title 'zones declared out'");
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  CLI::App app("Experiments on fleets of nine price nodes on loopback, with faults between them");
+  app.require_subcommand(1);
+  app.footer(
+      "MARBLEWHARF_SEED sets the seed (1 where it is not set).\n"
+      "  marblewharf_fleet losses --faults 50 --out /tmp/losses\n"
+      "  marblewharf_fleet lossy --loss 0.2 --seconds 120 --out /tmp/lossy");
+  experiment_options options;
+  CLI::App* const losses = add_losses_command(app, options);
+  add_lossy_command(app, options);
   CLI11_PARSE(app, argc, argv);
   std::printf("seed %llu\n", static_cast<unsigned long long>(seed()));
   try {
     if (losses->parsed()) {
-      const auto rows = zone_losses(faults, fleets, probe_ms, seed());
-      using row = zone_loss;
-      write_all(out,
-                table_of<row>("losses", rows,
-                              {{"fault", [](const row& r) { return r.fault; }},
-                               {"fleet", [](const row& r) { return r.fleet; }},
-                               {"zone", [](const row& r) { return r.zone; }},
-                               {"killed", [](const row& r) { return r.how == "killed"; }},
-                               {"one_way", [](const row& r) { return r.how == "one_way"; }},
-                               {"first_ms", [](const row& r) { return r.first_ms; }},
-                               {"agreed_ms", [](const row& r) { return r.agreed_ms; }},
-                               {"back_ms", [](const row& r) { return r.back_ms; }},
-                               {"wrong", [](const row& r) { return static_cast<double>(r.wrong); }}}),
-                "set xlabel 'fault'\nset ylabel 'ms'\nplot '" + out +
-                    ".csv' using 1:7 with points title 'all agree', '" + out +
-                    ".csv' using 1:8 with points title 'whole again'");
+      run_losses(options);
     } else {
-      const auto rows = lossy(loss, twice, std::chrono::milliseconds(delay_ms), seconds, fleets, probe_ms);
-      using row = lossy_look;
-      write_all(
-          out,
-          table_of<row>(
-              "lossy", rows,
-              {{"second", [](const row& r) { return r.second; }},
-               {"fleet", [](const row& r) { return r.fleet; }},
-               {"suspect", [](const row& r) { return static_cast<double>(r.suspect); }},
-               {"dead", [](const row& r) { return static_cast<double>(r.dead); }},
-               {"declared_out", [](const row& r) { return static_cast<double>(r.declared_out); }},
-               {"local_health", [](const row& r) { return static_cast<double>(r.worst_local_health); }}}),
-          "set xlabel 'second'\nset ylabel 'views'\nplot '" + out +
-              ".csv' using 1:3 with points title 'suspect', '" + out +
-              ".csv' using 1:4 with points title 'dead', '" + out +
-              ".csv' using 1:5 with points title 'zones declared out'");
+      run_lossy(options);
     }
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "marblewharf_fleet: %s\n", e.what());
+  } catch (const std::exception& fault) {
+    std::fprintf(stderr, "marblewharf_fleet: %s\n", fault.what());
     return 1;
-  } catch (const H5::Exception& e) {
-    std::fprintf(stderr, "marblewharf_fleet: %s.h5: %s\n", out.c_str(), e.getCDetailMsg());
+  } catch (const H5::Exception& fault) {
+    std::fprintf(stderr, "marblewharf_fleet: %s.h5: %s\n", options.out.c_str(), fault.getCDetailMsg());
     return 1;
   }
   return 0;
