--- a/src/config/sections/parts.cpp
+++ b/src/config/sections/parts.cpp
@@ -72,8 +72,7 @@
   try {
     upstream::check_plans(dependencies.plans, dependencies.rules);
   } catch (const upstream::plan_error& error) {
-    const std::string at_fault =
-        error.part_at < 0 ? "" : titles[error.plan][static_cast<std::size_t>(error.part_at)];
+    const std::string at_fault = error.part ? titles[error.plan][*error.part] : "";
     file.each("part", [&](const section& part, const std::string& title) {
       if (title == at_fault) part.fail("from", error.what());
     });
--- a/src/fan_out/state_machine.hpp
+++ b/src/fan_out/state_machine.hpp
@@ -46,7 +46,8 @@
 
 class state_machine {
  public:
-  // Throws upstream::plan_error for plans that check_plans() does not take. `cache_bytes`: of stale responses.
+  // Throws upstream::plan_error for plans that check_plans() does not take. `cache_bytes`: of stale
+  // responses.
   state_machine(std::vector<upstream::request_plan> plans,
                 const std::vector<upstream::dependency_rules>& rules, std::size_t cache_bytes,
                 std::uint64_t seed);
--- a/src/middleware/gathering.cpp
+++ b/src/middleware/gathering.cpp
@@ -140,9 +140,9 @@
     if (found == pending_.end()) return;
     gathered& result = found->second->result;
     result.complete = action.complete;
-    result.failed = action.missing_required >= 0;
+    result.failed = action.missing_required.has_value();
     for (fan_out::sub_response& each : action.parts)
-      result.parts.push_back({state_of(each.how), each.age, std::move(each.bytes)});
+      result.parts.push_back({state_of(each.state), each.age, std::move(each.bytes)});
     found->second->done = true;
   }
 
--- a/src/middleware/gathering_plan.cpp
+++ b/src/middleware/gathering_plan.cpp
@@ -71,7 +71,7 @@
     upstream::check_plans({plan}, rules_of(sources));
   } catch (const upstream::plan_error& fault) {
     std::string part;
-    if (fault.part_at >= 0) part = parts[static_cast<std::size_t>(fault.part_at)].name + " ";
+    if (fault.part) part = parts[*fault.part].name + " ";
     throw std::invalid_argument("part " + part + fault.what());
   }
   return {plan};
--- a/src/scheduler/headroom_meter.cpp
+++ b/src/scheduler/headroom_meter.cpp
@@ -11,8 +11,8 @@
 
 }  // namespace
 
-double headroom_meter::look(std::chrono::nanoseconds now, std::optional<double> cores_busy,
-                            std::size_t waiting) {
+double headroom_meter::evaluate(std::chrono::nanoseconds now, std::optional<double> cores_busy,
+                                std::size_t waiting) {
   if (waiting > 0) last_waiting_ = now;
   if (last_waiting_ && now - *last_waiting_ < options_.calm) return no_headroom;
   if (!cores_busy) return full_headroom;
--- a/src/scheduler/headroom_meter.hpp
+++ b/src/scheduler/headroom_meter.hpp
@@ -22,7 +22,7 @@
 
   // Returns the headroom, 0 none to 1 all. `cores_busy`: fraction of the cores, where it is known. `waiting`:
   // requests that are queued by admission.
-  double look(std::chrono::nanoseconds now, std::optional<double> cores_busy, std::size_t waiting);
+  double evaluate(std::chrono::nanoseconds now, std::optional<double> cores_busy, std::size_t waiting);
 
  private:
   headroom_options options_;
--- a/src/scheduler/pool.cpp
+++ b/src/scheduler/pool.cpp
@@ -164,7 +164,7 @@
 }
 
 void pool::report_overruns(time_point now) {
-  for (const job_figures& figures : scheduler_.figures(now)) {
+  for (const job_statistics& figures : scheduler_.figures(now)) {
     if (!figures.overrun) continue;
     const bool reported = std::exchange(jobs_.at(figures.id).overrun_reported, true);
     if (!reported) note_(figures.name, "a slice does not come to its end");
--- a/src/scheduler/pool.hpp
+++ b/src/scheduler/pool.hpp
@@ -2,7 +2,7 @@
 // that never holds more slices than there are workers.
 //
 // The owner's thread calls everything here; slices run on threads of the pool. A slice that does not return
-// keeps its worker: that is counted and reported (job_figures::overrun), and the other workers go on. The
+// keeps its worker: that is counted and reported (job_statistics::overrun), and the other workers go on. The
 // destructor waits a short while for it and then detaches its thread, so a job's work must own what it uses.
 #pragma once
 
@@ -45,7 +45,7 @@
   // Takes in the slices that ended and starts those that may run. `headroom`: as in
   // scheduler::set_headroom(). Returns when to call again.
   time_point step(time_point now, double headroom);
-  std::vector<job_figures> figures(time_point now) const { return scheduler_.figures(now); }
+  std::vector<job_statistics> figures(time_point now) const { return scheduler_.figures(now); }
 
  private:
   struct shared_state;
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -230,10 +230,10 @@
   return next;
 }
 
-std::vector<job_figures> scheduler::figures(time_point now) const {
-  std::vector<job_figures> all;
+std::vector<job_statistics> scheduler::figures(time_point now) const {
+  std::vector<job_statistics> all;
   for (const auto& [id, each] : jobs_) {
-    job_figures figures = each.figures;
+    job_statistics figures = each.figures;
     figures.id = id;
     figures.running = each.state != job_state::waiting;
     figures.due = is_due(each, now);
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -59,7 +59,7 @@
   std::uint64_t round = 0;  // how often the job has begun
 };
 
-struct job_figures {
+struct job_statistics {
   job_id id = 0;
   std::string name;
   std::uint64_t slices = 0, rounds = 0, failures = 0;  // rounds: how often it has begun
@@ -87,7 +87,7 @@
   // When pick() may have a slice, with the present headroom.
   time_point due(time_point now) const;
 
-  std::vector<job_figures> figures(time_point now) const;
+  std::vector<job_statistics> figures(time_point now) const;
   std::size_t running() const { return running_; }
   // False once the job was cancelled, or ran its one round.
   bool contains(job_id id) const { return jobs_.contains(id); }
@@ -107,7 +107,7 @@
     time_point slice_started{};
     duration failure_pause{};  // after the last slice, where it failed
     bool in_round = false;     // a slice of this round has run or is running
-    job_figures figures;
+    job_statistics figures;
   };
 
   void refill(time_point now);
--- a/tests/scheduler/scheduler_test.cpp
+++ b/tests/scheduler/scheduler_test.cpp
@@ -77,7 +77,7 @@
       while (const auto next = s.pick(now)) {
         RC_ASSERT(!out.contains(next->job));
         if (headroom == 0)
-          for (const sched::job_figures& f : s.figures(now)) RC_ASSERT(f.id != next->job || f.urgent);
+          for (const sched::job_statistics& f : s.figures(now)) RC_ASSERT(f.id != next->job || f.urgent);
         out[next->job] = {now + 2ms, *rc::gen::inRange(100, static_cast<int>(most_a_slice))};
         RC_ASSERT(out.size() <= o.workers);
       }
@@ -183,18 +183,18 @@
   CHECK(next);
   s.cancel(next->job);
   CHECK(s.contains(next->job));
-  for (const sched::job_figures& f : s.figures(66s)) CHECK(f.overrun == (f.id == next->job));
+  for (const sched::job_statistics& f : s.figures(66s)) CHECK(f.overrun == (f.id == next->job));
   s.on_end(next->job, sched::slice_end::more, {}, 67s);
   CHECK(!s.contains(next->job));
 }
 
 void headroom() {
   sched::headroom_meter m({.quiet = 0.5, .busy = 0.9, .calm = 1s});
-  CHECK(m.look(1s, 0.2, 0) == 1 && m.look(1s, 0.95, 0) == 0);
-  const double half = m.look(1s, 0.7, 0);
+  CHECK(m.evaluate(1s, 0.2, 0) == 1 && m.evaluate(1s, 0.95, 0) == 0);
+  const double half = m.evaluate(1s, 0.7, 0);
   CHECK(half > 0.45 && half < 0.55);
-  CHECK(m.look(2s, 0.1, 3) == 0 && m.look(2900ms, 0.1, 0) == 0 && m.look(3s, 0.1, 0) == 1);
-  CHECK(m.look(9s, std::nullopt, 0) == 1);
+  CHECK(m.evaluate(2s, 0.1, 3) == 0 && m.evaluate(2900ms, 0.1, 0) == 0 && m.evaluate(3s, 0.1, 0) == 1);
+  CHECK(m.evaluate(9s, std::nullopt, 0) == 1);
 }
 
 // Slices on real threads: never two of one job at once, notes come to the owner's thread, and a slice that
