--- a/src/json/json.cpp
+++ b/src/json/json.cpp
@@ -66,7 +66,7 @@
       if (peek() != '"') fail("a member name is missing");
       std::string name = read_string();
       expect(':', "a colon is missing");
-      v.members.emplace_back(std::move(name), read(depth + 1));
+      v.members.push_back({std::move(name), read(depth + 1)});
     } while (accept(','));
     expect('}', "an object does not end");
   }
--- a/src/json/json.hpp
+++ b/src/json/json.hpp
@@ -6,7 +6,6 @@
 #include <stdexcept>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <vector>
 
 namespace marblewharf::json {
@@ -17,16 +16,24 @@
 
 enum class kind { null, boolean, number, string, array, object };
 
+struct member;
+
 struct value {
   kind what = kind::null;
   std::string text;  // of a string, decoded; of a number or boolean, as written
   std::vector<value> items;
-  std::vector<std::pair<std::string, value>> members;
+  std::vector<member> members;
 
   // The member of that name; null where this is no object or has none.
   const value* find(std::string_view name) const;
 };
 
+// A name in an object, and what stands behind it.
+struct member {
+  std::string name;
+  value content;
+};
+
 // Reads one whole document. Throws bad_json with the byte at fault.
 value parse(std::string_view text);
 
--- a/src/store/log.cpp
+++ b/src/store/log.cpp
@@ -1,124 +1,18 @@
 #include "store/log.hpp"
 
 #include <algorithm>
-#include <charconv>
 #include <optional>
 #include <utility>
 
-namespace marblewharf::store {
-namespace {
-
-constexpr std::string_view suffix = ".seg";
-constexpr std::string_view aside_suffix = ".seg.aside";
-constexpr std::string_view aged_suffix = ".seg.aged";
-constexpr std::size_t digits = 16;
-
-std::string name_of(std::uint64_t number) {
-  std::string text(digits, '0');
-  char hex[digits];
-  const auto [end, error] = std::to_chars(hex, hex + digits, number, 16);
-  std::copy(hex, end, text.end() - (end - hex));
-  return text;
-}
-
-std::optional<std::uint64_t> number_of(std::string_view name, std::string_view with) {
-  if (name.size() != digits + with.size() || !name.ends_with(with)) return std::nullopt;
-  std::uint64_t number = 0;
-  const auto [end, error] = std::from_chars(name.data(), name.data() + digits, number, 16);
-  if (error != std::errc{} || end != name.data() + digits || number == 0) return std::nullopt;
-  return number;
-}
-
-struct found_segment {
-  std::uint64_t number = 0, end = 0, size = 0;
-  std::int64_t expiry = 0;
-  segment_header header;
-};
-struct found_folder {
-  std::vector<found_segment> segments;
-  recovered_counts counts;
-  bool spare = false;
-  std::uint64_t highest = 0;                   // number ever seen, also set aside
-  std::map<std::uint64_t, std::int64_t> aged;  // gone, with what a header says of their ageing; 0: none does
-};
-
-// Two passes over the headers and one over the data: what counts of a segment is said by the one behind it.
-found_folder read_folder(file_system& fs, const std::string& folder, const log::ageing& expiry_of,
-                         const log::visitor& each, std::uint32_t known,
-                         const std::optional<position>& from = std::nullopt) {
-  found_folder found;
-  std::vector<std::uint64_t> numbers, aside;
-  for (const std::string& name : fs.list(folder)) {
-    if (const auto n = number_of(name, suffix)) numbers.push_back(*n);
-    if (const auto n = number_of(name, aside_suffix)) aside.push_back(*n);
-    if (const auto n = number_of(name, aged_suffix)) found.aged[*n] = 0;
-    found.spare = found.spare || name == "spare";
-  }
-  std::sort(numbers.begin(), numbers.end());
-  if (!numbers.empty()) found.highest = numbers.back();
-  for (const std::uint64_t n : aside) found.highest = std::max(found.highest, n);
-  if (!found.aged.empty()) found.highest = std::max(found.highest, found.aged.rbegin()->first);
-  const auto path_of = [&](std::uint64_t n) { return folder + "/" + name_of(n) + std::string(suffix); };
-  std::map<std::uint64_t, segment_header> headers;
-  for (const std::uint64_t n : numbers) {
-    const segment_header h = decode_header(fs.read(path_of(n), 0, header_size), path_of(n), known);
-    if (h.number != n) throw damaged(path_of(n) + " at byte 0: this is segment " + std::to_string(h.number));
-    if (!headers.empty() && headers.begin()->second.salt != h.salt)
-      throw damaged(path_of(n) + " at byte 0: a segment of another folder");
-    headers.emplace(n, h);
-    found.counts.latest = std::max(found.counts.latest, h.created);
-  }
-  for (auto i = headers.begin(); i != headers.end(); ++i) {
-    const auto next = std::next(i);
-    found_segment s;
-    s.number = i->first;
-    s.header = i->second;
-    const bool counted = next != headers.end() && next->second.previous == s.number;
-    s.size = fs.size_of(path_of(s.number));
-    if (from && s.number < from->segment && counted) {
-      s.end = next->second.previous_end;
-      s.expiry = next->second.previous_expiry;
-      if (s.size < s.end) throw damaged(path_of(s.number) + ": cut off at byte " + std::to_string(s.size));
-      ++found.counts.segments;
-      found.segments.push_back(s);
-      continue;
-    }
-    const std::string bytes = fs.read(path_of(s.number), 0, s.size);
-    const scan_result r = scan(
-        bytes, s.header, counted ? next->second.previous_end : 0, path_of(s.number),
-        [&](std::uint32_t type, std::string_view body, std::uint64_t offset, std::uint64_t size) {
-          s.expiry = std::max(s.expiry, expiry_of(type, body));
-          // Also of a segment that was read for its end only: older records must not come over newer ones.
-          if (from && std::pair(s.number, offset) < std::pair(from->segment, std::uint64_t{from->offset}))
-            return;
-          ++found.counts.records;
-          each(type, body, {s.number, static_cast<std::uint32_t>(offset), static_cast<std::uint32_t>(size)});
-        });
-    s.end = r.end;
-    found.counts.frames += r.frames;
-    found.counts.torn_bytes += r.torn;
-    ++found.counts.segments;
-    found.segments.push_back(s);
-  }
-  // Guards against a segment that somebody took away while what is in it still counts.
-  for (const auto& [n, h] : headers) {
-    if (const auto gone = found.aged.find(h.previous); gone != found.aged.end())
-      gone->second = h.previous_expiry;
-    if (h.previous == 0 || headers.contains(h.previous) || h.previous_expiry <= found.counts.latest) continue;
-    if (found.aged.contains(h.previous)) continue;
-    if (std::find(aside.begin(), aside.end(), h.previous) == aside.end())
-      throw damaged(path_of(h.previous) + ": missing, and what is in it has not aged");
-  }
-  return found;
-}
+#include "store/log_folder_scan.hpp"
 
-}  // namespace
+namespace marblewharf::store {
 
 log::log(file_system& fs, log_options options, const ageing& expiry_of, const visitor& each)
     : fs_(fs), options_(std::move(options)) {
   fs_.make_folder(options_.folder);
   lock_ = fs_.lock(options_.folder + "/lock");
-  const found_folder found = read_folder(fs_, options_.folder, expiry_of, each, options_.format,
+  const found_folder found = scan_folder(fs_, options_.folder, expiry_of, each, options_.format,
                                          options_.from ? options_.from() : std::nullopt);
   counts_ = found.counts;
   number_ = found.highest;
@@ -138,19 +32,19 @@
 recovered_counts log::inspect(file_system& fs, const std::string& folder, const ageing& expiry_of,
                               const visitor& each, std::uint32_t known) {
   const auto held = fs.lock(folder + "/lock");
-  return read_folder(fs, folder, expiry_of, each, known).counts;
+  return scan_folder(fs, folder, expiry_of, each, known).counts;
 }
 
 std::string log::file_name(std::uint64_t segment) {
-  return name_of(segment) + std::string(suffix);
+  return name_of_segment(segment) + std::string(segment_suffix);
 }
 
 std::string log::gone_name(std::uint64_t segment) {
-  return name_of(segment) + std::string(aged_suffix);
+  return name_of_segment(segment) + std::string(aged_suffix);
 }
 
 std::optional<std::uint64_t> log::number_of(std::string_view name) {
-  return store::number_of(name, suffix);
+  return number_of_segment(name, segment_suffix);
 }
 
 std::string log::path_of(std::uint64_t number) const {
--- a/src/thrift/front.cpp
+++ b/src/thrift/front.cpp
@@ -61,6 +61,10 @@
   // When it may be closed for the sake of others, the earliest first; none: a request is open or arriving.
   std::optional<time_point> dispensable() const;
 
+ private:
+  friend class server;
+  friend class net::connections<connection>;  // reads what has come on it
+
   server& server_;
   net::stream stream_;
   std::unordered_map<std::int32_t, request_id> open_;  // by sequence number
--- a/src/uwsgi/client.cpp
+++ b/src/uwsgi/client.cpp
@@ -89,7 +89,8 @@
 
 void client::on_end(const std::shared_ptr<attempt>& of, exchange_end how, const response_head* head,
                     std::string_view response) {
-  const auto a = of;  // keeps it alive while it is moved on
+  // Keeps it alive while it is moved on: `of` may refer to the entry that goes.
+  const auto a = of;  // NOLINT(performance-unnecessary-copy-initialization): the copy is the point
   switch (how) {
     case exchange_end::whole:
       // What a server says of its own failure is one.
--- a/src/uwsgi/front.cpp
+++ b/src/uwsgi/front.cpp
@@ -62,6 +62,10 @@
   // not sent a byte, the oldest of each. None: its request is open or arriving.
   std::optional<time_point> dispensable() const;
 
+ private:
+  friend class server;
+  friend class net::connections<connection>;  // reads what has come on it
+
   server& server_;
   net::stream stream_;
   request_id id_ = 0;      // while its answer is owed
