--- a/bench/keyed_bench.cpp
+++ b/bench/keyed_bench.cpp
@@ -1,4 +1,4 @@
-// Measures the keyed results: one table, each line a ratio or a figure of this run on this machine.
+// Measures idempotency: one table, each line a ratio or a figure of this run on this machine.
 //
 //   marblewharf_keyed_bench [FOLDER]    FOLDER: on the disk to measure; a new folder is made in it (default
 //   /tmp)
@@ -144,8 +144,7 @@
   line("the index's slots, for an entry", slack / entries, "bytes");
 }
 
-// ---- The reactor's step while the disk is slow
-// -------------------------------------------------------------
+// ---- The reactor's step while the disk is slow ------------------------------------------------------------
 
 class slow_disk : public store::posix_file_system {
  public:
@@ -213,7 +212,7 @@
     o.unix_now = 1000s;
     o.steady_now = steady();
     service = std::make_unique<idempotency::durable_service>(disk, o, rig.counters, [] {});
-    service->report_to(rig.dispatch);
+    service->set_observer(rig.dispatch);
     rig.dispatch.use(*service, 10s);
   }
   std::vector<double> took;
--- a/src/cluster/quota_client.cpp
+++ b/src/cluster/quota_client.cpp
@@ -1,9 +1,8 @@
 #include "cluster/quota_client.hpp"
 
-#include <time.h>
-
 #include <algorithm>
 #include <cmath>
+#include <ctime>
 #include <sstream>
 
 #include "cluster/member_addresses.hpp"
@@ -67,7 +66,7 @@
 }  // namespace
 
 quota_client::quota_client(agent& cluster_agent, const config& settings, dispatcher& requests,
-                           telemetry::counters& counters, calls_user calls)
+                           telemetry::counters& counters, upstream_call_limiter calls)
     : agent_(cluster_agent),
       settings_(*settings.budgets),
       cluster_name_(settings.fleet->name),
@@ -82,7 +81,7 @@
       in_flight_demand_(settings_.all.size()),
       applied_shares_(settings_.all.size(), never_applied),
       share_changes_(settings_.all.size()) {
-  agent_.hear([this](std::string_view datagram) { return on_datagram(datagram); });
+  agent_.set_datagram_filter([this](std::string_view datagram) { return on_datagram(datagram); });
   requests_.watch_arrivals([this](const request& arrived) { count_arrival(arrived); });
   update_membership(lease_clock());
   apply_shares(lease_clock());  // binds from the first request on
@@ -123,14 +122,14 @@
 }
 
 quota::quota_usage quota_client::measure_calls(std::size_t index, std::size_t dependency, time_point now) {
-  const calls_user::calls calls = calls_.use(dependency);
+  const upstream_call_limiter::calls calls = calls_.use(dependency);
   return in_flight_demand_[index].measure(now, calls.in_flight, calls.waiting, calls.turned_away);
 }
 
 void quota_client::measure_usage(time_point now) {
   if (now - last_measured_ < measure_interval) return;
   last_measured_ = now;
-  const dispatcher::load load = requests_.in_hand();
+  const dispatcher::load load = requests_.current_load();
   for (std::size_t i = 0; i < settings_.all.size(); ++i) {
     const budget_config& quota = settings_.all[i];
     switch (quota.unit) {
@@ -145,10 +144,10 @@
 
 void quota_client::update_membership(quota::time_point lease_now) {
   if (coordinator_.is_member()) return;
-  if (agent_.joined()) {
+  if (agent_.is_member()) {
     coordinator_.become_member(lease_now);
   } else {
-    coordinator_.set_reply_address(agent_.own_address());
+    coordinator_.set_reply_address(agent_.reachable_address());
   }
 }
 
@@ -156,7 +155,7 @@
   measure_usage(now);
   const quota::time_point lease_now = lease_clock();
   update_membership(lease_now);
-  const auto is_alive = [this](const std::string& member) { return agent_.alive(member); };
+  const auto is_alive = [this](const std::string& member) { return agent_.is_alive(member); };
   const quota::time_point due = coordinator_.step(lease_now, usage_, is_alive);
   apply_shares(lease_now);
   send_messages();
@@ -207,7 +206,7 @@
     agent_.send(outgoing.to, quota::encode(cluster_name_, outgoing.content));
 }
 
-std::string quota_client::show_budgets() const {
+std::string quota_client::show_quotas() const {
   const quota::time_point lease_now = lease_clock();
   const duration lease_left = coordinator_.lease_expiry() - lease_now;
   const auto lease_left_ms = std::max<std::int64_t>(0, lease_left / std::chrono::milliseconds(1));
@@ -224,7 +223,7 @@
   return out.str();
 }
 
-std::string quota_client::show_figures() const {
+std::string quota_client::show_statistics() const {
   const quota::time_point lease_now = lease_clock();
   std::ostringstream out;
   for (std::size_t i = 0; i < settings_.all.size(); ++i) {
--- a/src/fan_out/client.cpp
+++ b/src/fan_out/client.cpp
@@ -7,6 +7,7 @@
 #include <utility>
 
 #include "fan_out/response_assembly.hpp"
+#include "upstream/response_deadline.hpp"
 #include "uwsgi/packet.hpp"
 
 namespace marblewharf::fan_out {
@@ -29,24 +30,15 @@
   return by_class;
 }
 
-// When the sub-responses of a request are wanted at the latest: the plan's reserve is left for the answer to
-// reach the client within the class's objective.
-time_point assembly_deadline(const request& what, const admission_policy::class_settings& request_class,
-                             const upstream::request_plan& plan) {
-  const bool has_objective = request_class.latency_objective.count() > 0;
-  return what.arrived + (has_objective ? request_class.latency_objective : request_class.deadline) -
-         plan.reserve;
-}
-
 struct interpreted_response {
-  call_end end = call_end::failed;
+  call_result end = call_result::failed;
   duration retry_after{};  // of a rejection
   std::string bytes;       // of a success
 };
 
 // 2xx: success; 503 and 429: a rejection, with the retry-after that it states; all else: a failure.
 interpreted_response interpret_response(uwsgi::exchange_end end, const uwsgi::response_head* head,
-                               std::string_view response) {
+                                        std::string_view response) {
   constexpr duration default_retry_after = std::chrono::seconds(1);
   constexpr unsigned first_success_status = 200;
   constexpr unsigned last_success_status = 299;
@@ -54,9 +46,10 @@
   constexpr unsigned unavailable_status = 503;
   if (end != uwsgi::exchange_end::whole) return {};
   if (head->status >= first_success_status && head->status <= last_success_status)
-    return {call_end::good, {}, std::string(response.substr(head->size))};
+    return {call_result::succeeded, {}, std::string(response.substr(head->size))};
   if (head->status == unavailable_status || head->status == too_many_requests_status)
-    return {call_end::not_now, head->retry_after ? duration(*head->retry_after) : default_retry_after, {}};
+    return {
+        call_result::rejected, head->retry_after ? duration(*head->retry_after) : default_retry_after, {}};
   return {};
 }
 
@@ -91,9 +84,9 @@
   if (found == runs_.end()) return;
   const run_state& run = found->second;
   const time_point now = net::steady_now();
-  const time_point assembly = assembly_deadline(run.what, config_.settings.classes[run.what.request_class],
-                                                state_machine_.plan_at(run.plan));
-  begin_fan_out(id, std::min(now + limit, std::max(now, assembly)));
+  const time_point wanted_by = upstream::response_deadline(
+      run.what, config_.settings.classes[run.what.request_class], state_machine_.plan_at(run.plan).reserve);
+  begin_fan_out(id, std::min(now + limit, std::max(now, wanted_by)));
 }
 
 // The request goes on without calls: its deadline is now, so that only fallbacks without a call are used.
@@ -108,7 +101,7 @@
   const time_point now = net::steady_now();
   run.fan_out_begun = true;
   run.fan_out_begun_at = now;
-  state_machine_.begin(id, run.plan, run.what.content, deadline, now);
+  state_machine_.begin(id, run.plan, run.what.fingerprint, deadline, now);
   apply_actions();
 }
 
@@ -141,7 +134,7 @@
 // An action may lead to more actions: they are carried out in their order, by the outermost call.
 void client::apply_actions() {
   if (std::exchange(applying_, true)) return;
-  while (const auto next = state_machine_.pick()) {
+  while (const auto next = state_machine_.next_action()) {
     std::visit([this](const auto& wanted) { apply(wanted); }, *next);
   }
   applying_ = false;
@@ -165,7 +158,7 @@
 }
 
 void client::apply(const start_call& start) {
-  const auto found = runs_.find(start.gathering);
+  const auto found = runs_.find(start.request);
   if (found == runs_.end()) return;
   const dependency_config& dependency = config_.dependencies->endpoints[start.dependency];
   const call_id id = start.id;
@@ -178,7 +171,7 @@
   } catch (const Poco::Exception& e) {
     log("dependency", "%s: no connection: %s", dependency.name.c_str(), e.displayText().c_str());
     calls_.erase(id);
-    state_machine_.on_result(id, call_end::failed, {}, {}, net::steady_now());
+    state_machine_.on_result(id, call_result::failed, {}, {}, net::steady_now());
   }
 }
 
@@ -190,7 +183,7 @@
   calls_.erase(found);
 }
 
-void client::apply(const finished& end) {
+void client::apply(const request_finished& end) {
   const auto found = runs_.find(end.id);
   if (found == runs_.end()) return;
   const run_state run = std::move(found->second);
@@ -199,7 +192,7 @@
   dispatcher_.on_call_ended(end.id, now - run.fan_out_begun_at);
   reactor_.wake();
   const duration elapsed = now - run.begun_at;
-  if (end.lacks) {
+  if (end.missing_required) {
     dispatcher_.on_end(end.id, run_end::failed, {}, elapsed);
     return;
   }
--- a/tests/idempotency/recorded_folder_test.cpp
+++ b/tests/idempotency/recorded_folder_test.cpp
@@ -121,7 +121,7 @@
   reopened_service(const folder_copy& folder, std::chrono::nanoseconds unix_now)
       : steady_(std::chrono::steady_clock::now().time_since_epoch()),
         service_(files_, options_of(folder, unix_now, steady_), counters_, [] {}) {
-    service_.report_to(observer_);
+    service_.set_observer(observer_);
   }
 
   claim_status claim(const std::string& key, const std::string& request_class, const std::string& tenant,
@@ -130,7 +130,7 @@
     what.key = key;
     what.request_class = request_class == "kurs-abfrage" ? 0 : 1;
     what.tenant = tenant == "lech-vermoegen" ? 0 : tenant == "isar-invest" ? 1 : 9;
-    what.content = fingerprint;
+    what.fingerprint = fingerprint;
     return service_.claim(++last_id_, what).status;
   }
 
