--- a/include/admission_policy/policy.hpp
+++ b/include/admission_policy/policy.hpp
@@ -51,7 +51,7 @@
   duration latency_objective{};    // an answer within it earns the full weight; 0 = the deadline
   duration deadline{};             // how long callers wait; above 0
   double objective_stretch = 0;    // growth of the objective by the work of a request; not used in decisions
-  double priority_weight = 1;      // what an answer is worth beside other classes; no unit
+  double priority_weight = 1;      // of an answer beside other classes, no unit; not used in decisions
   double late_weight = 0;          // share of the weight between objective and deadline, 0 to 1
   double weight_without_call = 0;  // share of the weight where the dependency call is left out, 0 to 1
   request_effect effect = request_effect::safe;
@@ -75,7 +75,7 @@
   duration slow_start_duration{};        // a cold server is at full speed after this
   double concurrency_ceiling_per_core =
       0;  // running requests a core that a warm server survives; 0 = not stated
-  duration concurrency_ceiling_period{};  // over which that number is averaged
+  duration concurrency_ceiling_period{};  // over which that number is averaged; not used in decisions
   double memory_kb = 0;                   // KB for requests and keys; 0 = not stated
   double running_memory_factor = 1;       // memory of a running request over that of a queued one
   double idempotency_key_kb = 0;          // KB of one retained key
@@ -84,9 +84,9 @@
   duration calls_period{};  // over which that share is averaged
   duration abandoned_call_duration{};  // how long the dependency still works on an abandoned call
   duration result_freshness{};         // how long the result of a read may be shared; 0 = never
-  duration answer_slack{};             // by which an answer may be later than due
+  duration answer_slack{};             // by which an answer may be later than due; not used in decisions
   duration drain_grace{};              // after a shutdown notice; what arrives later is not run
-  duration load_signal_ttl{};          // how long callers go by an advertised value
+  duration load_signal_ttl{};          // how long callers go by an advertised value; not used in decisions
   duration max_retry_after{};          // the longest retry-after that callers observe
   bool retry_after = false;            // whether retry-after reaches callers at all
   duration tick{};                     // granularity of the host's clock
--- a/src/admin/admin_handler.hpp
+++ b/src/admin/admin_handler.hpp
@@ -10,7 +10,8 @@
 class admin_handler {
  public:
   virtual ~admin_handler() = default;
-  // Whether this process takes clients.
+  // Whether the runtime has answered and connections are accepted. Not what health checks are told: the
+  // operators' drain does not change it.
   virtual bool ready() = 0;
   // Lines of `name=value`, each ending in "\n".
   virtual std::string statistics() = 0;
--- a/src/admission_policy/concurrency_limiter.hpp
+++ b/src/admission_policy/concurrency_limiter.hpp
@@ -1,5 +1,6 @@
 // The limit on requests that run at once. It starts at the core count, grows while cores idle and work waits,
-// and is cut when runs grow late on busy cores.
+// and is cut when runs grow late on busy cores. Without fresh gauges the cores count as busy: the limit does
+// not grow then, and may be cut.
 #pragma once
 
 #include "admission_policy/policy.hpp"
@@ -33,7 +34,7 @@
   unsigned cores_;
   double ceiling_per_core_;  // runs a core that a warm server survives; 0 = not stated
   double limit_;
-  time_point work_waits_since_;
+  time_point work_waits_since_;  // the queue has not been empty since, nor has the limit grown
 };
 
 }  // namespace admission_policy
--- a/src/core/admission.cpp
+++ b/src/core/admission.cpp
@@ -160,7 +160,7 @@
   decisions_.emplace_back(set_health{action.good});
 }
 
-// A load signal to clients: not relayed.
+// A load signal to callers: the fronts' protocols have no field for it; only the simulator's callers read it.
 void admission::apply(const admission_policy::advertise&) {}
 
 void admission::apply(const admission_policy::close_idle& action) {
--- a/src/core/dispatcher.hpp
+++ b/src/core/dispatcher.hpp
@@ -95,7 +95,7 @@
   void apply(const fail& decision);
   void apply(const place_call& decision);
   void apply(const skip_call& decision);
-  // The idempotency store retains and forgets keys by its own rules.
+  // Keys are kept by the idempotency store, by its own rules; the policy's book of them bounds memory only.
   void apply(const retain_key&) {}
   void apply(const forget_key&) {}
   void apply(const share_result& decision);
--- a/src/quota/demand.hpp
+++ b/src/quota/demand.hpp
@@ -32,7 +32,8 @@
   std::optional<time_point> last_measured_;
 };
 
-// Of an in-flight quota: from what is in flight, what waits, and what was lately rejected for want of a
+// Of an in-flight quota: from what is in flight, what waits, and what was lately rejected. Of runs,
+// rejections count whatever their cause, so that demand may be overstated; of calls, those for want of a
 // share.
 class in_flight_demand_estimator {
  public:
