--- a/src/admin/admin_handler.hpp
+++ b/src/admin/admin_handler.hpp
@@ -1,4 +1,4 @@
-// What the operators' console asks of the node.
+// The interface through which the operators' console queries and controls the node.
 #pragma once
 
 #include <optional>
@@ -6,23 +6,25 @@
 
 namespace marblewharf::admin {
 
-// Answers console commands. Called on the reactor's thread.
+// Executes console commands. Called on the reactor's thread.
 class admin_handler {
  public:
   virtual ~admin_handler() = default;
-  // Whether the runtime has answered and connections are accepted. Not what health checks are told: the
-  // operators' drain does not change it.
+  // Whether the runtime has answered and the node accepts connections. Unlike the answer to health checks,
+  // the readiness does not depend on the operator drain.
   virtual bool ready() = 0;
   // Lines of `name=value`, each ending in "\n".
   virtual std::string statistics() = 0;
-  // Takes the node off the balancers' lists, or has it back on them; both return the text after "200 ".
+  // Begin and end the operator drain, during which health checks fail. Both return the text that follows the
+  // status "200 " in the answer.
   virtual std::string drain() = 0;
   virtual std::string resume() = 0;
-  // Lines on the cluster, each ending in "\n"; none where the node is in no cluster.
+  // Lines about the members and zones of the cluster, each ending in "\n"; none if the node is not part of a
+  // cluster.
   virtual std::optional<std::string> members() = 0;
   virtual std::optional<std::string> zones() = 0;
-  // Lines on quotas, each ending in "\n"; none where no quota is configured.
-  virtual std::optional<std::string> budgets() = 0;
+  // Lines about quotas, each ending in "\n"; none if no quota is configured.
+  virtual std::optional<std::string> quotas() = 0;
 };
 
 }  // namespace marblewharf::admin
--- a/src/admin/console_server.cpp
+++ b/src/admin/console_server.cpp
@@ -7,15 +7,16 @@
 namespace marblewharf::admin {
 namespace {
 
-// A command whose answer is a list of lines; none: this node has no such lines, for the `missing` reason.
-std::string answer_lines(const char* title, const std::optional<std::string>& lines, const char* missing) {
-  if (!lines) return std::string("400 ") + missing + "\n";
+// Formats the answer to a command that lists lines. `unavailable_reason`: why `lines` is none, if so.
+std::string answer_lines(const char* title, const std::optional<std::string>& lines,
+                         const char* unavailable_reason) {
+  if (!lines) return std::string("400 ") + unavailable_reason + "\n";
   return std::string("200 ") + title + " follow\n" + *lines + "EOF\n";
 }
 
 }  // namespace
 
-// Waits for a line, then for the close by its caller once it was answered.
+// A connection of a console caller: reads one line, answers the line and waits until the caller closes.
 class console_server::connection : public net::stream::owner {
  public:
   connection(console_server& server, const Poco::Net::StreamSocket& socket)
@@ -24,20 +25,21 @@
   std::size_t on_bytes(std::string_view bytes) override;
   void on_lost(const char*) override { server_.drop(*this); }
 
-  // Answers 400 with the reason, unless it was answered before.
+  // Answers 400 with the reason, unless the connection was already answered.
   void reject(const char* reason);
 
   bool answered() const { return answered_; }
-  // Whether it brought no whole line within `console_wait`.
+  // Whether no complete line arrived within `console_wait`.
   bool line_overdue(time_point now) const {
     return !answered_ && now - opened_at_ > server_.bounds_.console_wait;
   }
-  // Whether it was answered, and the caller has closed or had the time to.
+  // Whether the connection was answered, and the caller has closed it or the `linger` time has passed.
   bool finished(time_point now) const {
     if (!answered_) return false;
     return now - answered_at_ > server_.bounds_.linger || (stream_.flushed() && !stream_.is_open());
   }
-  // Whether it is evicted before another one: answered ones first, of equals the oldest.
+  // Eviction order: answered connections first; among these the one answered first, among the others the one
+  // opened first.
   bool evicted_before(const connection& other) const {
     if (answered_ != other.answered_) return answered_;
     return answered_ ? answered_at_ < other.answered_at_ : opened_at_ < other.opened_at_;
@@ -45,7 +47,7 @@
   void close() { stream_.close(); }
 
  private:
-  // Ends the connection behind the answer, so that the caller sees all of it.
+  // Sends the answer and ends the connection after it, so that the caller receives the complete answer.
   void respond(const std::string& text);
 
   console_server& server_;
@@ -57,14 +59,14 @@
 
 std::size_t console_server::connection::on_bytes(std::string_view bytes) {
   if (answered_) return bytes.size();
-  const std::size_t longest = server_.bounds_.console_line;
+  const std::size_t max_line_bytes = server_.bounds_.console_line;
   const std::size_t line_end = bytes.find('\n');
   if (line_end == std::string_view::npos) {
-    // Guards against a line that never ends.
-    if (bytes.size() > longest) reject("line too long");
+    // Bounds the memory for a line without an end.
+    if (bytes.size() > max_line_bytes) reject("line too long");
     return 0;
   }
-  if (line_end > longest) {
+  if (line_end > max_line_bytes) {
     reject("line too long");
     return bytes.size();
   }
@@ -78,8 +80,8 @@
 }
 
 void console_server::connection::reject(const char* reason) {
-  ++server_.counters_.console_bad;
-  telemetry::log("console", "400: %s", reason);
+  ++server_.counters_.console_errors;
+  telemetry::log("console", "command answered with 400: %s", reason);
   respond(std::string("400 ") + reason + "\n");
 }
 
@@ -110,25 +112,26 @@
         reactor_, bounds_, address_.host, address_.port,
         [this](const Poco::Net::StreamSocket& socket) { accept(socket); }, net::port_sharing::alone);
     if (retrying)
-      telemetry::log("console", "%s:%u let go: listening", address_.host.c_str(), unsigned{address_.port});
+      telemetry::log("console", "listening on %s:%u, which the other process has released",
+                     address_.host.c_str(), unsigned{address_.port});
     next_bind_ = time_point::max();
   } catch (const net::address_held&) {
-    // Guards a hot restart: the predecessor keeps its console until it ends.
+    // In a hot restart the predecessor keeps its console until it ends.
     if (!retrying)
-      telemetry::log("console", "%s:%u held by another process; trying again until it lets go",
+      telemetry::log("console", "%s:%u is in use by another process; retrying the bind until it is released",
                      address_.host.c_str(), unsigned{address_.port});
     next_bind_ = now + bounds_.console_bind_retry;
   }
 }
 
 void console_server::accept(const Poco::Net::StreamSocket& socket) {
-  if (connections_.size() >= bounds_.console_connections) evict_one();
+  if (connections_.size() >= bounds_.console_connections) evict_connection();
   connections_.add(std::make_shared<connection>(*this, socket));
 }
 
-// Guards the console against callers that keep connections open, and the process's descriptors against the
-// console.
-void console_server::evict_one() {
+// Evicts a connection in favour of a new one: callers that keep connections open must not block the console,
+// nor may the console exhaust the file descriptors of the process.
+void console_server::evict_connection() {
   connection* evicted = nullptr;
   connections_.each([&](connection& candidate) {
     if (evicted == nullptr || candidate.evicted_before(*evicted)) evicted = &candidate;
@@ -143,7 +146,7 @@
 }
 
 std::string console_server::answer(console_command command) {
-  ++counters_.console_calls;
+  ++counters_.console_commands;
   switch (command) {
     case console_command::ready: return handler_.ready() ? "200 yes\n" : "200 no\n";
     case console_command::show_stat: return "200 figures follow\n" + handler_.statistics() + "EOF\n";
@@ -151,7 +154,7 @@
     case console_command::resume: return "200 " + handler_.resume() + "\n";
     case console_command::show_members: return answer_lines("members", handler_.members(), "no fleet");
     case console_command::show_zones: return answer_lines("zones", handler_.zones(), "no fleet");
-    case console_command::show_quotas: return answer_lines("budgets", handler_.budgets(), "no budgets");
+    case console_command::show_quotas: return answer_lines("budgets", handler_.quotas(), "no budgets");
   }
   return "400 unknown call\n";
 }
@@ -161,11 +164,11 @@
   if (now < next_sweep_) return std::min(next_sweep_, next_bind_);
   if (listener_) listener_->resume();
   next_sweep_ = now + bounds_.sweep_every;
-  connections_.each([&](connection& candidate) { close_due(candidate, now); });
+  connections_.each([&](connection& candidate) { close_if_due(candidate, now); });
   return std::min(next_sweep_, next_bind_);
 }
 
-void console_server::close_due(connection& candidate, time_point now) {
+void console_server::close_if_due(connection& candidate, time_point now) {
   if (candidate.line_overdue(now)) {
     candidate.reject("no whole line in time");
   } else if (candidate.finished(now)) {
--- a/src/admin/statistics.cpp
+++ b/src/admin/statistics.cpp
@@ -21,7 +21,7 @@
   for (std::size_t index = 0; index < class_names.size(); ++index) {
     const std::string& name = class_names[index];
     append_line(lines, "app.completed." + name, count_at(counters.served_by_class, index));
-    append_line(lines, "app.rejected." + name, count_at(counters.refused_by_class, index));
+    append_line(lines, "app.rejected." + name, count_at(counters.rejected_by_class, index));
     append_line(lines, "app.failed." + name, count_at(counters.failed_by_class, index));
   }
   append_line(lines, "app.upstream_requests", counters.sent);
--- a/src/admin/statistics.hpp
+++ b/src/admin/statistics.hpp
@@ -1,4 +1,5 @@
-// The figures on requests that the console's `show-stat` gives, as lines of `name=value`. Free of I/O.
+// Formats the request statistics of the console command `show-stat` as lines of `name=value`. Performs no
+// I/O.
 #pragma once
 
 #include <cstddef>
@@ -9,8 +10,9 @@
 
 namespace marblewharf::admin {
 
-// `class_names` in the settings' order, which is that of the counters' vectors; a class that the counters do
-// not have yet counts as 0. `pending`: requests whose caller is still owed an answer.
+// `class_names`: in the order of the settings, which is also the order of the counters' vectors. The values
+// of a class that is missing in the counters are 0. `pending`: the number of requests that were neither
+// answered nor cancelled.
 std::string render_statistics(const telemetry::counters& counters,
                               const std::vector<std::string>& class_names, std::size_t pending);
 
--- a/src/core/admission.cpp
+++ b/src/core/admission.cpp
@@ -10,13 +10,13 @@
 
 std::vector<bool> class_writes_of(const admission_policy::settings& settings) {
   std::vector<bool> writes;
-  for (const admission_policy::class_settings& each : settings.classes)
-    writes.push_back(each.effect != admission_policy::request_effect::safe);
+  for (const admission_policy::class_settings& request_class : settings.classes)
+    writes.push_back(request_class.effect != admission_policy::request_effect::safe);
   return writes;
 }
 
-admission_policy::outcome to_outcome(run_end how) {
-  switch (how) {
+admission_policy::outcome to_outcome(run_end end) {
+  switch (end) {
     case run_end::succeeded: return admission_policy::outcome::ok;
     case run_end::failed:
     case run_end::lost: return admission_policy::outcome::error;
@@ -40,26 +40,26 @@
 // ---- Facts ------------------------------------------------------------------------------------------------
 
 void admission::report(const arrived& fact) {
-  const request& what = *fact.what;
+  const request& details = *fact.details;
   started_.emplace(fact.id, false);
   admission_policy::arrival event;
   event.id = fact.id;
   event.duplicate_of = fact.duplicate_of;
-  event.key = what.subject;
-  event.reserved_kb = what.reserved_kb;
-  event.expected_work = what.expected_work;
-  event.read_delay = what.read_delay;
-  event.tenant = what.tenant;
-  event.request_class = what.request_class;
-  event.caller = what.caller;
-  event.rank = what.rank;
-  event.write = what.request_class < class_writes_.size() && class_writes_[what.request_class];
+  event.key = details.subject;
+  event.reserved_kb = details.reserved_kb;
+  event.expected_work = details.expected_work;
+  event.read_delay = details.read_delay;
+  event.tenant = details.tenant;
+  event.request_class = details.request_class;
+  event.caller = details.caller;
+  event.rank = details.rank;
+  event.write = details.request_class < class_writes_.size() && class_writes_[details.request_class];
   pending_.emplace_back(event);
 }
 
 void admission::report(const completed& fact) {
   started_.erase(fact.id);
-  pending_.emplace_back(admission_policy::completion{fact.id, to_outcome(fact.how), fact.elapsed});
+  pending_.emplace_back(admission_policy::completion{fact.id, to_outcome(fact.end), fact.elapsed});
 }
 
 void admission::report(const cancelled& fact) {
@@ -84,8 +84,9 @@
 }
 
 void admission::tick(time_point now, std::span<const double> gauges) {
-  // The policy has one timer and sets no other before that has fired: it must not fire early, or the policy
-  // would not set it again. It fires here even when nothing else is to be reported.
+  // The policy has a single timer and sets a new one only after the previous one has fired. A timer event
+  // must not be early: the policy would then not set the timer again. The timer fires even if no facts are
+  // pending.
   if (now >= due_) {
     due_ = time_point::max();
     pending_.emplace_back(admission_policy::timer_fired{{gauges.begin(), gauges.end()}});
@@ -112,9 +113,9 @@
 }
 
 void admission::apply(const admission_policy::start& action) {
-  const auto known = started_.find(action.id);
-  if (known == started_.end()) return;
-  const bool started_before = std::exchange(known->second, true);
+  const auto entry = started_.find(action.id);
+  if (entry == started_.end()) return;
+  const bool started_before = std::exchange(entry->second, true);
   if (started_before) {
     decisions_.emplace_back(resume{action.id});
   } else {
@@ -160,7 +161,8 @@
   decisions_.emplace_back(set_health{action.good});
 }
 
-// A load signal to callers: the fronts' protocols have no field for it; only the simulator's callers read it.
+// Ignores the load signal to callers: the protocols of the fronts have no field for it. Only callers in the
+// simulator read the signal.
 void admission::apply(const admission_policy::advertise&) {}
 
 void admission::apply(const admission_policy::close_idle& action) {
@@ -175,10 +177,11 @@
   telemetry::log("module", "%s", action.text.c_str());
 }
 
-// No completion is reported for a request that was never started: its entry would stay for ever.
+// A request that was never started gets no completion, which would remove its entry. Without this function
+// the entry would leak.
 void admission::forget_unless_started(request_id id) {
-  const auto known = started_.find(id);
-  if (known != started_.end() && !known->second) started_.erase(known);
+  const auto entry = started_.find(id);
+  if (entry != started_.end() && !entry->second) started_.erase(entry);
 }
 
 }  // namespace marblewharf
--- a/src/core/admission.hpp
+++ b/src/core/admission.hpp
@@ -1,6 +1,7 @@
-// A facade of the admission policy in blocking style: report() facts, tick() as time passes, and take each
-// next_decision() until there is none. The policy's own events and actions are translated here and do not
-// occur beyond. Not synchronized: owned by the dispatcher's thread.
+// A facade of the admission policy: the caller passes facts to report(), calls tick() as time passes, and
+// then calls next_decision() until it returns none. The facade converts facts into events of the
+// policy, and actions of the policy into decisions; the dispatcher does not use events and actions directly.
+// Not synchronized: owned by the dispatcher's thread.
 #pragma once
 
 #include <deque>
@@ -15,11 +16,11 @@
 
 class admission {
  public:
-  // `server_started`: when the server behind this node started; in the past for one that has been up for a
-  // while. Throws std::invalid_argument, naming the setting, when the settings cannot be used.
+  // `server_started`: when the server behind this node started; a time in the past if the server was already
+  // running. Throws std::invalid_argument, naming the setting, if the settings are invalid.
   admission(const admission_policy::settings& settings, std::uint64_t seed, time_point server_started);
 
-  // The policy sees facts at the next tick(), in the order in which they were reported.
+  // Queues a fact. The next tick() passes all queued facts to the policy, in the order of the reports.
   void report(const arrived& fact);
   void report(const completed& fact);
   void report(const cancelled& fact);
@@ -28,14 +29,14 @@
   void report(const shutdown_notice& fact);
   void report(const quota_update& fact);
 
-  // Decides on all facts reported and all timers that are due. Gauges are in the order of the settings; none:
-  // unknown.
+  // Runs the policy on all queued facts and on the timer if it is due. `gauges`: the values of the gauges
+  // that the settings list, in their order; empty if the values are unknown.
   void tick(time_point now, std::span<const double> gauges);
 
-  // Decisions in the order in which they are to be applied; none: all were taken.
+  // Removes and returns the next decision, in the order of application; none if no decision is left.
   std::optional<admission_decision> next_decision();
 
-  // The next tick() is wanted at this time, or at once while facts are pending.
+  // When tick() has to be called next. While facts are pending, tick() has to be called at once.
   time_point due() const { return due_; }
   bool has_pending_facts() const { return !pending_.empty(); }
 
@@ -58,12 +59,13 @@
   void forget_unless_started(request_id id);
 
   admission_policy::policy policy_;
-  std::vector<bool> class_writes_;  // by request class: has an effect that may not be repeated freely
+  std::vector<bool>
+      class_writes_;  // by request class: whether a request has an effect that must not be repeated freely
   std::vector<admission_policy::event> pending_;
   std::deque<admission_decision> decisions_;
-  std::unordered_map<request_id, bool> started_;  // by open request: whether it was started once
+  std::unordered_map<request_id, bool> started_;  // by open request: whether a run decision was made
   time_point due_{};
-  time_point now_{};  // of the actions being applied
+  time_point now_{};  // time of the actions that are being applied
 };
 
 }  // namespace marblewharf
--- a/src/core/admission_messages.hpp
+++ b/src/core/admission_messages.hpp
@@ -1,5 +1,5 @@
-// The messages between the dispatcher and the admission policy: facts about requests go in, decisions about
-// them come out. Both name a request by the dispatcher's id.
+// Messages between the dispatcher and the admission policy: the dispatcher reports facts about requests, and
+// the policy replies with decisions. Both identify a request by the id that the dispatcher assigned.
 #pragma once
 
 #include <variant>
@@ -12,16 +12,16 @@
 
 struct arrived {
   request_id id{};
-  const request* what = nullptr;  // read during the call only
-  // The request whose outcome it is to share; its own id: an outcome that is stored or inquired about; 0:
-  // none.
+  const request* details = nullptr;  // read only during the call
+  // The request whose outcome this request shares. The request's own id: the outcome is stored, or the
+  // backend is asked for it. 0: the request is not a duplicate.
   request_id duplicate_of = 0;
 };
 
-// A run ended, or a request that shares an outcome was answered.
+// A run ended, or a request that shares the outcome of another request was answered.
 struct completed {
   request_id id{};
-  run_end how{};
+  run_end end{};
   duration elapsed{};
 };
 
@@ -30,35 +30,37 @@
   request_id id{};
 };
 
-// A run cannot go on before it has made its dependency call.
+// A run has to make its dependency call before it can continue.
 struct call_needed {
   request_id id{};
 };
 
-// A run's dependency call ended, with or without a result.
+// The dependency call of a run ended, successfully or not.
 struct call_completed {
   request_id id{};
   duration elapsed{};
 };
 
 struct shutdown_notice {
-  duration time_left{};  // until the process is stopped
+  duration time_left{};  // until the process is killed
 };
 
-// The limits on this node's part of the cluster's quotas.
+// The limits of this node's share of the cluster's quotas.
 using quota_update = admission_policy::quota_update;
 
 // ---- Decisions --------------------------------------------------------------------------------------------
 
-// Start the request. Each request is started once; see `resume`.
+// Start the request. Sent once for each request; a paused run continues with `resume`.
 struct run {
   request_id id{};
 };
 
+// Stop the run: pause or abort it, according to the halt mode of the settings.
 struct pause {
   request_id id{};
 };
 
+// Continue a paused run.
 struct resume {
   request_id id{};
 };
@@ -70,18 +72,18 @@
   bool no_retry_elsewhere = false;
 };
 
-// Answer with response_status::failed, without any assurance whether it ran.
+// Answer with response_status::failed: the request may or may not have run.
 struct fail {
   request_id id{};
   duration retry_after{};
 };
 
-// The policy counts the memory of the request's idempotency key from here until it is answered.
+// The policy counts the memory of the request's idempotency key from now until the request is answered.
 struct retain_key {
   request_id id{};
 };
 
-// The policy no longer counts the request's idempotency key: it never ran.
+// The policy no longer counts the memory of the idempotency key of a request that never ran.
 struct forget_key {
   request_id id{};
 };
@@ -91,16 +93,18 @@
   request_id id{};
 };
 
+// The run may make its dependency call.
 struct place_call {
   request_id id{};
-  duration limit{};
+  duration limit{};  // timeout of the call
 };
 
+// The run continues without its dependency call.
 struct skip_call {
   request_id id{};
 };
 
-// What health checks are to report.
+// Set the answer to health checks.
 struct set_health {
   bool good = true;
 };
--- a/src/core/backend.hpp
+++ b/src/core/backend.hpp
@@ -1,32 +1,35 @@
-// The interface of what runs requests.
+// Interface of the components that run requests.
 #pragma once
 
 #include "core/request.hpp"
 
 namespace marblewharf {
 
-// What a backend says of a request whose outcome is unknown here.
+// A backend's reply to an inquiry about a request whose outcome the dispatcher does not know.
 enum class inquiry_end {
-  result,     // it ran to its end, and the result comes with the reply
-  never_ran,  // proven
-  unknown,    // the backend does not know either, or did not reply
+  result,     // the run completed, and the reply contains its result
+  never_ran,  // proven not to have run
+  unknown,    // the backend does not know the outcome or did not reply
 };
 
-// Reports the end of each run once, through dispatcher::on_end(). Called on the dispatcher's thread.
+// A backend reports the end of each run exactly once, through dispatcher::on_end(). All functions are called
+// on the dispatcher's thread.
 class backend {
  public:
   virtual ~backend() = default;
-  // Begins a run. `what` stays valid until its end is reported.
-  virtual void run(request_id id, const request& what) = 0;
-  // Stops a run, by the halt mode of the settings. A run that is aborted by it reports run_end::aborted.
+  // Begins a run. `details` stays valid until the end of the run is reported.
+  virtual void run(request_id id, const request& details) = 0;
+  // Stops a run: pauses or aborts it, according to the halt mode of the settings. An aborted run ends with
+  // run_end::aborted.
   virtual void pause(request_id id) = 0;
   virtual void resume(request_id id) = 0;
-  // Asks for the outcome of a keyed request whose run's end was never reported. The reply comes through
-  // dispatcher::on_inquired(). False: this backend cannot be asked, and no reply will come.
+  // Asks for the outcome of a keyed request whose run ended without a report. The backend replies through
+  // dispatcher::on_inquired(). Returns false if this backend does not support inquiries; no reply follows
+  // then.
   virtual bool inquire(request_id, const request&) { return false; }
-  // Reply to dispatcher::on_call_needed(): the dependency call may be made, and take at most `limit`.
+  // Reply to dispatcher::on_call_needed(): the run may make its dependency call, with a timeout of `limit`.
   virtual void place_call(request_id, duration /*limit*/) {}
-  // Reply to dispatcher::on_call_needed(): the run is to go on without its dependency call.
+  // Reply to dispatcher::on_call_needed(): the run continues without its dependency call.
   virtual void skip_call(request_id) {}
 };
 
--- a/src/core/coalesced_group.hpp
+++ b/src/core/coalesced_group.hpp
@@ -1,4 +1,4 @@
-// The requests that have one idempotency key while its outcome is not known yet: a primary, and the
+// A group of requests with the same idempotency key whose outcome is not known yet: the primary, and the
 // duplicates that share its outcome.
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace marblewharf {
 
-// Where the group stands. A group is closed when its primary is removed from the request table.
+// Stages of a group. A group is closed when its primary is removed from the request table.
 //
 //   from              event                                              to
 //   ----------------  -------------------------------------------------  ----------------
@@ -22,20 +22,21 @@
 //   writing_intent    the intent could not be written; all clients       (closed)
 //                     have cancelled
 //   running           the run succeeded or failed                        recording_result
-//   running           outcome unknown; proven never to have run;         (closed)
-//                     the backend rejected it
+//   running           the run is lost or aborted; proven not to have     (closed)
+//                     run; rejected by the backend
 //   inquiring         the backend has the result                         recording_result
-//   inquiring         it never ran; no further inquiry                   (closed)
-//   recording_result  the result is recorded, or the key allows none     (closed)
+//   inquiring         proven not to have run; no further inquiry         (closed)
+//   recording_result  the result is recorded, or the state of the key    (closed)
+//                     does not allow a result
 enum class group_stage { queued, writing_intent, running, recording_result, inquiring };
 
-// Owned by the primary's entry.
+// Owned by the request_entry of the primary.
 struct coalesced_group {
   group_stage stage = group_stage::queued;
-  bool policy_awaits_end = true;  // the policy has not heard of the primary's end yet
-  bool succeeded = false;         // while recording_result: how the run ended
-  std::string result;             // while recording_result
-  time_point respond_by{};        // the primary is answered by then, whatever its stage
+  bool policy_awaits_end = true;  // the end of the primary is still to be reported to the policy
+  bool succeeded = false;         // set in stage recording_result: whether the run succeeded
+  std::string result;             // set in stage recording_result
+  time_point respond_by{};        // latest time of the primary's answer, in any stage
   std::vector<request_id> duplicates;
 };
 
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -6,7 +6,8 @@
 namespace marblewharf {
 namespace {
 
-// Before the process is stopped: the policy answers all requests by then, too.
+// Clients that wait for a result to be recorded are answered this long before the process is killed. The
+// policy answers all requests by the same time.
 constexpr duration shutdown_margin = std::chrono::milliseconds(700);
 
 admission_policy::settings with_cold_start(admission_policy::settings settings, bool cold) {
@@ -27,10 +28,10 @@
       now_(now) {}
 
 void dispatcher::use(idempotency_store& store, duration finish_within) {
-  coalescer_.use(store, finish_within);
+  coalescer_.set_store(store, finish_within);
 }
 
-// Once a request has arrived, the policy learns the server's speed from its runs alone.
+// Ignored after the first arrival: from then on the policy estimates the server's speed only from runs.
 void dispatcher::on_server_up(bool cold, time_point since) {
   if (any_arrived_ || draining_) return;
   admission_ = admission(with_cold_start(settings_, cold), seed_, since);
@@ -39,17 +40,17 @@
 
 // ---- Requests ---------------------------------------------------------------------------------------------
 
-request_id dispatcher::on_arrival(front& from, backend& to, request what) {
+request_id dispatcher::on_arrival(front& receiving_front, backend& target_backend, request details) {
   any_arrived_ = true;
   ++counters_.taken_in;
-  request_entry& entry = requests_.add(from, to, std::move(what));
+  request_entry& entry = requests_.add(receiving_front, target_backend, std::move(details));
   const request_id id = entry.id;
-  entry.what.arrived = now_ - entry.what.read_delay;
-  if (arrival_observer_) arrival_observer_(entry.what);
-  if (coalescer_.handles(entry.what)) {
+  entry.details.arrived = now_ - entry.details.read_delay;
+  if (arrival_observer_) arrival_observer_(entry.details);
+  if (coalescer_.handles(entry.details)) {
     coalescer_.on_arrival(entry);
   } else {
-    admission_.report(arrived{id, &entry.what});
+    admission_.report(arrived{id, &entry.details});
   }
   return id;
 }
@@ -57,7 +58,7 @@
 void dispatcher::on_client_cancelled(request_id id) {
   request_entry* entry = requests_.find(id);
   if (entry == nullptr || entry->answered) return;
-  ++counters_.gone;
+  ++counters_.cancelled;
   if (entry->role == request_role::primary || entry->role == request_role::duplicate) {
     coalescer_.on_client_cancelled(*entry);
     return;
@@ -67,20 +68,20 @@
   if (entry->stage == request_stage::queued) requests_.remove(id);
 }
 
-void dispatcher::on_end(request_id id, run_end how, std::string_view result, duration elapsed) {
+void dispatcher::on_end(request_id id, run_end end, std::string_view result, duration elapsed) {
   request_entry* entry = find_started(id);
   if (entry == nullptr) return;
   if (entry->role == request_role::primary) {
-    coalescer_.on_run_ended(*entry, how, result, elapsed);
+    coalescer_.on_run_ended(*entry, end, result, elapsed);
     return;
   }
-  if (how == run_end::succeeded) {
+  if (end == run_end::succeeded) {
     requests_.respond(*entry, {.status = response_status::served, .result = result});
-  } else if (how != run_end::aborted) {
+  } else if (end != run_end::aborted) {
     requests_.respond(
-        *entry, {.status = response_status::failed, .unknown_request = how == run_end::unknown_request});
+        *entry, {.status = response_status::failed, .unknown_request = end == run_end::unknown_request});
   }
-  admission_.report(completed{id, how, elapsed});
+  admission_.report(completed{id, end, elapsed});
   if (entry->answered) {
     requests_.remove(id);
   } else {
@@ -91,12 +92,12 @@
 void dispatcher::on_backend_rejected(request_id id, duration retry_after) {
   request_entry* entry = find_started(id);
   if (entry == nullptr) return;
-  const answer final{.status = response_status::rejected, .retry_after = retry_after};
+  const answer final_answer{.status = response_status::rejected, .retry_after = retry_after};
   if (entry->role == request_role::primary) {
-    coalescer_.on_backend_rejected(*entry, final);
+    coalescer_.on_backend_rejected(*entry, final_answer);
     return;
   }
-  requests_.respond(*entry, final);
+  requests_.respond(*entry, final_answer);
   admission_.report(completed{id, run_end::never_started, {}});
   requests_.remove(id);
 }
@@ -109,8 +110,8 @@
   if (find_started(id) != nullptr) admission_.report(call_completed{id, elapsed});
 }
 
-void dispatcher::on_inquired(request_id id, inquiry_end how, std::string_view result) {
-  coalescer_.on_inquired(id, how, result);
+void dispatcher::on_inquired(request_id id, inquiry_end end, std::string_view result) {
+  coalescer_.on_inquired(id, end, result);
 }
 
 void dispatcher::on_intent_written(request_id primary, bool durable) {
@@ -125,7 +126,7 @@
   coalescer_.on_result_fetched(id, fetched);
 }
 
-// ---- The node ---------------------------------------------------------------------------------------------
+// ---- Events of the node -----------------------------------------------------------------------------------
 
 void dispatcher::on_shutdown_notice(duration time_left) {
   draining_ = true;
@@ -153,7 +154,8 @@
 
 // ---- Decisions --------------------------------------------------------------------------------------------
 
-// Null: no such request, or it was not handed to a backend. One that its backend aborted counts as started.
+// Null if there is no such request or the request was not passed to a backend. A request whose run the
+// backend aborted counts as started.
 request_entry* dispatcher::find_started(request_id id) {
   request_entry* entry = requests_.find(id);
   return entry != nullptr && entry->stage != request_stage::queued ? entry : nullptr;
@@ -169,7 +171,7 @@
   if (entry->answered) return;
   entry->stage = request_stage::started;
   ++counters_.sent;
-  entry->target.run(decision.id, entry->what);
+  entry->target_backend.run(decision.id, entry->details);
 }
 
 void dispatcher::apply(const pause& decision) {
@@ -178,41 +180,42 @@
   if (entry->role == request_role::primary) {
     coalescer_.pause_primary(*entry);
   } else if (entry->stage == request_stage::started) {
-    entry->target.pause(decision.id);
+    entry->target_backend.pause(decision.id);
   }
 }
 
 void dispatcher::apply(const resume& decision) {
   request_entry* entry = requests_.find(decision.id);
-  if (entry != nullptr && entry->stage == request_stage::started) entry->target.resume(decision.id);
+  if (entry != nullptr && entry->stage == request_stage::started) entry->target_backend.resume(decision.id);
 }
 
 void dispatcher::apply(const place_call& decision) {
   request_entry* entry = requests_.find(decision.id);
   if (entry != nullptr && entry->stage == request_stage::started)
-    entry->target.place_call(decision.id, decision.limit);
+    entry->target_backend.place_call(decision.id, decision.limit);
 }
 
 void dispatcher::apply(const skip_call& decision) {
   request_entry* entry = requests_.find(decision.id);
-  if (entry != nullptr && entry->stage == request_stage::started) entry->target.skip_call(decision.id);
+  if (entry != nullptr && entry->stage == request_stage::started)
+    entry->target_backend.skip_call(decision.id);
 }
 
 void dispatcher::apply(const reject& decision) {
   request_entry* entry = requests_.find(decision.id);
   if (entry == nullptr) return;
-  if (entry->stage != request_stage::queued) {  // `rejected` would promise that it never ran
+  if (entry->stage != request_stage::queued) {  // `rejected` would assert that the request never ran
     requests_.respond(*entry, {.status = response_status::failed});
     return;
   }
-  const answer final{.status = response_status::rejected,
-                     .retry_after = decision.retry_after,
-                     .no_retry_elsewhere = decision.no_retry_elsewhere};
+  const answer final_answer{.status = response_status::rejected,
+                            .retry_after = decision.retry_after,
+                            .no_retry_elsewhere = decision.no_retry_elsewhere};
   if (entry->role == request_role::primary) {
-    coalescer_.reject_primary(*entry, final);
+    coalescer_.reject_primary(*entry, final_answer);
     return;
   }
-  requests_.respond(*entry, final);
+  requests_.respond(*entry, final_answer);
   requests_.remove(decision.id);
 }
 
@@ -220,17 +223,17 @@
   request_entry* entry = requests_.find(decision.id);
   if (entry == nullptr) return;
   const bool aborted = entry->stage == request_stage::aborted;
-  if (!entry->answered && !aborted) ++counters_.given_up;
-  const answer final{
+  if (!entry->answered && !aborted) ++counters_.deadline_exceeded;
+  const answer final_answer{
       .status = response_status::failed, .retry_after = decision.retry_after, .deadline_exceeded = !aborted};
   if (entry->role == request_role::primary) {
-    coalescer_.fail_primary(*entry, final);
+    coalescer_.fail_primary(*entry, final_answer);
     return;
   }
-  const bool still_runs = entry->stage == request_stage::started;
-  requests_.respond(*entry, final);
-  if (entry->role == request_role::duplicate) coalescer_.leave_group(*entry);
-  if (!still_runs) requests_.remove(decision.id);
+  const bool still_running = entry->stage == request_stage::started;
+  requests_.respond(*entry, final_answer);
+  if (entry->role == request_role::duplicate) coalescer_.remove_from_group(*entry);
+  if (!still_running) requests_.remove(decision.id);
 }
 
 void dispatcher::apply(const share_result& decision) {
@@ -239,7 +242,7 @@
 }
 
 void dispatcher::apply(const close_idle& decision) {
-  for (front* each : fronts_) each->close_idle(decision.after);
+  for (front* idle_closing_front : fronts_) idle_closing_front->close_idle(decision.after);
 }
 
 }  // namespace marblewharf
--- a/src/core/dispatcher.hpp
+++ b/src/core/dispatcher.hpp
@@ -1,7 +1,8 @@
-// The life of each request between fronts, the admission policy and backends. Whatever any of them does, it
-// holds these invariants: one final answer for each request; never `rejected` for one that was handed to a
-// backend; each request is handed to a backend at most once. Requests with an idempotency key are handled by
-// duplicate_coalescer. Not synchronized: all calls come on one thread, which also calls step().
+// Manages the life of each request between fronts, the admission policy and backends. Enforces these
+// invariants whatever fronts, policy and backends do: each request gets exactly one final answer; a request
+// that was passed to a backend is never answered `rejected`, unless the backend itself rejected it; each
+// request is passed to a backend at most once. duplicate_coalescer handles requests with an idempotency key.
+// Not synchronized: all functions are called on the thread that calls step().
 #pragma once
 
 #include <functional>
@@ -22,40 +23,42 @@
 
 class dispatcher : public idempotency_observer {
  public:
-  // Throws std::invalid_argument, naming the setting, when the settings cannot be used. `counters` outlives
-  // this object.
+  // Throws std::invalid_argument, naming the setting, if the settings are invalid. `counters` outlives this
+  // object.
   dispatcher(const admission_policy::settings& settings, std::uint64_t seed, time_point now,
              telemetry::counters& counters);
   dispatcher(const dispatcher&) = delete;
   dispatcher& operator=(const dispatcher&) = delete;
 
-  // A front that is told when idle connections are to be closed; outlives this object.
-  void add(front& added) { fronts_.push_back(&added); }
+  // Adds a front that is to receive close_idle() calls. The front outlives this object.
+  void add(front& idle_closing_front) { fronts_.push_back(&idle_closing_front); }
 
-  // From now on requests with a key are coalesced and their results stored. A keyed run that was answered as
-  // failed goes on for `finish_within`: stopped, its outcome would be unknown.
+  // Enables idempotency: from now on duplicates of keyed requests are coalesced and results are stored. A
+  // keyed run whose request was answered as failed continues for `finish_within` before a stop decision takes
+  // effect, because stopping the run would make its outcome unknown.
   void use(idempotency_store& store, duration finish_within);
 
-  // What the server behind says of its own start. Before this it is taken for cold.
+  // The server behind this node reports that it is up, since when, and whether its start was cold. Before
+  // this report the dispatcher assumes a cold start.
   void on_server_up(bool cold, time_point since);
 
-  // ---- What happens to requests ---------------------------------------------------------------------------
-  request_id on_arrival(front& from, backend& to, request what);
+  // ---- Events of requests ---------------------------------------------------------------------------------
+  request_id on_arrival(front& receiving_front, backend& target_backend, request details);
   void on_client_cancelled(request_id id);
-  // The end of a run; `result` where it succeeded. Ignored for a request that was not started.
-  void on_end(request_id id, run_end how, std::string_view result, duration elapsed);
-  // The backend did not begin a run for lack of room: answered as rejected.
+  // A run ended. `result`: the result of a run that succeeded. Ignored for a request that was not started.
+  void on_end(request_id id, run_end end, std::string_view result, duration elapsed);
+  // The backend did not begin a run because it lacks capacity: the request is answered as rejected.
   void on_backend_rejected(request_id id, duration retry_after);
-  // A run cannot go on before its dependency call; that call ended, with or without a result.
+  // A run has to make its dependency call before it can continue; that call ended, successfully or not.
   void on_call_needed(request_id id);
   void on_call_ended(request_id id, duration elapsed);
   // The backend's reply to backend::inquire().
-  void on_inquired(request_id id, inquiry_end how, std::string_view result);
+  void on_inquired(request_id id, inquiry_end end, std::string_view result);
 
-  // ---- The node -------------------------------------------------------------------------------------------
-  // The process is stopped after `time_left`.
+  // ---- Events of the node ---------------------------------------------------------------------------------
+  // The process is killed after `time_left`.
   void on_shutdown_notice(duration time_left);
-  // The limits on this node's part of the cluster's quotas, from the next step on.
+  // Sets the limits of this node's share of the cluster's quotas. They apply from the next step on.
   void on_quota_update(const quota_update& update);
   // Calls `observer` for each request that arrives.
   void watch_arrivals(std::function<void(const request&)> observer) {
@@ -67,23 +70,24 @@
   void on_result_recorded(request_id primary) override;
   void on_result_fetched(request_id id, const fetched_result& fetched) override;
 
-  // Lets the policy decide and applies its decisions. Gauges are in the order of the settings.
+  // Runs the policy and applies its decisions. `gauges`: the values of the gauges that the settings list, in
+  // their order; empty if the values are unknown.
   void step(time_point now, std::span<const double> gauges);
-  // When step() is wanted next; time_point::min(): at once.
+  // When step() has to be called next; time_point::min(): at once.
   time_point due() const;
 
   bool healthy() const { return healthy_; }
   bool draining() const { return draining_; }
   std::size_t open() const { return requests_.size(); }
-  // Open requests whose client is still owed an answer. Looks at each request.
-  std::size_t unanswered() const { return requests_.unanswered(); }
+  // The number of open requests that were neither answered nor cancelled. Iterates over all open requests.
+  std::size_t count_unanswered() const { return requests_.count_unanswered(); }
 
   struct load {
-    std::size_t running = 0;  // handed to a backend and not ended, answered or not
-    std::size_t waiting = 0;  // queued, with a client that waits
+    std::size_t running = 0;  // passed to a backend and not ended, answered or not
+    std::size_t waiting = 0;  // queued and neither answered nor cancelled
   };
-  // Looks at each request.
-  load current_load() const { return {requests_.started(), requests_.queued_unanswered()}; }
+  // Iterates over all open requests.
+  load current_load() const { return {requests_.count_started(), requests_.count_queued_unanswered()}; }
 
  private:
   request_entry* find_started(request_id id);
@@ -95,7 +99,8 @@
   void apply(const fail& decision);
   void apply(const place_call& decision);
   void apply(const skip_call& decision);
-  // Keys are kept by the idempotency store, by its own rules; the policy's book of them bounds memory only.
+  // Ignores decisions on keys: the idempotency store retains keys by its own rules. The policy counts keys
+  // only to bound their memory.
   void apply(const retain_key&) {}
   void apply(const forget_key&) {}
   void apply(const share_result& decision);
@@ -103,7 +108,7 @@
   void apply(const close_idle& decision);
 
   std::function<void(const request&)> arrival_observer_;
-  std::optional<quota_update> quota_;  // the latest one
+  std::optional<quota_update> quota_;  // the latest update
   admission_policy::settings settings_;
   std::uint64_t seed_;
   telemetry::counters& counters_;
--- a/src/core/duplicate_coalescer.cpp
+++ b/src/core/duplicate_coalescer.cpp
@@ -8,7 +8,8 @@
 
 using namespace std::chrono_literals;
 
-// Before a client's deadline: time for the answer to reach it, and for the age of the clock's last reading.
+// A keyed request is answered this long before its deadline: time for the answer to reach the client, and for
+// the age of the dispatcher's last clock reading.
 constexpr duration response_margin = 50ms;
 constexpr duration default_retry_after = 1s;
 
@@ -24,7 +25,7 @@
                                          telemetry::counters& counters, time_point now)
     : requests_(requests), admission_(policy), settings_(settings), counters_(counters), now_(now) {}
 
-void duplicate_coalescer::use(idempotency_store& store, duration finish_within) {
+void duplicate_coalescer::set_store(idempotency_store& store, duration finish_within) {
   store_ = &store;
   finish_within_ = finish_within;
 }
@@ -37,14 +38,14 @@
 // ---- Arrivals ---------------------------------------------------------------------------------------------
 
 void duplicate_coalescer::on_arrival(request_entry& arrival) {
-  const claim_result claim = store_->claim(arrival.id, arrival.what);
+  const claim_result claim = store_->claim(arrival.id, arrival.details);
   switch (claim.status) {
     case claim_status::primary: add_primary(arrival, group_stage::queued); break;
     case claim_status::inquiry_primary: add_primary(arrival, group_stage::inquiring); break;
     case claim_status::coalesced: add_duplicate(arrival, claim.primary); break;
     case claim_status::completed:
       arrival.role = request_role::stored_result_reader;
-      admission_.report(arrived{arrival.id, &arrival.what, arrival.id});
+      admission_.report(arrived{arrival.id, &arrival.details, arrival.id});
       break;
     case claim_status::outcome_unknown: respond_at_next_step(arrival, answer_outcome_unknown); break;
     case claim_status::key_conflict: respond_at_next_step(arrival, answer_key_conflict); break;
@@ -55,26 +56,26 @@
 }
 
 void duplicate_coalescer::add_primary(request_entry& arrival, group_stage stage) {
-  const duration deadline = settings_.classes[arrival.what.request_class].deadline;
+  const duration deadline = settings_.classes[arrival.details.request_class].deadline;
   arrival.role = request_role::primary;
   arrival.group = std::make_unique<coalesced_group>();
   arrival.group->stage = stage;
-  arrival.group->respond_by = now_ - arrival.what.read_delay + deadline - response_margin;
-  // To the policy, an inquiry shares the outcome of the request itself.
+  arrival.group->respond_by = now_ - arrival.details.read_delay + deadline - response_margin;
+  // The policy treats an inquiry as a duplicate of the same request.
   const request_id duplicate_of = stage == group_stage::inquiring ? arrival.id : 0;
-  admission_.report(arrived{arrival.id, &arrival.what, duplicate_of});
+  admission_.report(arrived{arrival.id, &arrival.details, duplicate_of});
 }
 
 void duplicate_coalescer::add_duplicate(request_entry& arrival, request_id primary_id) {
   arrival.role = request_role::duplicate;
   arrival.primary_id = primary_id;
   requests_.find(primary_id)->group->duplicates.push_back(arrival.id);
-  admission_.report(arrived{arrival.id, &arrival.what, primary_id});
+  admission_.report(arrived{arrival.id, &arrival.details, primary_id});
 }
 
-// The front learns the request's id only when its arrival has been handled.
-void duplicate_coalescer::respond_at_next_step(const request_entry& arrival, const answer& final) {
-  immediate_answers_.push_back({arrival.id, final});
+// Defers the answer: the front gets the id of the request only when on_arrival() returns.
+void duplicate_coalescer::respond_at_next_step(const request_entry& arrival, const answer& final_answer) {
+  immediate_answers_.push_back({arrival.id, final_answer});
 }
 
 // ---- The primary's run ------------------------------------------------------------------------------------
@@ -82,7 +83,7 @@
 void duplicate_coalescer::start_primary(request_entry& primary) {
   primary.stage = request_stage::started;
   primary.group->stage = group_stage::writing_intent;
-  store_->write_intent(primary.id, primary.what);
+  store_->write_intent(primary.id, primary.details);
 }
 
 void duplicate_coalescer::on_intent_written(request_id primary_id, bool durable) {
@@ -92,46 +93,46 @@
     close_group(*primary, answer_retry_soon, run_end::never_started);
     return;
   }
-  const bool nobody_waits = primary->answered && primary->group->duplicates.empty();
-  if (nobody_waits) {
+  const bool no_client_waits = primary->answered && primary->group->duplicates.empty();
+  if (no_client_waits) {
     store_->release_key(primary_id);
     remove_primary(*primary, run_end::never_started);
     return;
   }
   primary->group->stage = group_stage::running;
   ++counters_.sent;
-  primary->target.run(primary_id, primary->what);
+  primary->target_backend.run(primary_id, primary->details);
 }
 
-void duplicate_coalescer::on_run_ended(request_entry& primary, run_end how, std::string_view result,
+void duplicate_coalescer::on_run_ended(request_entry& primary, run_end end, std::string_view result,
                                        duration elapsed) {
   if (primary.group->stage != group_stage::running) return;
   if (std::exchange(primary.group->policy_awaits_end, false))
-    admission_.report(completed{primary.id, how, elapsed});
-  switch (how) {
+    admission_.report(completed{primary.id, end, elapsed});
+  switch (end) {
     case run_end::succeeded:
-    case run_end::failed: record_result(primary, how == run_end::succeeded, result); break;
+    case run_end::failed: record_result(primary, end == run_end::succeeded, result); break;
     case run_end::lost:
     case run_end::aborted:
       store_->mark_outcome_unknown(primary.id);
-      close_group(primary, answer_outcome_unknown, how);
+      close_group(primary, answer_outcome_unknown, end);
       break;
     case run_end::never_started:
     case run_end::unknown_request:
       store_->release_key(primary.id);
       close_group(primary,
-                  {.status = response_status::failed, .unknown_request = how == run_end::unknown_request},
+                  {.status = response_status::failed, .unknown_request = end == run_end::unknown_request},
                   run_end::never_started);
       break;
   }
 }
 
-// Its intent is durable and is withdrawn. After a crash before the withdrawal is durable, the key's outcome
-// is unknown.
-void duplicate_coalescer::on_backend_rejected(request_entry& primary, const answer& final) {
+// Withdraws the durable intent. If the process crashes before the withdrawal is durable, the outcome of the
+// key is unknown.
+void duplicate_coalescer::on_backend_rejected(request_entry& primary, const answer& final_answer) {
   if (primary.group->stage != group_stage::running) return;
   store_->release_key(primary.id);
-  close_group(primary, final, run_end::never_started);
+  close_group(primary, final_answer, run_end::never_started);
 }
 
 void duplicate_coalescer::record_result(request_entry& primary, bool succeeded, std::string_view result) {
@@ -141,7 +142,7 @@
   group.result = result;
   if (succeeded) {
     recording_deadlines_.emplace(group.respond_by, primary.id);
-  } else {  // a failure promises nothing, so nobody has to wait for its record
+  } else {  // a failure makes no promise, so that clients need not wait for its record
     respond_to_all(primary, answer_run_failed, run_end::failed);
   }
   if (!store_->record_result(primary.id, succeeded, result))
@@ -152,42 +153,42 @@
   request_entry* primary = find_primary(primary_id, group_stage::recording_result);
   if (primary == nullptr) return;
   const coalesced_group& group = *primary->group;
-  answer final = answer_run_failed;  // to duplicates that arrived after the run had failed
-  if (group.succeeded) final = {.status = response_status::served, .result = group.result};
-  close_group(*primary, final, run_end::succeeded);
+  answer final_answer = answer_run_failed;  // for duplicates that arrived after the run had failed
+  if (group.succeeded) final_answer = {.status = response_status::served, .result = group.result};
+  close_group(*primary, final_answer, run_end::succeeded);
 }
 
-// A stop decision follows on a failed answer. A keyed run goes on for some time all the same: stopped, its
-// outcome would be unknown.
+// The policy decides to pause a run after it has failed the request. A keyed run still continues for
+// `finish_within`, because pausing the run would make its outcome unknown.
 void duplicate_coalescer::pause_primary(request_entry& primary) {
   const coalesced_group& group = *primary.group;
   if (group.stage != group_stage::running || now_ < group.respond_by + finish_within_) return;
   const bool may_never_end = settings_.halt == admission_policy::halt_mode::pause;
   if (may_never_end) store_->mark_outcome_unknown(primary.id);
-  primary.target.pause(primary.id);
+  primary.target_backend.pause(primary.id);
 }
 
-void duplicate_coalescer::reject_primary(request_entry& primary, const answer& final) {
+void duplicate_coalescer::reject_primary(request_entry& primary, const answer& final_answer) {
   primary.group->policy_awaits_end = false;
   store_->release_key(primary.id);
-  close_group(primary, final, run_end::never_started);
+  close_group(primary, final_answer, run_end::never_started);
 }
 
-// Before its intent is written, a failed primary frees its key for all of its group. After that it is
-// answered alone, and its run or inquiry goes on for the duplicates.
-void duplicate_coalescer::fail_primary(request_entry& primary, const answer& final) {
+// If the primary is still queued, its key is freed and the whole group is answered. Otherwise only the
+// primary is answered, and its run or inquiry continues for the duplicates.
+void duplicate_coalescer::fail_primary(request_entry& primary, const answer& final_answer) {
   coalesced_group& group = *primary.group;
-  const bool policy_has_closed_it =
+  const bool policy_closed_request =
       group.stage == group_stage::queued || group.stage == group_stage::inquiring;
-  if (policy_has_closed_it) group.policy_awaits_end = false;
+  if (policy_closed_request) group.policy_awaits_end = false;
   if (group.stage == group_stage::queued) {
     store_->release_key(primary.id);
-    close_group(primary, final, run_end::never_started);
+    close_group(primary, final_answer, run_end::never_started);
     return;
   }
-  answer alone = final;
-  alone.outcome_unknown = group.stage != group_stage::writing_intent;
-  requests_.respond(primary, alone);
+  answer primary_answer = final_answer;
+  primary_answer.outcome_unknown = group.stage != group_stage::writing_intent;
+  requests_.respond(primary, primary_answer);
 }
 
 // ---- Duplicates and stored results ------------------------------------------------------------------------
@@ -197,16 +198,16 @@
     store_->fetch_result(entry.id);
   } else if (entry.group && entry.group->stage == group_stage::inquiring) {
     inquire(entry);
-  }  // else a duplicate, which is answered with its group
+  }  // otherwise `entry` is a duplicate, which is answered with its group
 }
 
 void duplicate_coalescer::on_result_fetched(request_id id, const fetched_result& fetched) {
   request_entry* entry = requests_.find(id);
   if (entry == nullptr || entry->role != request_role::stored_result_reader) return;
-  answer final = answer_run_failed;
+  answer final_answer = answer_run_failed;
   if (fetched.outcome == fetch_outcome::succeeded)
-    final = {.status = response_status::served, .result = fetched.bytes};
-  requests_.respond(*entry, final);
+    final_answer = {.status = response_status::served, .result = fetched.bytes};
+  requests_.respond(*entry, final_answer);
   admission_.report(completed{id, run_end::succeeded, {}});
   requests_.remove(id);
 }
@@ -217,11 +218,11 @@
     return;
   }
   admission_.report(cancelled{entry.id});
-  leave_group(entry);
+  remove_from_group(entry);
   requests_.remove(entry.id);
 }
 
-// A primary that has not been started is only cancelled when no duplicate is left that it would run for.
+// Cancels a queued primary only if no duplicate still needs its outcome.
 void duplicate_coalescer::cancel_primary(request_entry& primary) {
   primary.answered = true;
   coalesced_group& group = *primary.group;
@@ -232,34 +233,37 @@
   remove_primary(primary, run_end::never_started);
 }
 
-void duplicate_coalescer::leave_group(const request_entry& duplicate) {
+void duplicate_coalescer::remove_from_group(const request_entry& duplicate) {
   request_entry* primary = requests_.find(duplicate.primary_id);
   if (primary == nullptr || !primary->group) return;
   std::erase(primary->group->duplicates, duplicate.id);
   if (primary->answered && primary->group->stage == group_stage::queued) cancel_primary(*primary);
 }
 
-// Answers the primary and its duplicates. `reported`: the end of the duplicates, as the policy is told.
-void duplicate_coalescer::respond_to_all(request_entry& primary, const answer& final, run_end reported) {
-  requests_.respond(primary, final);
+// Answers the primary and its duplicates. `reported_end`: the end of the duplicates that is reported to the
+// policy.
+void duplicate_coalescer::respond_to_all(request_entry& primary, const answer& final_answer,
+                                         run_end reported_end) {
+  requests_.respond(primary, final_answer);
   for (const request_id id : std::exchange(primary.group->duplicates, {})) {
     request_entry* duplicate = requests_.find(id);
     if (duplicate == nullptr) continue;
-    requests_.respond(*duplicate, final);
-    admission_.report(completed{id, reported, {}});
+    requests_.respond(*duplicate, final_answer);
+    admission_.report(completed{id, reported_end, {}});
     requests_.remove(id);
   }
 }
 
-void duplicate_coalescer::close_group(request_entry& primary, const answer& final, run_end reported) {
-  respond_to_all(primary, final, reported);
-  remove_primary(primary, reported);
+void duplicate_coalescer::close_group(request_entry& primary, const answer& final_answer,
+                                      run_end reported_end) {
+  respond_to_all(primary, final_answer, reported_end);
+  remove_primary(primary, reported_end);
 }
 
-void duplicate_coalescer::remove_primary(request_entry& primary, run_end reported) {
+void duplicate_coalescer::remove_primary(request_entry& primary, run_end reported_end) {
   const request_id id = primary.id;
   recording_deadlines_.erase({primary.group->respond_by, id});
-  if (primary.group->policy_awaits_end) admission_.report(completed{id, reported, {}});
+  if (primary.group->policy_awaits_end) admission_.report(completed{id, reported_end, {}});
   store_->close_primary(id);
   requests_.remove(id);
 }
@@ -267,17 +271,17 @@
 // ---- Inquiries --------------------------------------------------------------------------------------------
 
 void duplicate_coalescer::inquire(request_entry& primary) {
-  if (primary.target.inquire(primary.id, primary.what)) return;
-  // The backend cannot be asked: a retry would not change that, so all retries are used up at once.
+  if (primary.target_backend.inquire(primary.id, primary.details)) return;
+  // The backend does not support inquiries, and retries would not change that: use up all retries at once.
   while (store_->schedule_inquiry_retry(primary.id).count() > 0) {
   }
   close_group(primary, answer_outcome_unknown, run_end::failed);
 }
 
-void duplicate_coalescer::on_inquired(request_id primary_id, inquiry_end how, std::string_view result) {
+void duplicate_coalescer::on_inquired(request_id primary_id, inquiry_end end, std::string_view result) {
   request_entry* primary = find_primary(primary_id, group_stage::inquiring);
   if (primary == nullptr) return;
-  switch (how) {
+  switch (end) {
     case inquiry_end::result: record_result(*primary, true, result); return;
     case inquiry_end::never_ran:
       store_->release_key(primary_id);
@@ -311,15 +315,15 @@
 }
 
 void duplicate_coalescer::send_immediate_answers() {
-  for (const immediate_answer& each : std::exchange(immediate_answers_, {})) {
-    request_entry* entry = requests_.find(each.id);
+  for (const immediate_answer& pending : std::exchange(immediate_answers_, {})) {
+    request_entry* entry = requests_.find(pending.id);
     if (entry == nullptr) continue;
-    requests_.respond(*entry, each.final);
-    requests_.remove(each.id);
+    requests_.respond(*entry, pending.final_answer);
+    requests_.remove(pending.id);
   }
 }
 
-// The primary's client is answered that the outcome is unknown; the result is recorded all the same.
+// Answers the clients of overdue primaries with an unknown outcome. The recording of their results continues.
 void duplicate_coalescer::answer_overdue_recordings() {
   while (!recording_deadlines_.empty()) {
     const timed_request next = *recording_deadlines_.begin();
--- a/src/core/duplicate_coalescer.hpp
+++ b/src/core/duplicate_coalescer.hpp
@@ -1,9 +1,10 @@
-// Idempotency in the dispatcher: of the requests with one key, the primary runs and its duplicates share its
-// outcome. Its invariants:
+// Idempotency in the dispatcher. Among the requests with the same key, the primary runs and the duplicates
+// share its outcome. Invariants:
 //
-// - A primary is handed to its backend only after its intent is durable, and at most once.
-// - Nobody is answered `served` before the result is recorded.
-// - A run whose clients have cancelled or were answered goes on: later duplicates get its result.
+// - A primary is passed to its backend only after its intent is durable, and at most once.
+// - No request is answered `served` before the result is recorded.
+// - A run continues after all its clients have cancelled or were answered, so that later duplicates get its
+//   result.
 //
 // Not synchronized: owned by the dispatcher's thread.
 #pragma once
@@ -22,43 +23,46 @@
 
 class duplicate_coalescer {
  public:
-  // All of these outlive this object.
+  // All arguments that are passed by reference outlive this object.
   duplicate_coalescer(request_table& requests, admission& policy, const admission_policy::settings& settings,
                       telemetry::counters& counters, time_point now);
 
-  // `finish_within`: how long after its deadline a run goes on before a stop decision reaches its backend.
-  void use(idempotency_store& store, duration finish_within);
+  // `finish_within`: how long a run may continue after its deadline before a pause decision reaches its
+  // backend.
+  void set_store(idempotency_store& store, duration finish_within);
 
-  // Whether arrivals like this one are handed to on_arrival().
-  bool handles(const request& what) const { return store_ != nullptr && !what.key.empty(); }
+  // Whether the dispatcher has to pass this request to on_arrival().
+  bool handles(const request& details) const { return store_ != nullptr && !details.key.empty(); }
 
-  // ---- What happens to requests ---------------------------------------------------------------------------
+  // ---- Events of requests ---------------------------------------------------------------------------------
   void on_arrival(request_entry& arrival);
-  // Of a primary or a duplicate, which has not been answered.
+  // `entry`: a primary or a duplicate that was not answered.
   void on_client_cancelled(request_entry& entry);
-  void on_run_ended(request_entry& primary, run_end how, std::string_view result, duration elapsed);
-  void on_backend_rejected(request_entry& primary, const answer& final);
-  void on_inquired(request_id primary_id, inquiry_end how, std::string_view result);
+  void on_run_ended(request_entry& primary, run_end end, std::string_view result, duration elapsed);
+  void on_backend_rejected(request_entry& primary, const answer& final_answer);
+  void on_inquired(request_id primary_id, inquiry_end end, std::string_view result);
 
   // ---- Decisions of the policy ----------------------------------------------------------------------------
   void start_primary(request_entry& primary);
   void pause_primary(request_entry& primary);
-  void reject_primary(request_entry& primary, const answer& final);
-  void fail_primary(request_entry& primary, const answer& final);
+  void reject_primary(request_entry& primary, const answer& final_answer);
+  void fail_primary(request_entry& primary, const answer& final_answer);
   void share_result(request_entry& entry);
-  // A duplicate that was answered on its own, or whose client cancelled, no longer belongs to its group.
-  void leave_group(const request_entry& duplicate);
+  // Removes a duplicate from its group because it was answered separately or its client cancelled.
+  void remove_from_group(const request_entry& duplicate);
 
   // ---- Replies of the store, see idempotency_observer -----------------------------------------------------
   void on_intent_written(request_id primary_id, bool durable);
   void on_result_recorded(request_id primary_id);
   void on_result_fetched(request_id id, const fetched_result& fetched);
 
-  // Answers what is due, and makes inquiries that are.
+  // Sends the answers and inquiries that are due.
   void step(time_point now);
-  // When step() is wanted next; time_point::min(): at once; time_point::max(): not on account of time.
+  // When step() has to be called next; time_point::min(): at once; time_point::max(): no answer or inquiry is
+  // scheduled.
   time_point due() const;
-  // The process ends: no client of a result that is being recorded waits longer than this.
+  // Sets the time at which clients that wait for a result to be recorded are answered without it, because the
+  // process ends.
   void set_response_deadline(time_point deadline) { response_deadline_ = deadline; }
 
  private:
@@ -66,19 +70,19 @@
 
   struct immediate_answer {
     request_id id{};
-    answer final;
+    answer final_answer;
   };
 
   void add_primary(request_entry& arrival, group_stage stage);
   void add_duplicate(request_entry& arrival, request_id primary_id);
-  void respond_at_next_step(const request_entry& arrival, const answer& final);
-  request_entry* find_primary(request_id id, group_stage stage);  // null: none is in that stage
+  void respond_at_next_step(const request_entry& arrival, const answer& final_answer);
+  request_entry* find_primary(request_id id, group_stage stage);  // null if no primary `id` is in `stage`
   void cancel_primary(request_entry& primary);
   void record_result(request_entry& primary, bool succeeded, std::string_view result);
   void inquire(request_entry& primary);
-  void respond_to_all(request_entry& primary, const answer& final, run_end reported);
-  void close_group(request_entry& primary, const answer& final, run_end reported);
-  void remove_primary(request_entry& primary, run_end reported);
+  void respond_to_all(request_entry& primary, const answer& final_answer, run_end reported_end);
+  void close_group(request_entry& primary, const answer& final_answer, run_end reported_end);
+  void remove_primary(request_entry& primary, run_end reported_end);
   void send_immediate_answers();
   void answer_overdue_recordings();
   void retry_inquiries();
@@ -89,10 +93,10 @@
   telemetry::counters& counters_;
   idempotency_store* store_ = nullptr;
   duration finish_within_{};
-  std::vector<immediate_answer> immediate_answers_;  // sent at the next step, without the policy
-  std::set<timed_request> recording_deadlines_;      // of primaries that are answered before their result is
-                                                     // recorded, when that takes too long
-  std::set<timed_request> inquiry_retries_;
+  std::vector<immediate_answer> immediate_answers_;  // sent at the next step; the policy is not involved
+  // When primaries whose result is being recorded are answered, at the latest.
+  std::set<timed_request> recording_deadlines_;
+  std::set<timed_request> inquiry_retries_;  // times of the next inquiries
   time_point now_;
   time_point response_deadline_ = time_point::max();
 };
--- a/src/core/front.hpp
+++ b/src/core/front.hpp
@@ -1,19 +1,20 @@
-// The interface of what receives requests from clients and sends them their answers.
+// Interface of the components that receive requests from clients and send the answers.
 #pragma once
 
 #include "core/request.hpp"
 
 namespace marblewharf {
 
-// Implemented by each server side of a wire. Called on the dispatcher's thread.
+// Implemented by the server side of each wire protocol. Called on the dispatcher's thread.
 class front {
  public:
   virtual ~front() = default;
-  // The final answer of a request that this front handed to the dispatcher, exactly once; never for one that
-  // it reported as cancelled. The views in `final` are valid during the call only.
-  virtual void respond(request_id id, const answer& final) = 0;
-  // Idle client connections are to be closed once they have been idle for this long; 0 = never.
-  virtual void close_idle(duration after) = 0;
+  // Sends the final answer to a request that this front passed to the dispatcher. Called exactly once for
+  // each request, and never for a request that the front reported as cancelled. The views in `final_answer`
+  // are valid only during the call.
+  virtual void respond(request_id id, const answer& final_answer) = 0;
+  // Sets the time after which idle client connections are closed; 0 = never.
+  virtual void close_idle(duration idle_timeout) = 0;
 };
 
 }  // namespace marblewharf
--- a/src/core/request.hpp
+++ b/src/core/request.hpp
@@ -1,4 +1,4 @@
-// Requests, the ends of their runs and their answers, free of any wire.
+// Requests, the ways in which their runs end, and their answers, independent of any wire protocol.
 #pragma once
 
 #include <cstdint>
@@ -14,44 +14,44 @@
 using admission_policy::time_point;
 
 struct request {
-  std::string label;    // the backend's name for it
-  std::string payload;  // for the backend, as the client sent it
+  std::string label;    // operation name that the backend expects
+  std::string payload;  // passed to the backend unchanged
   unsigned request_class = 0;
   unsigned tenant = 0;
   unsigned caller = 0;
-  std::uint64_t subject = 0;  // what a read is about; 0 = not stated
-  double reserved_kb = 0;
-  duration expected_work{};       // on one core; 0 = not stated
-  duration read_delay{};          // between its arrival at the machine and its reading
-  time_point arrived{};           // at the machine, by the dispatcher's clock
-  double rank = 0;                // among requests of its class, 0 to 1
-  std::string key;                // the client's idempotency key; empty: it has none
-  std::uint64_t fingerprint = 0;  // hash of what it asks for: the same in each duplicate
+  std::uint64_t subject = 0;      // identifies the object that the request reads; 0 = not stated
+  double reserved_kb = 0;         // memory that the request occupies while it is queued, KB
+  duration expected_work{};       // estimated work on one core; 0 = not stated
+  duration read_delay{};          // from arrival at the host until the process reads the request
+  time_point arrived{};           // at the host, on the dispatcher's clock
+  double rank = 0;                // position among requests of the same class, 0 to 1
+  std::string key;                // idempotency key of the client; empty: the request has none
+  std::uint64_t fingerprint = 0;  // hash of the request's content; equal for all duplicates of a request
 };
 
 // How a run ended.
 enum class run_end {
   succeeded,
-  failed,           // as it says itself
-  lost,             // its end will never be reported: it may have run or not
-  aborted,          // stopped
-  never_started,    // proven: nothing ran
-  unknown_request,  // the backend knows no such request, and ran nothing
+  failed,           // the run itself reported a failure
+  lost,             // the backend will never report an end; the request may have run
+  aborted,          // stopped by the backend after a pause decision
+  never_started,    // proven not to have run
+  unknown_request,  // the backend does not support such a request and ran nothing
 };
 
 enum class response_status { served, rejected, failed };
 
-// The one final answer.
+// The final answer to a request. Each request gets exactly one.
 struct answer {
   response_status status = response_status::failed;
-  std::string_view result{};        // where served
+  std::string_view result{};        // if served
   duration retry_after{};           // 0 = no advice
-  bool no_retry_elsewhere = false;  // where rejected: no other server would do better
-  // Where failed:
+  bool no_retry_elsewhere = false;  // if rejected: other servers would reject the request, too
+  // If failed:
   bool deadline_exceeded = false;
-  bool unknown_request = false;  // the backend knows no such request: the client made it up
-  bool outcome_unknown = false;  // a keyed request that may have run, and will not run again
-  bool key_conflict = false;     // its key was used with another fingerprint; it did not run
+  bool unknown_request = false;  // the client sent a request that the backend does not support
+  bool outcome_unknown = false;  // a keyed request that may have run and is not run again
+  bool key_conflict = false;     // the key was used before with another fingerprint; the request did not run
 };
 
 }  // namespace marblewharf
--- a/src/core/request_table.hpp
+++ b/src/core/request_table.hpp
@@ -1,5 +1,6 @@
-// The requests of one dispatcher, from their arrival until nothing more is owed or expected, and the one
-// answer that each of them gets. Not synchronized: owned by the dispatcher's thread.
+// The open requests of a dispatcher: each entry exists from the arrival of a request until the request is
+// answered and its run has ended. Sends each request exactly one answer. Not synchronized: owned by the
+// dispatcher's thread.
 #pragma once
 
 #include <memory>
@@ -13,66 +14,66 @@
 
 namespace marblewharf {
 
-// Where a request stands between its front and its backend.
+// Stages of a request between its front and its backend.
 //
 //   from     event                                               to
 //   -------  --------------------------------------------------  ---------
 //   (none)   arrival                                             queued
-//   queued   the policy runs it                                  started
+//   queued   the policy runs the request                         started
 //   queued   rejected, failed, cancelled, or a result is shared  (removed)
-//   started  its run ended, or its backend rejected it           (removed)
-//   started  its backend aborted it before it was answered       aborted
-//   aborted  the policy fails it                                 (removed)
+//   started  the run ended, or the backend rejected the request  (removed)
+//   started  the backend aborted the run before the answer       aborted
+//   aborted  the policy fails the request                        (removed)
 //
-// One that is answered or cancelled while `started` stays until its run ends. The primary of a coalesced
-// group stays until its group is closed, see group_stage.
+// A request that is answered or cancelled while `started` stays until its run ends. The primary of a
+// coalesced group stays until its group is closed, see group_stage.
 enum class request_stage { queued, started, aborted };
 
-// A request's part in idempotency.
+// The role of a request in the coalescing of duplicates.
 enum class request_role {
-  independent,           // has no key, or was answered by the state of its key
-  primary,               // runs, or inquires, for its key
+  independent,           // has no key, or is answered according to the state of its key without a run
+  primary,               // runs, or asks the backend for the outcome, on behalf of its key
   duplicate,             // shares the outcome of a primary
-  stored_result_reader,  // gets a result that is stored
+  stored_result_reader,  // is answered with the stored result
 };
 
 struct coalesced_group;
 
 struct request_entry {
-  request_entry(request_id entry_id, front& from, backend& to, request details);
+  request_entry(request_id entry_id, front& entry_front, backend& entry_backend, request entry_details);
   ~request_entry();
   request_entry(const request_entry&) = delete;
   request_entry& operator=(const request_entry&) = delete;
 
   const request_id id;
-  request what;
-  front& source;
-  backend& target;
+  request details;
+  front& receiving_front;
+  backend& target_backend;
   request_stage stage = request_stage::queued;
-  bool answered = false;  // or its client has cancelled: nothing is owed any longer
+  bool answered = false;  // the answer was sent, or the client cancelled: no answer is to be sent
   request_role role = request_role::independent;
-  std::unique_ptr<coalesced_group> group;  // of a primary
-  request_id primary_id = 0;               // of a duplicate
+  std::unique_ptr<coalesced_group> group;  // set for a primary
+  request_id primary_id = 0;               // set for a duplicate
 };
 
 class request_table {
  public:
-  // Counts answers, in all and by class, in `counters`.
+  // Counts answers in `counters`, in total and by request class. `counters` outlives this object.
   request_table(std::size_t request_classes, telemetry::counters& counters);
 
-  // Entries keep their address until they are removed.
-  request_entry& add(front& from, backend& to, request&& details);
-  request_entry* find(request_id id);  // null: no such request
+  // The address of an entry is stable until its removal.
+  request_entry& add(front& receiving_front, backend& target_backend, request&& details);
+  request_entry* find(request_id id);  // null if there is no such request
   void remove(request_id id) { entries_.erase(id); }
 
-  // Sends the final answer; without effect where the request was answered or cancelled before.
-  void respond(request_entry& entry, const answer& final);
+  // Sends the final answer. Does nothing if the request was already answered or cancelled.
+  void respond(request_entry& entry, const answer& final_answer);
 
   std::size_t size() const { return entries_.size(); }
-  // Each of these looks at every entry.
-  std::size_t unanswered() const;
-  std::size_t started() const;
-  std::size_t queued_unanswered() const;
+  // Each of these functions iterates over all entries.
+  std::size_t count_unanswered() const;
+  std::size_t count_started() const;
+  std::size_t count_queued_unanswered() const;
 
  private:
   request_id next_id();
--- a/src/core/vocabulary.hpp
+++ b/src/core/vocabulary.hpp
@@ -1,4 +1,4 @@
-// The names of request classes and tenants, and the indexes by which the core knows them. Not synchronized.
+// Maps the names of request classes and tenants to the indexes that the core uses. Not synchronized.
 #pragma once
 
 #include <optional>
@@ -12,18 +12,18 @@
 
 class vocabulary {
  public:
-  // Learns each name that is looked up.
+  // Starts without names and adds each name that is looked up.
   vocabulary() = default;
 
-  // Knows the names of the settings alone.
+  // Has exactly the names that the settings list.
   explicit vocabulary(const admission_policy::settings& settings) : learning_(false) {
-    for (const auto& each : settings.classes) classes.push_back(each.name);
-    for (const auto& each : settings.tenants) tenants.push_back(each.name);
+    for (const auto& request_class : settings.classes) classes.push_back(request_class.name);
+    for (const auto& tenant : settings.tenants) tenants.push_back(tenant.name);
   }
 
-  // The index of a name; none: it is not known, and cannot be learned.
+  // Returns the index of a name, or none if the name is unknown and cannot be added.
   std::optional<unsigned> class_of(std::string_view name) { return find(classes, name); }
-  // Settings without tenants have but one, whatever a request says.
+  // Settings that list no tenants have a single tenant, whose index every name gets.
   std::optional<unsigned> tenant_of(std::string_view name) {
     const bool single_tenant = !learning_ && tenants.empty();
     return single_tenant ? 0 : find(tenants, name);
@@ -33,13 +33,13 @@
   std::vector<std::string> tenants;
 
  private:
-  static constexpr std::size_t max_learned = 4096;  // bounds the memory that ever new names take
+  static constexpr std::size_t max_learned_names = 4096;  // bounds the memory that added names occupy
 
   std::optional<unsigned> find(std::vector<std::string>& names, std::string_view name) const {
     for (unsigned i = 0; i < names.size(); ++i) {
       if (names[i] == name) return i;
     }
-    if (!learning_ || names.size() >= max_learned) return std::nullopt;
+    if (!learning_ || names.size() >= max_learned_names) return std::nullopt;
     names.emplace_back(name);
     return static_cast<unsigned>(names.size() - 1);
   }
--- a/src/fronts/end_connections.hpp
+++ b/src/fronts/end_connections.hpp
@@ -1,13 +1,13 @@
-// The last step of a front's graceful shutdown.
+// The last step of a front's graceful shutdown: ends the client connections.
 #pragma once
 
 #include "net/connections.hpp"
 
 namespace marblewharf::fronts {
 
-// Ends each connection that nothing is owed on; what comes on it from then on is discarded. Returns whether
-// all are ended. Connection has ended(), owes_answer(), which counts a request that was not read yet, and
-// end().
+// Ends each connection on which no answer is pending; the front discards bytes that arrive on an ended
+// connection. Returns whether all connections are ended. `Connection` has the members ended(), end() and
+// owes_answer(); the latter is also true if a request has not been read yet.
 template <typename Connection>
 bool end_connections(net::connections<Connection>& connections) {
   bool all_ended = true;
--- a/src/fronts/sweep_schedule.hpp
+++ b/src/fronts/sweep_schedule.hpp
@@ -1,4 +1,5 @@
-// When a front checks all of its connections for those that have been idle or half-read for too long.
+// The schedule by which a front checks all its connections for those that have been idle, or in the middle of
+// a message, for too long.
 #pragma once
 
 #include "core/request.hpp"
@@ -12,9 +13,9 @@
   bool due(time_point now) const { return now >= next_; }
   time_point next() const { return next_; }
 
-  // Schedules the next sweep; to be called once due. Returns whether connections may be checked now: a sweep
-  // that comes a period late was held up with the whole process, and what arrived meanwhile is to be read
-  // first.
+  // Schedules the next sweep; called when a sweep is due. Returns whether connections may be checked now. If
+  // the sweep is more than one period late, the whole process was stalled: bytes that arrived in the meantime
+  // have to be read before a connection is judged.
   bool begin(time_point now) {
     const bool stalled = next_.count() > 0 && now > next_ + period_;
     next_ = now + period_;
--- a/src/lifecycle/graceful_shutdown.cpp
+++ b/src/lifecycle/graceful_shutdown.cpp
@@ -4,11 +4,11 @@
 
 namespace marblewharf::lifecycle {
 
-graceful_shutdown::graceful_shutdown(time_point noticed, bool successor_takes_clients, const limits& bounds)
-    : bounds_(bounds), kill_at_(noticed + bounds.stop), successor_takes_clients_(successor_takes_clients) {}
+graceful_shutdown::graceful_shutdown(time_point notice_time, bool successor_accepts, const limits& bounds)
+    : bounds_(bounds), kill_at_(notice_time + bounds.stop), successor_accepts_(successor_accepts) {}
 
 bool graceful_shutdown::drains_connections(time_point now) const {
-  return successor_takes_clients_ || now >= kill_at_ - bounds_.leave_early;
+  return successor_accepts_ || now >= kill_at_ - bounds_.leave_early;
 }
 
 bool graceful_shutdown::closes_connections(time_point now) {
@@ -22,7 +22,8 @@
   const time_point exit_at = kill_at_ - bounds_.exit_early;
   if (!closing_since_ || now < exit_at) return false;
   if (progress.all_ended) return true;
-  // A process that was suspended wakes up late: requests that came meanwhile are still read and answered.
+  // A process that was suspended may resume after exit_at: requests that arrived in the meantime are still
+  // read and answered.
   return now >= std::max(exit_at, *closing_since_) + bounds_.last_rounds;
 }
 
--- a/src/lifecycle/graceful_shutdown.hpp
+++ b/src/lifecycle/graceful_shutdown.hpp
@@ -1,17 +1,19 @@
-// When a node does what between its shutdown notice (SIGTERM) and the end of the process.
+// Schedule of the shutdown phases from the shutdown notice (SIGTERM) to the end of the process.
 //
-// Free of I/O; the caller passes the time in and acts on what is due. Not thread-safe: owned by the reactor's
-// thread. The process is killed `limits::stop` after the notice; each phase begins at a time before the kill:
+// Performs no I/O; the caller passes the current time and carries out the phases. Not thread-safe: owned by
+// the reactor's thread. The process is killed `limits::stop` after the notice. The other times are counted
+// back from the kill:
 //
 //   phase     begins                                          what happens
-//   serving   at the notice                                   as before it
-//   draining  `leave_early` before the kill, or at the        no connection is accepted, callers are asked to
-//             notice where a successor takes the clients      close theirs
-//   closing   `end_early` before the kill                     the node closes what stands
-//   complete  while draining or closing, once every           the process ends
-//             connection is closed; while closing, from
-//             `exit_early` before the kill on, once every
-//             connection is ended, or `last_rounds` later
+//   serving   at the notice                                   the node serves as before the notice
+//   draining  `leave_early` before the kill, or at the        the node accepts no connections and asks
+//             notice if a successor accepts connections       callers to close theirs
+//   closing   `end_early` before the kill                     the node ends connections that are still open
+//   complete  in phase draining or closing, when every        the process ends
+//             connection is closed; in phase closing, from
+//             `exit_early` before the kill on, also when
+//             every connection is ended, or `last_rounds`
+//             later in any case
 #pragma once
 
 #include <chrono>
@@ -21,31 +23,32 @@
 
 namespace marblewharf::lifecycle {
 
-// How far the connections of all fronts are.
+// Progress in closing the connections of all fronts.
 struct connection_progress {
-  bool all_closed = false;  // none is open, and nothing that was begun for one goes on
-  bool all_ended = false;   // the node has ended each open one: nothing that comes on it is read any more
+  bool all_closed = false;  // no connection is open, and no work for a client is in progress
+  bool all_ended = false;   // the node has ended each open connection and reads no more requests from it
 };
 
 class graceful_shutdown {
  public:
   using time_point = std::chrono::nanoseconds;  // steady clock
 
-  // `noticed`: when the notice came. `bounds` outlives this object.
-  graceful_shutdown(time_point noticed, bool successor_takes_clients, const limits& bounds);
+  // `notice_time`: when the shutdown notice arrived. `successor_accepts`: whether a successor process accepts
+  // connections on the same address. `bounds` outlives this object.
+  graceful_shutdown(time_point notice_time, bool successor_accepts, const limits& bounds);
 
-  // Whether no connection is accepted and callers are asked to close theirs.
+  // Whether the node accepts no connections and asks callers to close theirs.
   bool drains_connections(time_point now) const;
-  // Whether the node itself ends each connection once nothing is owed on it. Notes when that began.
+  // Whether the node ends each connection on which no answer is pending. Records when this first became true.
   bool closes_connections(time_point now);
-  // Whether the process ends. A request that the reactor's last round read from a connection that was not
-  // ended would get no answer, hence the wait for every connection.
+  // Whether the process ends now. The process waits until every connection is ended, because a request that
+  // the reactor's last round reads from a connection that is not ended would get no answer.
   bool is_complete(time_point now, connection_progress progress) const;
 
  private:
   const limits& bounds_;
   time_point kill_at_;
-  bool successor_takes_clients_;
+  bool successor_accepts_;
   std::optional<time_point> closing_since_;
 };
 
--- a/src/lifecycle/hot_restart.cpp
+++ b/src/lifecycle/hot_restart.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::string_view mark_prefix = "marblewharf ready ";
 
-// The whole text as a number; none where it is anything else, or does not fit.
+// Parses the whole text as a number; none if the text is not a number or exceeds the range of the type.
 template <typename Number>
 std::optional<Number> parse_number(std::string_view text) {
   Number number{};
@@ -36,10 +36,10 @@
   return hot_restart_mark{*process_id, *started_ms};
 }
 
-bool successor_took_over(const hot_restart_mark& self, const std::optional<hot_restart_mark>& seen) {
-  if (!seen || seen->process_id == self.process_id) return false;
-  // Started in the same millisecond: no proof that it came after this one.
-  return seen->started_ms > self.started_ms;
+bool successor_took_over(const hot_restart_mark& self, const std::optional<hot_restart_mark>& mark) {
+  if (!mark || mark->process_id == self.process_id) return false;
+  // Equal start times, in milliseconds, do not prove that the other process started later.
+  return mark->started_ms > self.started_ms;
 }
 
 std::string mark_path(const std::string& folder, const std::string& node_name, const std::string& listen_host,
--- a/src/lifecycle/hot_restart.hpp
+++ b/src/lifecycle/hot_restart.hpp
@@ -1,8 +1,9 @@
-// Hot restart: a successor process marks that it takes clients, and its predecessor reads the mark at its
-// shutdown notice. Free of I/O: server/hot_restart_file.hpp reads and writes the file.
+// Hot restart: a successor process writes a mark when it accepts connections, and its predecessor reads the
+// mark at the shutdown notice. Performs no I/O: server/hot_restart_file.hpp reads and writes the file.
 //
-// A mark names a process and when it started. A mark of this process, or of one that started before it,
-// proves nothing: it was left by an earlier run in a folder that is not emptied.
+// A mark contains the id and the start time of a process. A mark of the reading process itself, or of a
+// process that started earlier, does not indicate a successor: such a mark remains from an earlier run if the
+// folder is not emptied.
 #pragma once
 
 #include <cstdint>
@@ -20,15 +21,16 @@
 
 // One line: "marblewharf ready PROCESS_ID STARTED_MS\n".
 std::string format_mark(const hot_restart_mark& mark);
-// None where the text is no whole mark (cut short, changed, or empty).
+// None if the text is not a complete mark (truncated, altered or empty).
 std::optional<hot_restart_mark> parse_mark(std::string_view text);
 
-// Whether another process has taken over the clients' address: `seen` is a mark of another process that
-// started after this one.
-bool successor_took_over(const hot_restart_mark& self, const std::optional<hot_restart_mark>& seen);
+// Whether `mark`, the mark that was read, belongs to a successor: another process that started after the
+// process of `self`.
+bool successor_took_over(const hot_restart_mark& self, const std::optional<hot_restart_mark>& mark);
 
-// The mark's file in a folder ("" = the current one), by the node's name and the address that it shares with
-// its successor. A node of the same name on another address has a file of its own and is no successor.
+// The path of the mark's file in `folder` ("" = the current folder). The name of the file contains the node's
+// name and the address that the node shares with its successor, so that a node with the same name on another
+// address uses another file and does not count as a successor.
 std::string mark_path(const std::string& folder, const std::string& node_name, const std::string& listen_host,
                       std::uint16_t listen_port);
 
--- a/src/server/background_jobs.cpp
+++ b/src/server/background_jobs.cpp
@@ -12,10 +12,11 @@
 
 using namespace std::chrono_literals;
 
-// How often headroom is measured while there is none; the end of a slice is notified besides.
+// How often headroom is measured while the headroom is below 1. The end of a slice also triggers a
+// measurement.
 constexpr duration headroom_poll_interval = 50ms;
-constexpr duration shortest_step_interval = 1ms;
-// A folder is first scrubbed this long after the start, or after one period where that is shorter.
+constexpr duration min_step_interval = 1ms;
+// Delay of a folder's first scrub after the start; one scrubbing period if that is shorter.
 constexpr duration first_scrub_delay = 10s;
 
 constexpr duration compaction_period = 500ms;
@@ -23,7 +24,8 @@
 constexpr duration ageing_period = 1s;
 constexpr duration ageing_deadline = 10s;
 constexpr duration checkpoint_period = 60s;
-// Compaction comes before other jobs: a store that is never compacted ends up rejecting writes.
+// Compaction has a higher priority than other jobs: without compaction a store runs out of space and rejects
+// writes.
 constexpr int compaction_priority = 0;
 constexpr int maintenance_priority = 1;
 
@@ -45,7 +47,7 @@
   return slice.more ? scheduler::slice_end::more : scheduler::slice_end::done;
 }
 
-// Nothing is left to do once the tables are gone.
+// Does nothing if the tables have been destroyed.
 scheduler::slice_result maintenance_slice(const std::weak_ptr<store::table_service>& tables,
                                           store::table_service::work kind) {
   const auto service = tables.lock();
@@ -71,16 +73,17 @@
             slice_ended_ = true;
             notify();
           },
-          [this](const std::string& job, const std::string& note) {
+          [this](const std::string& job, const std::string& fault) {
             ++counters_.background_faults;
-            telemetry::log("background", "%s: %s", job.c_str(), note.c_str());
+            telemetry::log("background", "%s: %s", job.c_str(), fault.c_str());
           },
           now) {
   if (settings.keyed) schedule_scrub("scrub-results", settings.keyed->folder, settings.keyed->scrub, now);
   if (settings.writes) schedule_scrub("scrub-writes", settings.writes->folder, settings.writes->scrub, now);
 }
 
-// One segment a slice. Reads only, so it is safe in a folder that another process still holds.
+// Each slice scrubs one segment. Scrubbing only reads, and is therefore safe in a folder that another process
+// has locked.
 void background_jobs::schedule_scrub(const std::string& job_name, const std::string& folder, duration period,
                                      time_point now) {
   if (period.count() <= 0) return;
@@ -114,9 +117,9 @@
   slice_ended_ = false;
   headroom_ = headroom_meter_.evaluate(now, cores_busy, queued);
   time_point due = pool_.step(now, headroom_);
-  // Without full headroom the scheduler cannot tell when there will be more.
+  // The scheduler cannot predict when headroom increases.
   if (headroom_ < 1) due = std::min(due, now + headroom_poll_interval);
-  due_ = std::max(due, now + shortest_step_interval);
+  due_ = std::max(due, now + min_step_interval);
   return due_;
 }
 
--- a/src/server/durable_idempotency.cpp
+++ b/src/server/durable_idempotency.cpp
@@ -28,7 +28,7 @@
   options.segment = keyed.segment;
   options.space = keyed.space;
   options.retry_disk = keyed.retry_disk;
-  // The outcome of a transaction is looked up in this node's own folder, which needs no inquiry variable.
+  // An inquiry about a transaction reads this node's own folder and needs no inquiry variable.
   const bool can_inquire = !keyed.inquiry_var.empty() || settings.writes.has_value();
   options.inquiry_tries = can_inquire ? keyed.inquiry_tries : 0;
   options.inquiry_pause = keyed.inquiry_pause;
@@ -52,13 +52,13 @@
   dispatcher_.use(deferred_service_, settings.keyed->finish_within);
   try {
     open();
-  } catch (const store::held& error) {  // by the predecessor in a hot restart
-    telemetry::log("handover", "%s: keyed requests are refused until it lets go", error.what());
+  } catch (const store::held& error) {  // the predecessor in a hot restart has locked the folder
+    telemetry::log("handover", "%s; keyed requests are rejected until the folder is released", error.what());
     next_open_attempt_ = net::steady_now() + settings.keyed->retry_disk;
   }
 }
 
-// Reads the folder as after a restart: the keys that the predecessor recorded are known from now on.
+// Recovers the keys and results that the predecessor recorded in the folder, as after a restart.
 void durable_idempotency::open() {
   durable_service_ =
       std::make_unique<idempotency::durable_service>(file_system_, options_of(config_), counters_, notify_);
@@ -72,13 +72,13 @@
   try {
     open();
     next_open_attempt_ = time_point::max();
-    telemetry::log("handover", "%s taken over: %" PRIu64 " keys known", folder,
+    telemetry::log("handover", "%s opened after its release: %" PRIu64 " keys recovered", folder,
                    static_cast<std::uint64_t>(durable_service_->known().size()));
   } catch (const store::held&) {
     durable_service_.reset();
-  } catch (const std::exception& error) {  // the folder cannot be read: keyed requests stay rejected
+  } catch (const std::exception& error) {  // the folder is unusable: keyed requests are still rejected
     durable_service_.reset();
-    telemetry::log("handover", "%s cannot be taken over: %s", folder, error.what());
+    telemetry::log("handover", "cannot open %s, keyed requests are still rejected: %s", folder, error.what());
   }
 }
 
--- a/src/server/hot_restart_file.cpp
+++ b/src/server/hot_restart_file.cpp
@@ -23,7 +23,7 @@
   return folder != nullptr && *folder != '\0' ? folder : "/tmp";
 }
 
-// False only where the system knows no such process: one that may not be signalled lives.
+// False only if no such process exists. A process that this process is not permitted to signal is alive.
 bool is_alive(std::uint64_t process_id) {
   return ::kill(static_cast<pid_t>(process_id), 0) == 0 || errno != ESRCH;
 }
@@ -43,14 +43,18 @@
 
 void hot_restart_file::write_once() {
   if (std::exchange(written_, true)) return;
-  // Renamed into place, so that a reader never sees half a mark.
+  // Writes a temporary file and renames it, so that a reader never sees a partial mark.
   const std::string temporary_path = path_ + "." + std::to_string(self_.process_id);
   if (!write_file(temporary_path, lifecycle::format_mark(self_))) {
-    telemetry::log("handover", "no mark written to %s", temporary_path.c_str());
+    telemetry::log("handover",
+                   "cannot write the hot-restart mark %s: a predecessor will not detect this process",
+                   temporary_path.c_str());
     return;
   }
   if (std::rename(temporary_path.c_str(), path_.c_str()) != 0) {
-    telemetry::log("handover", "no mark at %s", path_.c_str());
+    telemetry::log("handover",
+                   "cannot rename the hot-restart mark to %s: a predecessor will not detect this process",
+                   path_.c_str());
     std::remove(temporary_path.c_str());
   }
 }
--- a/src/server/hot_restart_file.hpp
+++ b/src/server/hot_restart_file.hpp
@@ -1,5 +1,5 @@
-// The hot-restart mark as a file in $TMPDIR, which a process and its successor share
-// (lifecycle/hot_restart.hpp says what a mark means).
+// The file in $TMPDIR that contains the hot-restart mark. A process and its successor use the same file
+// (lifecycle/hot_restart.hpp defines the mark).
 #pragma once
 
 #include <string>
@@ -9,18 +9,20 @@
 
 namespace marblewharf::server {
 
-// Reads and writes the file on the reactor's thread: the mark is one line, written once in a run and read
-// once.
+// Reads and writes the file on the reactor's thread. The file has one line; a process writes it once and
+// reads it once.
 class hot_restart_file {
  public:
-  // Takes the time of its construction for the start of this process.
+  // Uses the time of construction as the start time of this process.
   explicit hot_restart_file(const config& settings);
 
-  // This process takes clients: writes its mark, at the first call only. A failure is logged; a successor
-  // then goes unnoticed and the predecessor shuts down as if it were alone.
+  // Writes the mark of this process, which accepts connections now. Only the first call has an effect. A
+  // failure is logged; the predecessor then does not detect this process and shuts down as if it had no
+  // successor.
   void write_once();
 
-  // Whether a process that started after this one takes the clients of this node's address and still lives.
+  // Whether a successor, which started after this process, accepts connections on this node's address and is
+  // still alive.
   bool successor_took_over() const;
 
  private:
--- a/src/server/memory_idempotency.cpp
+++ b/src/server/memory_idempotency.cpp
@@ -25,8 +25,8 @@
   if (!settings.repeats) return nullptr;
   auto service = std::make_unique<idempotency::memory_service>(options_of(settings), counters);
   service->set_observer(requests);
-  // A run past its deadline is stopped at once: no result outlives the process, so finishing it saves
-  // nothing.
+  // A run past its deadline is stopped at once. Finishing the run would have no benefit, because results are
+  // lost with the process.
   constexpr duration finish_within{};
   requests.use(*service, finish_within);
   return service;
--- a/src/server/memory_idempotency.hpp
+++ b/src/server/memory_idempotency.hpp
@@ -1,4 +1,4 @@
-// Wiring of the idempotency service that keeps keys and results in memory.
+// Sets up the idempotency service that stores keys and results in memory.
 #pragma once
 
 #include <memory>
@@ -10,8 +10,8 @@
 
 namespace marblewharf::server {
 
-// Null where the settings have no `repeats`. The dispatcher uses the service from then on; both `requests`
-// and `counters` outlive it.
+// Creates the service and connects it to the dispatcher `requests`; null if the settings have no `repeats`.
+// Both `requests` and `counters` outlive the service.
 std::unique_ptr<idempotency::memory_service> make_memory_idempotency(const config& settings,
                                                                      dispatcher& requests,
                                                                      telemetry::counters& counters);
--- a/src/server/node_admin_handler.cpp
+++ b/src/server/node_admin_handler.cpp
@@ -5,8 +5,9 @@
 
 namespace marblewharf::server {
 
-node_admin_handler::node_admin_handler(const admin_sources& sources, lifecycle::drain_state& drain_state)
-    : sources_(sources), drain_state_(drain_state) {
+node_admin_handler::node_admin_handler(const admin_sources& sources,
+                                       lifecycle::operator_drain& operator_drain)
+    : sources_(sources), operator_drain_(operator_drain) {
   for (const auto& request_class : sources_.settings.settings.classes)
     class_names_.push_back(request_class.name);
 }
@@ -17,7 +18,7 @@
 
 std::string node_admin_handler::statistics() {
   std::string lines =
-      admin::render_statistics(sources_.counters, class_names_, sources_.requests.unanswered());
+      admin::render_statistics(sources_.counters, class_names_, sources_.requests.count_unanswered());
   if (sources_.cluster_agent) lines += sources_.cluster_agent->show_statistics();
   if (sources_.fan_out_client) lines += sources_.fan_out_client->figures();
   if (sources_.transaction_coordinator) lines += sources_.transaction_coordinator->figures();
@@ -27,12 +28,14 @@
 }
 
 std::string node_admin_handler::drain() {
-  if (drain_state_.drain(net::steady_now())) telemetry::log("console", "drain: health checks answer bad");
+  if (operator_drain_.drain(net::steady_now()))
+    telemetry::log("console", "drain: health checks answer bad until a resume command");
   return "draining";
 }
 
 std::string node_admin_handler::resume() {
-  if (drain_state_.resume(net::steady_now())) telemetry::log("console", "resume: health checks answer good");
+  if (operator_drain_.resume(net::steady_now()))
+    telemetry::log("console", "resume: the operator drain is over, health checks answer good again");
   return "serving";
 }
 
@@ -46,7 +49,7 @@
   return sources_.cluster_agent->show_zones();
 }
 
-std::optional<std::string> node_admin_handler::budgets() {
+std::optional<std::string> node_admin_handler::quotas() {
   if (!sources_.quota_client) return std::nullopt;
   return sources_.quota_client->show_quotas();
 }
--- a/src/server/node_admin_handler.hpp
+++ b/src/server/node_admin_handler.hpp
@@ -1,4 +1,4 @@
-// The node's answers to the commands of the operators' console.
+// The node's implementation of the commands of the operators' console.
 #pragma once
 
 #include <optional>
@@ -11,7 +11,7 @@
 #include "config/config.hpp"
 #include "core/dispatcher.hpp"
 #include "fan_out/client.hpp"
-#include "lifecycle/drain_state.hpp"
+#include "lifecycle/operator_drain.hpp"
 #include "runtime/link.hpp"
 #include "server/background_jobs.hpp"
 #include "telemetry/telemetry.hpp"
@@ -20,8 +20,8 @@
 
 namespace marblewharf::server {
 
-// The parts of a node that the console reports on; all outlive the handler. An optional part is empty where
-// the settings do not name it, and may be filled after the handler was made.
+// The components of a node that the console reports on. All outlive the handler. An optional component is
+// empty if the settings do not enable it, and may be created after the handler.
 struct admin_sources {
   const config& settings;
   const telemetry::counters& counters;
@@ -38,21 +38,21 @@
 // Called on the reactor's thread.
 class node_admin_handler : public admin::admin_handler {
  public:
-  // `drain_state` is changed by the commands drain and resume, and outlives the handler.
-  node_admin_handler(const admin_sources& sources, lifecycle::drain_state& drain_state);
+  // The commands drain and resume change `operator_drain`, which outlives the handler.
+  node_admin_handler(const admin_sources& sources, lifecycle::operator_drain& operator_drain);
 
-  // admin::admin_handler
+  // Overrides of admin::admin_handler.
   bool ready() override;
   std::string statistics() override;
   std::string drain() override;
   std::string resume() override;
   std::optional<std::string> members() override;
   std::optional<std::string> zones() override;
-  std::optional<std::string> budgets() override;
+  std::optional<std::string> quotas() override;
 
  private:
   const admin_sources sources_;
-  lifecycle::drain_state& drain_state_;
+  lifecycle::operator_drain& operator_drain_;
   std::vector<std::string> class_names_;
 };
 
--- a/src/server/price_node.cpp
+++ b/src/server/price_node.cpp
@@ -21,14 +21,15 @@
   return static_cast<std::size_t>(found - names.begin());
 }
 
-void log_listening(const char* what, const endpoint& address) {
-  telemetry::log("start", "%s on %s:%u", what, address.host.c_str(), static_cast<unsigned>(address.port));
+void log_listening(const char* subject_and_verb, const endpoint& address) {
+  telemetry::log("start", "%s on %s:%u", subject_and_verb, address.host.c_str(),
+                 static_cast<unsigned>(address.port));
 }
 
-// When a part that may be missing wants its next step.
-template <typename Part>
-time_point step_if_present(Part& part, time_point now) {
-  return part ? part->step(now) : time_point::max();
+// Steps an optional component; returns when its next step is due.
+template <typename Component>
+time_point step_if_present(Component& component, time_point now) {
+  return component ? component->step(now) : time_point::max();
 }
 
 }  // namespace
@@ -57,22 +58,22 @@
                       .transaction_coordinator = transaction_coordinator_,
                       .quota_client = quota_client_,
                       .jobs = background_jobs_},
-                     drain_state_),
+                     operator_drain_),
       shutdown_(settings.bounds, {.requests = dispatcher_,
                                   .thrift_server = thrift_server_,
                                   .uwsgi_server = uwsgi_server_,
                                   .durable = durable_idempotency_.get()}) {
-  // Before run() no connection is accepted, so the observer misses nothing.
+  // The observer sees all traffic, because connections are accepted only in run().
   reactor_.listen_in(traffic_observer);
-  thrift_server_.set_health_check([this] { return drain_state_.healthy(dispatcher_.healthy()); });
+  thrift_server_.set_health_check([this] { return operator_drain_.healthy(dispatcher_.healthy()); });
   start_cluster_agent();
   start_console();
   start_uwsgi();
   start_quota_client();
   start_background_jobs();
   hot_restart_file_.emplace(settings);
-  const std::string listens = settings.name + " listens";
-  log_listening(listens.c_str(), settings.listen);
+  const std::string node_listens = settings.name + " listens";
+  log_listening(node_listens.c_str(), settings.listen);
   cores_busy_gauge_ = find_cores_busy_gauge(settings);
 }
 
@@ -83,16 +84,16 @@
 void price_node::start_console() {
   if (!config_.console) return;
   console_.emplace(reactor_, config_.bounds, *config_.console, admin_handler_, counters_);
-  log_listening("console", *config_.console);
+  log_listening("console accepts connections", *config_.console);
 }
 
 void price_node::start_uwsgi() {
   if (!config_.uwsgi) return;
   uwsgi_server_.emplace(reactor_, config_, dispatcher_, make_uwsgi_backend(), counters_);
-  log_listening("uwsgi", config_.uwsgi->listen);
+  log_listening("uwsgi front accepts connections", config_.uwsgi->listen);
 }
 
-// Each backend passes on what is not its own to the one before it.
+// Chains the backends: each backend passes requests that it does not handle to the backend created before it.
 backend& price_node::make_uwsgi_backend() {
   uwsgi_client_.emplace(reactor_, config_, dispatcher_);
   backend* outermost = &*uwsgi_client_;
@@ -104,7 +105,8 @@
   return *outermost;
 }
 
-// Calls at upstreams are limited by the coordinator where there is one: it knows of fan-out calls as well.
+// Calls to upstreams are limited by the transaction coordinator if there is one, because the coordinator also
+// counts the calls of the fan-out client; otherwise by the fan-out client.
 void price_node::start_quota_client() {
   if (!config_.budgets) return;
   cluster::upstream_call_limiter calls;
@@ -129,19 +131,20 @@
   background_jobs_.emplace(config_, counters_, wake_reactor(), net::steady_now());
 }
 
-// For parts with threads of their own; these exist only where `wakeup_` does.
+// The callback of components with threads of their own, which exist only if `wakeup_` is not null.
 std::function<void()> price_node::wake_reactor() {
   return [this] { wakeup_->wake(); };
 }
 
 void price_node::run() {
   reactor_.serve([this] { return step(); });
-  telemetry::log("stop", "%zu requests open", dispatcher_.open());
-  telemetry::print(counters_);
+  telemetry::log("stop", "price node stops with %zu open requests", dispatcher_.open());
+  telemetry::log_counters(counters_);
 }
 
-// The order of the steps matters: what signals, disks and other nodes report is known before the dispatcher
-// decides, and what it decides is written before the shutdown looks for connections that are owed nothing.
+// The order of the steps matters. Reports of signals, disks and other nodes are processed before the
+// dispatcher decides, and the dispatcher's answers are written before the shutdown looks for connections
+// without a pending answer.
 time_point price_node::step() {
   const time_point now = net::steady_now();
   handle_signals(now);
@@ -152,7 +155,7 @@
   const time_point quota_due = step_if_present(quota_client_, now);
   dispatcher_.step(now, gauges);
   step_background_jobs(now, gauges);
-  if (shutdown_.begun() && shutdown_.step(now)) reactor_.stop();
+  if (shutdown_.started() && shutdown_.step(now)) reactor_.stop();
   const time_point connections_due = step_connections(now);
   if (dispatcher_.due() < now || (memory_idempotency_ && memory_idempotency_->has_pending_replies()))
     return now;
@@ -161,22 +164,23 @@
 
 void price_node::handle_signals(time_point now) {
   if (consume_counters_request()) {
-    telemetry::print(counters_);
+    telemetry::log_counters(counters_);
     if (fan_out_client_) fan_out_client_->print();
   }
   if (consume_reload_request()) reload_addresses(config_, runtime_link_, registry_client_);
   if (admin_handler_.ready()) hot_restart_file_->write_once();
-  if (shutdown_requested() && !shutdown_.begun())
-    shutdown_.begin(now, hot_restart_file_->successor_took_over());
+  if (shutdown_requested() && !shutdown_.started())
+    shutdown_.start(now, hot_restart_file_->successor_took_over());
 }
 
-// The runtime's gauges leave out what runs on the uwsgi servers beside it, on the same cores.
+// Adds the runs of the uwsgi servers to the utilization of the cores: these servers use the same cores as the
+// runtime, whose gauges do not include them.
 std::vector<double> price_node::read_gauges(time_point now) const {
   std::vector<double> gauges = runtime_link_.gauges(now);
   if (cores_busy_gauge_ && *cores_busy_gauge_ < gauges.size() && uwsgi_client_) {
     double& cores_busy = gauges[*cores_busy_gauge_];
-    const double uwsgi_share = static_cast<double>(uwsgi_client_->running()) / config_.settings.cores;
-    cores_busy = std::min(1.0, cores_busy + uwsgi_share);
+    const double uwsgi_utilization = static_cast<double>(uwsgi_client_->running()) / config_.settings.cores;
+    cores_busy = std::min(1.0, cores_busy + uwsgi_utilization);
   }
   return gauges;
 }
@@ -188,19 +192,21 @@
 
 time_point price_node::step_cluster(time_point now) {
   const time_point due = step_if_present(cluster_agent_, now);
-  if (cluster_agent_ && cluster_agent_->changes() != routed_changes_) update_routes();
+  if (cluster_agent_ && cluster_agent_->changes() != routed_view_version_) update_routes();
   return due;
 }
 
 void price_node::update_routes() {
-  routed_changes_ = cluster_agent_->changes();
-  const auto routable = [this](const std::string& place) { return cluster_agent_->routable(place); };
+  routed_view_version_ = cluster_agent_->changes();
+  const auto routable = [this](const std::string& zone_or_member) {
+    return cluster_agent_->routable(zone_or_member);
+  };
   if (fan_out_client_) fan_out_client_->routes_changed(routable);
   if (transaction_coordinator_) transaction_coordinator_->routes_changed(routable);
 }
 
-// The tables exist once the coordinator has opened its folder, which a predecessor may still hold at the
-// start.
+// The tables exist once the coordinator has opened its folder, which a predecessor may still have locked when
+// this process starts.
 void price_node::maintain_transaction_tables(time_point now) {
   if (tables_maintained_ || !background_jobs_ || !transaction_coordinator_) return;
   const std::shared_ptr<store::table_service> tables = transaction_coordinator_->tables();
@@ -216,11 +222,11 @@
   background_jobs_->step(now, cores_busy, dispatcher_.current_load().waiting);
 }
 
-// Steps all that has sockets, in the order of this list; returns the earliest due time of these parts and of
-// the dispatcher, the retries of the idempotency folder and the background jobs.
+// Steps all components with sockets, in the order of the list. Returns the earliest due time of these
+// components, the dispatcher, the next attempt to open the idempotency folder, and the background jobs.
 time_point price_node::step_connections(time_point now) {
   return std::min({dispatcher_.due(), runtime_link_.step(now),
-                   registry_client_.step(now, drain_state_.healthy(dispatcher_.healthy())),
+                   registry_client_.step(now, operator_drain_.healthy(dispatcher_.healthy())),
                    thrift_server_.step(now), step_if_present(uwsgi_server_, now),
                    step_if_present(fan_out_client_, now), step_if_present(transaction_coordinator_, now),
                    step_if_present(console_, now),
--- a/src/server/price_node.hpp
+++ b/src/server/price_node.hpp
@@ -1,4 +1,4 @@
-// One price node: all of its parts, and the reactor that drives them.
+// A price node: its components and the reactor that runs them.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +15,7 @@
 #include "core/dispatcher.hpp"
 #include "fan_out/client.hpp"
 #include "idempotency/memory_service.hpp"
-#include "lifecycle/drain_state.hpp"
+#include "lifecycle/operator_drain.hpp"
 #include "net/event_loop_wakeup.hpp"
 #include "net/reactor.hpp"
 #include "net/traffic_observer.hpp"
@@ -35,21 +35,22 @@
 
 namespace marblewharf::server {
 
-// Everything but the disk and background work runs on the thread that calls run(). Optional parts are empty
-// where the settings do not name them; a node with none of the operator's own settings has none of them.
+// All components run on the thread that calls run(), except for disk operations and background jobs. An
+// optional component is empty if the settings do not enable it; without an operator's file all of them are
+// empty.
 class price_node {
  public:
-  // Opens folders and listening addresses. `settings` and `traffic_observer` (null: none) outlive the node.
-  // Throws what keeps the node from starting.
+  // Opens folders and listening addresses. `settings` and `traffic_observer` (may be null) outlive the node.
+  // Throws an exception derived from std::exception if the node cannot start.
   price_node(const config& settings, net::traffic_observer* traffic_observer);
   price_node(const price_node&) = delete;
   price_node& operator=(const price_node&) = delete;
 
-  // Serves until the graceful shutdown that a shutdown notice begins is complete, then logs the counters.
+  // Serves until a shutdown notice arrives and the graceful shutdown is complete, then logs the counters.
   void run();
 
  private:
-  // Construction of the optional parts, in the order in which the constructor calls them.
+  // Create the optional components. Listed in the order in which the constructor calls them.
   void start_cluster_agent();
   void start_console();
   void start_uwsgi();
@@ -58,7 +59,7 @@
   void start_background_jobs();
   std::function<void()> wake_reactor();
 
-  // One round of the reactor, and its steps in their order; returns when the next round is due.
+  // Executes one round of the reactor; returns when the next round is due. The functions below are its steps.
   time_point step();
   void handle_signals(time_point now);
   std::vector<double> read_gauges(time_point now) const;
@@ -69,19 +70,20 @@
   void step_background_jobs(time_point now, const std::vector<double>& gauges);
   time_point step_connections(time_point now);
 
-  // Members are constructed in this order and destroyed in the reverse one: parts come after those they use.
+  // Each component is declared after the components that it uses, because members are destroyed in reverse
+  // order.
   const config& config_;
   telemetry::counters counters_;
   net::reactor reactor_;
   dispatcher dispatcher_;
-  std::unique_ptr<net::event_loop_wakeup> wakeup_;  // null: no part has a thread of its own
+  std::unique_ptr<net::event_loop_wakeup> wakeup_;  // null if no component has threads of its own
   const std::shared_ptr<store::posix_file_system> file_system_;
   const std::unique_ptr<durable_idempotency> durable_idempotency_;
   const std::unique_ptr<idempotency::memory_service> memory_idempotency_;
   runtime::link runtime_link_;
   registry::registry_client registry_client_;
   thrift::server thrift_server_;
-  lifecycle::drain_state drain_state_;
+  lifecycle::operator_drain operator_drain_;
   std::optional<cluster::agent> cluster_agent_;
   std::optional<uwsgi::client> uwsgi_client_;
   std::optional<fan_out::client> fan_out_client_;
@@ -94,12 +96,11 @@
   shutdown_sequence shutdown_;
   std::optional<hot_restart_file> hot_restart_file_;
 
-  std::optional<std::size_t> cores_busy_gauge_;  // index of the gauge that tells how busy the cores are
-  std::uint64_t routed_changes_ = no_changes_routed;
-  bool tables_maintained_ = false;  // the coordinator's tables are, by background jobs
+  std::optional<std::size_t> cores_busy_gauge_;  // index of the gauge for the utilization of the cores
+  std::uint64_t routed_view_version_ = no_view_version;  // version of the cluster view in the upstream routes
+  bool tables_maintained_ = false;  // whether background jobs maintain the coordinator's tables
 
-  // Changes of the cluster's view that the upstream routes follow; none yet.
-  static constexpr std::uint64_t no_changes_routed = ~std::uint64_t{0};
+  static constexpr std::uint64_t no_view_version = ~std::uint64_t{0};  // no view has been applied yet
 };
 
 }  // namespace marblewharf::server
--- a/src/server/random_seed.hpp
+++ b/src/server/random_seed.hpp
@@ -5,7 +5,7 @@
 
 namespace marblewharf::server {
 
-// 64 bits from the system's source of randomness.
+// Returns 64 random bits from std::random_device.
 std::uint64_t random_seed();
 
 }  // namespace marblewharf::server
--- a/src/server/reload.cpp
+++ b/src/server/reload.cpp
@@ -10,18 +10,18 @@
 void reload_addresses(const config& current, runtime::link& runtime_link,
                       registry::registry_client& registry_client) {
   try {
-    const config fresh = load_config();
-    // Both are resolved before either is used, so that a bad one changes nothing.
-    const auto runtime_address = net::address_of(fresh.runtime, "runtime");
-    const auto registry_address = net::address_of(fresh.directory, "directory");
-    telemetry::log("reload", "runtime at %s, catalog at %s", runtime_address.toString().c_str(),
+    const config reloaded = load_config();
+    // Resolves both addresses before it uses them, so that an invalid address changes nothing.
+    const auto runtime_address = net::address_of(reloaded.runtime, "runtime");
+    const auto registry_address = net::address_of(reloaded.directory, "directory");
+    telemetry::log("reload", "runtime at %s, registry at %s", runtime_address.toString().c_str(),
                    registry_address.toString().c_str());
-    if (fresh.name != current.name || fresh.listen != current.listen)
-      telemetry::log("reload", "name or listen differs: that takes a restart");
+    if (reloaded.name != current.name || reloaded.listen != current.listen)
+      telemetry::log("reload", "a changed name or listen address takes effect only after a restart");
     runtime_link.move(runtime_address);
     registry_client.move(registry_address);
   } catch (const std::exception& error) {
-    telemetry::log("reload", "the old configuration stays: %s", error.what());
+    telemetry::log("reload", "failed, the current configuration stays in effect: %s", error.what());
   }
 }
 
--- a/src/server/reload.hpp
+++ b/src/server/reload.hpp
@@ -1,4 +1,4 @@
-// SIGHUP: reads the configuration again and moves to the addresses it names.
+// Configuration reload on SIGHUP.
 #pragma once
 
 #include "config/config.hpp"
@@ -7,9 +7,9 @@
 
 namespace marblewharf::server {
 
-// Reads the configuration file and points the link and the registry client to the addresses it names, the
-// only settings that may change while the process runs. `current`: the settings the process started with. A
-// file that cannot be used changes nothing and is logged.
+// Reads the configuration file and changes the addresses of the runtime and the registry, the only settings
+// that take effect while the process runs. `current`: the settings with which the process started. An invalid
+// file is logged and changes nothing.
 void reload_addresses(const config& current, runtime::link& runtime_link,
                       registry::registry_client& registry_client);
 
--- a/src/server/serve.cpp
+++ b/src/server/serve.cpp
@@ -8,7 +8,7 @@
 
 void serve(const config& settings, net::traffic_observer* traffic_observer) {
   if (shutdown_requested()) {
-    telemetry::log("stop", "notice to leave before the start");
+    telemetry::log("stop", "shutdown notice received before the start; exiting");
     return;
   }
   price_node node(settings, traffic_observer);
--- a/src/server/serve.hpp
+++ b/src/server/serve.hpp
@@ -1,4 +1,4 @@
-// The program's main loop: one price node from its start to the end of its graceful shutdown.
+// Runs a price node from its start to the end of its graceful shutdown.
 #pragma once
 
 #include "config/config.hpp"
@@ -6,9 +6,10 @@
 
 namespace marblewharf::server {
 
-// Runs a node until it has shut down; signals come from server/signals.hpp. `traffic_observer` sees what goes
-// over accepted connections; null: nobody does. Throws what keeps the node from starting, such as an address
-// that cannot be listened on or a folder that cannot be read.
+// Runs a node until its graceful shutdown is complete. install_signal_handlers() (server/signals.hpp) has to
+// be called before. `traffic_observer` sees the bytes on accepted connections; may be null. Throws an
+// exception derived from std::exception if the node cannot start, for example because a listening address is
+// in use or a folder cannot be read.
 void serve(const config& settings, net::traffic_observer* traffic_observer);
 
 }  // namespace marblewharf::server
--- a/src/server/shutdown_sequence.hpp
+++ b/src/server/shutdown_sequence.hpp
@@ -1,5 +1,5 @@
-// Carries out the graceful shutdown that lifecycle::graceful_shutdown decides: closes listeners and
-// connections of both fronts and says when the process ends.
+// Executes the phases that lifecycle::graceful_shutdown schedules: closes the listeners and connections of
+// both fronts and determines when the process ends.
 #pragma once
 
 #include <optional>
@@ -13,12 +13,12 @@
 
 namespace marblewharf::server {
 
-// The parts that a shutdown acts on; all outlive the sequence.
+// The components that a shutdown acts on. All outlive the sequence.
 struct shutdown_targets {
   dispatcher& requests;
   thrift::server& thrift_server;
-  std::optional<uwsgi::server>& uwsgi_server;  // empty: no such front
-  const durable_idempotency* durable;          // null: no results are kept on disk
+  std::optional<uwsgi::server>& uwsgi_server;  // empty if the settings configure no uwsgi front
+  const durable_idempotency* durable;          // null if results are not stored on disk
 };
 
 // Owned by the reactor's thread.
@@ -26,11 +26,12 @@
  public:
   shutdown_sequence(const limits& bounds, const shutdown_targets& targets);
 
-  bool begun() const { return shutdown_.has_value(); }
-  // The shutdown notice came. With a successor on the same address, connections are let go at once.
-  void begin(time_point now, bool successor_took_over);
-  // Closes what is due; returns whether the process is to end. To be called in each round once begun, after
-  // the round's answers have been written.
+  bool started() const { return shutdown_.has_value(); }
+  // Starts the shutdown after the notice. If a successor accepts connections on the same address, the fronts
+  // drain at once.
+  void start(time_point now, bool successor_took_over);
+  // Closes listeners and connections that are due; returns whether the process has to end. Called in each
+  // round after start(), once the round's answers have been written.
   bool step(time_point now);
 
  private:
@@ -39,7 +40,7 @@
 
   const limits& bounds_;
   const shutdown_targets targets_;
-  std::optional<lifecycle::graceful_shutdown> shutdown_;  // from the notice on
+  std::optional<lifecycle::graceful_shutdown> shutdown_;  // set by start()
 };
 
 }  // namespace marblewharf::server
--- a/src/server/signals.cpp
+++ b/src/server/signals.cpp
@@ -20,7 +20,8 @@
   }
 }
 
-// Cleared before the request is carried out: a signal that comes meanwhile is a new request.
+// Returns and clears the flag. The caller acts on the request afterwards, so that a signal that arrives in
+// the meantime counts as a new request.
 bool consume(volatile std::sig_atomic_t& pending) {
   if (pending == 0) return false;
   pending = 0;
--- a/src/telemetry/telemetry.cpp
+++ b/src/telemetry/telemetry.cpp
@@ -13,32 +13,32 @@
 namespace marblewharf::telemetry {
 namespace {
 
-constexpr std::size_t longest_text = 512;
+constexpr std::size_t max_text_bytes = 512;
 constexpr std::int64_t ms_per_second = 1000;
 
-// The lines of one event in the present second.
-struct line_quota {
-  std::chrono::steady_clock::time_point second_began;
-  unsigned written = 0;
-  std::uint64_t left_out = 0;  // since the last line that was written
+// Rate limit of the log lines of one event.
+struct line_limiter {
+  std::chrono::steady_clock::time_point window_start;  // windows last one second
+  unsigned written = 0;                                // lines in the current window
+  std::uint64_t suppressed = 0;                        // lines since the last line that was written
 };
 
-std::mutex mutex;  // guards all below, and keeps lines whole
-unsigned lines_per_second = 5;
-std::map<std::string_view, line_quota> quotas;  // one for each event of the program
+std::mutex mutex;                   // guards the variables below, and prevents lines from interleaving
+unsigned max_lines_per_second = 5;  // of each event
+std::map<std::string_view, line_limiter> limiters;  // by event
 
-// Whether another line may be written now; counts it either way.
-bool may_write(line_quota& quota) {
+// Whether another line may be written now. Counts the line as written or suppressed.
+bool allow_line(line_limiter& limiter) {
   const auto now = std::chrono::steady_clock::now();
-  if (now - quota.second_began >= std::chrono::seconds(1)) {
-    quota.second_began = now;
-    quota.written = 0;
+  if (now - limiter.window_start >= std::chrono::seconds(1)) {
+    limiter.window_start = now;
+    limiter.written = 0;
   }
-  if (quota.written >= lines_per_second) {
-    ++quota.left_out;
+  if (limiter.written >= max_lines_per_second) {
+    ++limiter.suppressed;
     return false;
   }
-  ++quota.written;
+  ++limiter.written;
   return true;
 }
 
@@ -49,16 +49,16 @@
 
 }  // namespace
 
-void limit_lines(unsigned each_second) {
+void limit_lines(unsigned lines_per_second) {
   const std::lock_guard lock(mutex);
-  lines_per_second = each_second;
+  max_lines_per_second = lines_per_second;
 }
 
 void log(const char* event, const char* format, ...) {
   const std::lock_guard lock(mutex);
-  line_quota& quota = quotas[event];
-  if (!may_write(quota)) return;
-  char text[longest_text];
+  line_limiter& limiter = limiters[event];
+  if (!allow_line(limiter)) return;
+  char text[max_text_bytes];
   std::va_list arguments;
   va_start(arguments, format);
   std::vsnprintf(text, sizeof text, format, arguments);
@@ -66,14 +66,15 @@
   const std::int64_t now_ms = unix_ms();
   std::fprintf(stderr, "%" PRId64 ".%03d %s: %s", now_ms / ms_per_second,
                static_cast<int>(now_ms % ms_per_second), event, text);
-  if (quota.left_out > 0) std::fprintf(stderr, " (%" PRIu64 " such lines left out)", quota.left_out);
+  if (limiter.suppressed > 0)
+    std::fprintf(stderr, " (%" PRIu64 " lines of this event suppressed)", limiter.suppressed);
   std::fputc('\n', stderr);
-  quota.left_out = 0;
+  limiter.suppressed = 0;
 }
 
 void audit(const char* format, ...) {
   const std::lock_guard lock(mutex);
-  char text[longest_text];
+  char text[max_text_bytes];
   std::va_list arguments;
   va_start(arguments, format);
   std::vsnprintf(text, sizeof text, format, arguments);
@@ -81,22 +82,25 @@
   std::fprintf(stderr, "audit: %s\n", text);
 }
 
-void print(const counters& c) {
+void log_counters(const counters& totals) {
   log("counters",
       "connections=%" PRIu64 " taken_in=%" PRIu64 " sent=%" PRIu64 " served=%" PRIu64 " refused=%" PRIu64
       " failed=%" PRIu64 " given_up=%" PRIu64 " gone=%" PRIu64 " bad_requests=%" PRIu64 " bad_frames=%" PRIu64
       " checks=%" PRIu64 " silent=%" PRIu64 " made_room=%" PRIu64 " turned_away=%" PRIu64
       " links_lost=%" PRIu64 " nacks=%" PRIu64 " console_calls=%" PRIu64 " console_bad=%" PRIu64,
-      c.connections, c.taken_in, c.sent, c.served, c.refused, c.failed, c.given_up, c.gone, c.bad_requests,
-      c.bad_frames, c.checks, c.silent, c.made_room, c.turned_away, c.links_lost, c.nacks, c.console_calls,
-      c.console_bad);
-  if (c.results_bytes == 0 && c.results_known == 0) return;  // no result is recorded
+      totals.connections, totals.taken_in, totals.sent, totals.served, totals.refused, totals.failed,
+      totals.deadline_exceeded, totals.cancelled, totals.bad_requests, totals.bad_frames, totals.checks,
+      totals.silent, totals.made_room, totals.turned_away, totals.links_lost, totals.nacks,
+      totals.console_commands, totals.console_errors);
+  if (totals.results_bytes == 0 && totals.results_known == 0)
+    return;  // the idempotency store is empty or not in use
   log("counters",
       "repeats_answered=%" PRIu64 " repeats_joined=%" PRIu64 " repeats_in_doubt=%" PRIu64
       " key_conflicts=%" PRIu64 " no_room=%" PRIu64 " results_known=%" PRIu64 " results_in_doubt=%" PRIu64
       " results_bytes=%" PRIu64 " results_commits=%" PRIu64,
-      c.repeats_answered, c.repeats_joined, c.repeats_in_doubt, c.key_conflicts, c.no_room, c.results_known,
-      c.results_in_doubt, c.results_bytes, c.results_commits);
+      totals.repeats_answered, totals.repeats_joined, totals.repeats_in_doubt, totals.key_conflicts,
+      totals.no_room, totals.results_known, totals.results_in_doubt, totals.results_bytes,
+      totals.results_commits);
 }
 
 }  // namespace marblewharf::telemetry
--- a/tests/net/dispatcher_test.cpp
+++ b/tests/net/dispatcher_test.cpp
@@ -1,4 +1,5 @@
-// The dispatcher between a front and a backend that keep to no protocol.
+// The invariants of the dispatcher hold for a front and a backend that report events in any order,
+// repeatedly, or for unknown requests.
 #include "core/dispatcher.hpp"
 
 #include <cstdlib>
@@ -8,20 +9,20 @@
 
 #include "harness.hpp"
 
-// Counts what is allocated and not given back.
-static long allocated = 0;
+// Counts the memory blocks that are allocated and not freed.
+static long allocated_blocks = 0;
 void* operator new(std::size_t size) {
-  ++allocated;
-  void* p = std::malloc(size);
-  if (p == nullptr) throw std::bad_alloc();
-  return p;
+  ++allocated_blocks;
+  void* block = std::malloc(size);
+  if (block == nullptr) throw std::bad_alloc();
+  return block;
 }
-void operator delete(void* p) noexcept {
-  allocated -= p != nullptr;
-  std::free(p);
+void operator delete(void* block) noexcept {
+  allocated_blocks -= block != nullptr;
+  std::free(block);
 }
-void operator delete(void* p, std::size_t) noexcept {
-  operator delete(p);
+void operator delete(void* block, std::size_t) noexcept {
+  operator delete(block);
 }
 
 using namespace marblewharf;
@@ -30,155 +31,164 @@
 namespace {
 
 struct fixture : front, backend {
-  explicit fixture(admission_policy::settings s) : dispatch(s, 1, now, counters) {
-    dispatch.add(*this);
-    dispatch.on_server_up(false, now);
-    dispatch.step(now, {});
+  explicit fixture(admission_policy::settings settings) : dispatcher_under_test(settings, 1, now, counters) {
+    dispatcher_under_test.add(*this);
+    dispatcher_under_test.on_server_up(false, now);
+    dispatcher_under_test.step(now, {});
   }
-  void respond(request_id id, const answer& final) override {
-    CHECK(answers.emplace(id, final.status).second);  // one final answer each
-    advice[id] = final.retry_after;
+  void respond(request_id id, const answer& final_answer) override {
+    CHECK(answers.emplace(id, final_answer.status).second);  // one final answer for each request
+    retry_after[id] = final_answer.retry_after;
   }
   void close_idle(duration) override {}
-  void run(request_id id, const request&) override { CHECK(runs.insert(id).second); }  // at most once
+  void run(request_id id, const request&) override {
+    CHECK(runs.insert(id).second);  // at most one run for each request
+  }
   void pause(request_id id) override { paused.insert(id); }
   void resume(request_id) override {}
 
   request_id arrive(unsigned request_class = 0) {
-    request r;
-    r.request_class = request_class;
-    r.reserved_kb = 10;
-    r.caller = ++last_caller;
-    return dispatch.on_arrival(*this, *this, std::move(r));
+    request details;
+    details.request_class = request_class;
+    details.reserved_kb = 10;
+    details.caller = ++last_caller;
+    return dispatcher_under_test.on_arrival(*this, *this, std::move(details));
   }
-  void pass(duration d) {
-    for (const time_point until = now + d; now < until; now += 10ms) dispatch.step(now, {});
+  // Advances the clock and steps the dispatcher every 10 ms.
+  void advance(duration elapsed) {
+    for (const time_point until = now + elapsed; now < until; now += 10ms)
+      dispatcher_under_test.step(now, {});
   }
 
   time_point now = 1000s;
   unsigned last_caller = 0;
   telemetry::counters counters;
   std::map<request_id, response_status> answers;
-  std::map<request_id, duration> advice;
+  std::map<request_id, duration> retry_after;
   std::set<request_id> runs, paused;
-  dispatcher dispatch;
+  dispatcher dispatcher_under_test;
 };
 
-admission_policy::settings usual(unsigned cores = 2) {
-  admission_policy::settings s;
-  s.cores = cores;
-  s.concurrency_ceiling_per_core = 5;
-  s.tick = 1ms;
-  s.halt = admission_policy::halt_mode::pause;
-  s.max_retry_after = 1s;
-  s.drain_grace = 500ms;
-  s.classes.push_back({.name = "read", .latency_objective = 1s, .deadline = 3s});
-  s.classes.push_back({.name = "write",
-                       .latency_objective = 1s,
-                       .deadline = 3s,
-                       .effect = admission_policy::request_effect::unsafe});
-  return s;
+admission_policy::settings test_settings(unsigned cores = 2) {
+  admission_policy::settings settings;
+  settings.cores = cores;
+  settings.concurrency_ceiling_per_core = 5;
+  settings.tick = 1ms;
+  settings.halt = admission_policy::halt_mode::pause;
+  settings.max_retry_after = 1s;
+  settings.drain_grace = 500ms;
+  settings.classes.push_back({.name = "read", .latency_objective = 1s, .deadline = 3s});
+  settings.classes.push_back({.name = "write",
+                              .latency_objective = 1s,
+                              .deadline = 3s,
+                              .effect = admission_policy::request_effect::unsafe});
+  return settings;
 }
 
-void ends_count_once() {
-  fixture r(usual());
-  const request_id id = r.arrive(1);
-  r.dispatch.on_end(id, run_end::succeeded, "early", 1ms);  // of what never started
-  CHECK(r.answers.empty());
-  r.pass(10ms);
-  CHECK(r.runs.contains(id));
-  r.dispatch.on_end(id, run_end::succeeded, "x", 5ms);
-  r.dispatch.on_end(id, run_end::failed, "", 5ms);
-  r.dispatch.on_end(12345, run_end::succeeded, "", 5ms);
-  r.dispatch.on_client_cancelled(id);
-  r.pass(5s);
-  CHECK(r.answers.at(id) == response_status::served && r.dispatch.open() == 0 && r.counters.served == 1);
+// A run end that is premature, repeated or of an unknown request, and a cancellation after the answer, have
+// no effect.
+void each_request_gets_one_answer() {
+  fixture test(test_settings());
+  const request_id id = test.arrive(1);
+  test.dispatcher_under_test.on_end(id, run_end::succeeded, "early", 1ms);  // the request was not started yet
+  CHECK(test.answers.empty());
+  test.advance(10ms);
+  CHECK(test.runs.contains(id));
+  test.dispatcher_under_test.on_end(id, run_end::succeeded, "x", 5ms);
+  test.dispatcher_under_test.on_end(id, run_end::failed, "", 5ms);
+  test.dispatcher_under_test.on_end(12345, run_end::succeeded, "", 5ms);
+  test.dispatcher_under_test.on_client_cancelled(id);
+  test.advance(5s);
+  CHECK(test.answers.at(id) == response_status::served && test.dispatcher_under_test.open() == 0 &&
+        test.counters.served == 1);
 }
 
+// `rejected` would assert that the request never ran, whatever end the backend reports.
 void started_requests_are_never_rejected() {
-  fixture r(usual());
-  for (const run_end how : {run_end::failed, run_end::aborted, run_end::never_started}) {
-    const request_id id = r.arrive(1);
-    r.pass(10ms);
-    r.dispatch.on_end(id, how, {}, 5ms);
-    r.pass(20ms);
-    CHECK(r.answers.at(id) == response_status::failed);
+  fixture test(test_settings());
+  for (const run_end end : {run_end::failed, run_end::aborted, run_end::never_started}) {
+    const request_id id = test.arrive(1);
+    test.advance(10ms);
+    test.dispatcher_under_test.on_end(id, end, {}, 5ms);
+    test.advance(20ms);
+    CHECK(test.answers.at(id) == response_status::failed);
   }
-  CHECK(r.dispatch.open() == 0);
+  CHECK(test.dispatcher_under_test.open() == 0);
 }
 
-// A run past its latency objective is failed then, with a retry-after, and stopped.
-void failed_requests_get_a_retry_after() {
-  fixture r(usual());
-  const request_id id = r.arrive(1);
-  r.pass(1050ms);
-  CHECK(r.answers.at(id) == response_status::failed && r.paused.contains(id) && r.advice.at(id) > 0ns);
-  r.dispatch.on_end(id, run_end::aborted, {}, 1s);
-  CHECK(r.dispatch.open() == 0);
+// A request whose run exceeds its latency objective is failed with a retry-after, and the run is stopped.
+void requests_past_the_latency_objective_fail_with_retry_after() {
+  fixture test(test_settings());
+  const request_id id = test.arrive(1);
+  test.advance(1050ms);
+  CHECK(test.answers.at(id) == response_status::failed && test.paused.contains(id) &&
+        test.retry_after.at(id) > 0ns);
+  test.dispatcher_under_test.on_end(id, run_end::aborted, {}, 1s);
+  CHECK(test.dispatcher_under_test.open() == 0);
 }
 
 void cancelled_requests_get_no_answer() {
-  fixture r(usual(1));
+  fixture test(test_settings(1));
   std::vector<request_id> ids;
-  for (int i = 0; i < 8; ++i) ids.push_back(r.arrive());
-  r.pass(10ms);
+  for (int i = 0; i < 8; ++i) ids.push_back(test.arrive());
+  test.advance(10ms);
   for (const request_id id : ids) {
-    if (!r.answers.contains(id)) r.dispatch.on_client_cancelled(id);
+    if (!test.answers.contains(id)) test.dispatcher_under_test.on_client_cancelled(id);
   }
-  const std::size_t answered = r.answers.size();
-  r.pass(5s);
-  CHECK(r.answers.size() == answered);
-  for (const request_id id : r.runs) r.dispatch.on_end(id, run_end::aborted, {}, 1ms);
-  CHECK(r.dispatch.open() == 0);
+  const std::size_t answered = test.answers.size();
+  test.advance(5s);
+  CHECK(test.answers.size() == answered);
+  for (const request_id id : test.runs) test.dispatcher_under_test.on_end(id, run_end::aborted, {}, 1ms);
+  CHECK(test.dispatcher_under_test.open() == 0);
 }
 
-// No table grows with the number of requests served: caller ids are ever new, and some clients cancel before
-// their request runs.
+// Guards against a table that grows with the number of requests: every request has a new caller id, and half
+// of the clients cancel before their request runs.
 void ended_requests_leave_no_memory() {
-  fixture r(usual());
+  fixture test(test_settings());
   const auto serve = [&](int count) {
     for (int i = 0; i < count; ++i) {
-      const request_id runs = r.arrive(0), leaves = r.arrive(0);
-      r.dispatch.on_client_cancelled(leaves);
-      r.pass(10ms);
-      r.dispatch.on_end(runs, run_end::succeeded, "x", 5ms);
-      r.answers.clear();
-      r.advice.clear();
-      r.runs.clear();
+      const request_id served = test.arrive(0), cancelled = test.arrive(0);
+      test.dispatcher_under_test.on_client_cancelled(cancelled);
+      test.advance(10ms);
+      test.dispatcher_under_test.on_end(served, run_end::succeeded, "x", 5ms);
+      test.answers.clear();
+      test.retry_after.clear();
+      test.runs.clear();
     }
-    r.pass(10s);
-    return allocated;
+    test.advance(10s);
+    return allocated_blocks;
   };
-  const long before = serve(1000);
-  CHECK(serve(4000) < before + 500);
+  const long blocks_after_warm_up = serve(1000);
+  CHECK(serve(4000) < blocks_after_warm_up + 500);
 }
 
-// Every request that arrives during a drain is answered before the stop, and none starts that arrived after
-// the grace period.
-void drain_answers_every_request() {
-  fixture r(usual(1));
-  std::vector<request_id> early, late;
-  early.push_back(r.arrive(1));
-  r.pass(10ms);
-  r.dispatch.on_shutdown_notice(3s);
-  r.pass(600ms);
-  for (int i = 0; i < 5; ++i) late.push_back(r.arrive());
-  r.pass(2300ms);
-  for (const request_id id : early) CHECK(r.answers.contains(id));
-  for (const request_id id : late)
-    CHECK(r.answers.at(id) == response_status::rejected && !r.runs.contains(id));
-  CHECK(!r.dispatch.healthy());
+// After a shutdown notice every request is answered before the process is killed, and requests that arrive
+// after the grace period are rejected without a run.
+void requests_are_answered_after_a_shutdown_notice() {
+  fixture test(test_settings(1));
+  std::vector<request_id> before_notice, after_grace;
+  before_notice.push_back(test.arrive(1));
+  test.advance(10ms);
+  test.dispatcher_under_test.on_shutdown_notice(3s);
+  test.advance(600ms);
+  for (int i = 0; i < 5; ++i) after_grace.push_back(test.arrive());
+  test.advance(2300ms);
+  for (const request_id id : before_notice) CHECK(test.answers.contains(id));
+  for (const request_id id : after_grace)
+    CHECK(test.answers.at(id) == response_status::rejected && !test.runs.contains(id));
+  CHECK(!test.dispatcher_under_test.healthy());
 }
 
 }  // namespace
 
 int main(int, char** argv) {
   const std::map<std::string, void (*)()> tests = {
-      {"one_answer", ends_count_once},
+      {"one_answer", each_request_gets_one_answer},
       {"never_rejected_after_start", started_requests_are_never_rejected},
-      {"retry_after", failed_requests_get_a_retry_after},
+      {"retry_after", requests_past_the_latency_objective_fail_with_retry_after},
       {"cancelled", cancelled_requests_get_no_answer},
-      {"drain", drain_answers_every_request},
+      {"shutdown_notice", requests_are_answered_after_a_shutdown_notice},
       {"bounded_memory", ended_requests_leave_no_memory}};
   tests.at(argv[1])();
   return 0;
--- a/tests/net/keyed_test.cpp
+++ b/tests/net/keyed_test.cpp
@@ -494,7 +494,8 @@
     other.up();
     // It serves, but keeps its hands off the folder: keyed requests are refused, never run, until it is let
     // go.
-    second.logged("another process holds this folder: keyed requests are refused until it lets go");
+    second.logged(
+        "another process holds this folder; keyed requests are rejected until the folder is released");
     connection d = connection::to(second.port);
     d.send(write_of(1, 3, "k3"));
     const reply refused = read_reply(d);
--- a/tests/net/node_test.cpp
+++ b/tests/net/node_test.cpp
@@ -158,7 +158,7 @@
   bad.edit_from = "\"directory\"";
   bad.edit_to = "\"directories\"";
   n.reload(r, bad);
-  n.logged("reload: the old configuration stays: directory is missing");
+  n.logged("reload: failed, the current configuration stays in effect: directory is missing");
   connection c = connection::to(n.port);
   c.send(execute(1, usual(1), "a"));
   r.end(r.expect("start"), "fine", "YQ==");
--- a/tests/net/ops_test.cpp
+++ b/tests/net/ops_test.cpp
@@ -225,7 +225,7 @@
   wait_ready(second.console_port);
 
   first.n.signal(SIGTERM);
-  first.n.logged("a successor takes the clients");
+  first.n.logged("a successor accepts new connections");
   CHECK(read_reply(kept).kind == "closing");
   // From now on new connections reach the successor alone.
   for (int i = 0; i < 20; ++i) {
@@ -268,7 +268,7 @@
   with_console second(second_runtime,
                       {.operators = operators, .listen_port = first.n.port, .tmpdir = folder.path});
   second_runtime.up();
-  second.n.logged("another process holds this folder: keyed requests are refused");
+  second.n.logged("another process holds this folder; keyed requests are rejected");
   wait_ready(second.console_port);
   first.n.signal(SIGTERM);
   CHECK(read_reply(c).kind == "closing");
@@ -291,7 +291,7 @@
     CHECK(r.kind == "served" && result(r) == kept);
     answered = true;
   }
-  second.n.logged("taken over: 1 keys known");
+  second.n.logged("opened after its release: 1 keys recovered");
   starts_nothing(second_runtime);  // the repeat never ran
 }
 
@@ -313,7 +313,7 @@
   second.n.logged("another process holds this folder");
   first.n.signal(SIGKILL);
   first.n.wait();
-  second.n.logged("taken over: 1 keys known");
+  second.n.logged("opened after its release: 1 keys recovered");
   connection d = connection::to(first.n.port);
   d.send(keyed_write(1, 2, "k9"));
   const reply repeat = read_reply(d);
@@ -340,7 +340,7 @@
   first_runtime.end(first_runtime.expect("start"), "fine", "YQ==");
   CHECK(read_reply(c).kind == "served");
   first.n.signal(SIGTERM);  // and with no newer mark it is no handover
-  first.n.logged("notice to leave");
+  first.n.logged("shutdown notice received");
   CHECK(first.n.log().find("a successor") == std::string::npos);
 }
 
@@ -355,7 +355,7 @@
   c.send(execute(1, usual(1), "a"));
   const std::string running = r.expect("start");
   w.n.signal(SIGTERM);
-  w.n.logged("notice to leave");
+  w.n.logged("shutdown notice received");
   CHECK(first_line(call(w.console_port, "drain\n")) == "200 draining");
   CHECK(!health(w.n.port));
   CHECK(first_line(call(w.console_port, "resume\n")) == "200 serving");
@@ -370,7 +370,7 @@
 // SIGTERM with no successor: the node still listens and serves what comes until its stop.
 void serves_on_at_sigterm(with_console& w, runtime& r) {
   w.n.signal(SIGTERM);
-  w.n.logged("notice to leave");
+  w.n.logged("shutdown notice received");
   CHECK(w.n.log().find("a successor") == std::string::npos);
   connection c = connection::to(w.n.port);  // still listening
   c.send(execute(1, usual(1), "a"));
@@ -391,13 +391,13 @@
   with_console second(second_runtime, {.listen_port = first.n.port, .tmpdir = folder.path},
                       first.console_port);
   second_runtime.up();
-  second.n.logged("held by another process");
+  second.n.logged("is in use by another process");
   for (int i = 0; i < 10; ++i) CHECK(first_line(call(first.console_port, "drain\n")) == "200 draining");
   CHECK(first.n.log().find("drain: health") != std::string::npos);
   CHECK(second.n.log().find("drain: health") == std::string::npos);  // none reached the successor
   first.n.signal(SIGTERM);
   CHECK(first.n.wait() == 0);
-  second.n.logged("let go: listening");
+  second.n.logged("which the other process has released");
   CHECK(first_line(call(first.console_port, "ready\n")) == "200 yes");
 }
 
--- a/tests/net/races_test.cpp
+++ b/tests/net/races_test.cpp
@@ -163,7 +163,7 @@
     read_reply(resting.back());
   }
   n.signal(SIGTERM);
-  n.logged("notice to leave");
+  n.logged("shutdown notice received");
   std::this_thread::sleep_for(2000ms);
   n.signal(SIGSTOP);
   for (std::size_t i = 0; i < resting.size(); ++i)
@@ -212,7 +212,7 @@
   for (int i = 1; i <= count; ++i) c.send(execute(i, usual(i), "a"));
   for (int i = 1; i <= count; ++i) r.end(r.expect("start"), "fine", blob);
   n.signal(SIGTERM);
-  n.logged("notice to leave");
+  n.logged("shutdown notice received");
   for (int i = 1; i <= count; ++i) CHECK(read_reply(c).kind == "served");
   std::string rest;
   CHECK(c.ends_in_order(rest));
@@ -234,7 +234,7 @@
   n.signal(SIGCONT);
   for (std::string line; old.link.next(line);) CHECK(old.answer_gauges(line));
   next.up();
-  n.logged("notice to leave");
+  n.logged("shutdown notice received");
   n.logged("counters");
   next.end(label(1), "fine", "YQ==");
   CHECK(read_reply(c).kind == "served");
@@ -253,7 +253,7 @@
   read.send(check(1));
   CHECK(read_reply(read).seqid == 1);  // so the half that came before it is read, too
   n.signal(SIGTERM);
-  n.logged("notice to leave");
+  n.logged("shutdown notice received");
   c.send(whole.substr(whole.size() / 2));
   r.end(r.expect("start"), "fine", "YQ==");
   CHECK(read_reply(c).kind == "served");
@@ -275,7 +275,7 @@
   n.reload(gone);
   n.logged("reload: runtime at");
   n.signal(SIGTERM);
-  n.logged("notice to leave");
+  n.logged("shutdown notice received");
   c.send(execute(2, usual(2, "kurs-meldung"), "b"));
   old.end(label(1), "fine", "YQ==");
   CHECK(read_reply(c).seqid == 1);
@@ -311,7 +311,7 @@
   next.end(label(2), "fine", "Yg==");
   CHECK(read_reply(c).kind == "served");
   n.signal(SIGTERM);
-  n.logged("notice to leave");
+  n.logged("shutdown notice received");
   c.close();
   CHECK(n.wait() == 0);
 }
@@ -329,7 +329,7 @@
   c.send(execute(1, usual(1), "a"));
   r.expect("start");
   n.signal(SIGTERM);
-  n.logged("notice to leave");
+  n.logged("shutdown notice received");
   r.end(label(1), "fine", "YQ==");
   CHECK(read_reply(c).kind == "served");
   c.close();
@@ -614,8 +614,8 @@
     while (marked_by() != std::to_string(second.pid())) CHECK(clock::now() < until);
   }  // SIGKILL
   first.signal(SIGTERM);
-  first.logged("notice to leave");
-  CHECK(first.log().find("a successor takes the clients") == std::string::npos);
+  first.logged("shutdown notice received");
+  CHECK(first.log().find("a successor accepts new connections") == std::string::npos);
   connection c = connection::to(first.port);
   c.send(execute(1, usual(1), "a"));
   first_runtime.end(first_runtime.expect("start"), "fine", "YQ==");
