--- a/src/admin/console_server.cpp
+++ b/src/admin/console_server.cpp
@@ -38,8 +38,8 @@
     if (!answered_) return false;
     return now - answered_at_ > server_.bounds_.linger || (stream_.flushed() && !stream_.is_open());
   }
-  // Eviction order: answered connections first; among these the one answered first, among the others the one
-  // opened first.
+  // Whether this connection is evicted before `other`. Answered connections are evicted first, in the order
+  // of their answers; then the others, in the order in which they were opened.
   bool evicted_before(const connection& other) const {
     if (answered_ != other.answered_) return answered_;
     return answered_ ? answered_at_ < other.answered_at_ : opened_at_ < other.opened_at_;
--- a/src/core/admission.cpp
+++ b/src/core/admission.cpp
@@ -177,8 +177,8 @@
   telemetry::log("module", "%s", action.text.c_str());
 }
 
-// A request that was never started gets no completion, which would remove its entry. Without this function
-// the entry would leak.
+// Removes the entry of a request that was never started. Such a request gets no completion, which removes the
+// entries of started requests.
 void admission::forget_unless_started(request_id id) {
   const auto entry = started_.find(id);
   if (entry != started_.end() && !entry->second) started_.erase(entry);
--- a/src/core/admission_messages.hpp
+++ b/src/core/admission_messages.hpp
@@ -106,12 +106,12 @@
 
 // Set the answer to health checks.
 struct set_health {
-  bool good = true;
+  bool healthy = true;
 };
 
 // Close client connections that have been idle for this long; 0 = never.
 struct close_idle {
-  duration after{};
+  duration idle_timeout{};
 };
 
 using admission_decision = std::variant<run, pause, resume, reject, fail, retain_key, forget_key,
--- a/src/core/backend.hpp
+++ b/src/core/backend.hpp
@@ -23,9 +23,9 @@
   // run_end::aborted.
   virtual void pause(request_id id) = 0;
   virtual void resume(request_id id) = 0;
-  // Asks for the outcome of a keyed request whose run ended without a report. The backend replies through
-  // dispatcher::on_inquired(). Returns false if this backend does not support inquiries; no reply follows
-  // then.
+  // Asks for the outcome of a keyed request for which the end of the run was never reported. The backend
+  // replies through dispatcher::on_inquired(). Returns false, and never replies, if the backend does not
+  // support inquiries.
   virtual bool inquire(request_id, const request&) { return false; }
   // Reply to dispatcher::on_call_needed(): the run may make its dependency call, with a timeout of `limit`.
   virtual void place_call(request_id, duration /*limit*/) {}
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -33,7 +33,7 @@
 
 // Ignored after the first arrival: from then on the policy estimates the server's speed only from runs.
 void dispatcher::on_server_up(bool cold, time_point since) {
-  if (any_arrived_ || draining_) return;
+  if (any_request_arrived_ || draining_) return;
   admission_ = admission(with_cold_start(settings_, cold), seed_, since);
   if (quota_) admission_.report(*quota_);
 }
@@ -41,7 +41,7 @@
 // ---- Requests ---------------------------------------------------------------------------------------------
 
 request_id dispatcher::on_arrival(front& receiving_front, backend& target_backend, request details) {
-  any_arrived_ = true;
+  any_request_arrived_ = true;
   ++counters_.taken_in;
   request_entry& entry = requests_.add(receiving_front, target_backend, std::move(details));
   const request_id id = entry.id;
@@ -242,7 +242,7 @@
 }
 
 void dispatcher::apply(const close_idle& decision) {
-  for (front* idle_closing_front : fronts_) idle_closing_front->close_idle(decision.after);
+  for (front* idle_closing_front : fronts_) idle_closing_front->close_idle(decision.idle_timeout);
 }
 
 }  // namespace marblewharf
--- a/src/core/dispatcher.hpp
+++ b/src/core/dispatcher.hpp
@@ -104,7 +104,7 @@
   void apply(const retain_key&) {}
   void apply(const forget_key&) {}
   void apply(const share_result& decision);
-  void apply(const set_health& decision) { healthy_ = decision.good; }
+  void apply(const set_health& decision) { healthy_ = decision.healthy; }
   void apply(const close_idle& decision);
 
   std::function<void(const request&)> arrival_observer_;
@@ -117,7 +117,7 @@
   duplicate_coalescer coalescer_;
   std::vector<front*> fronts_;
   time_point now_{};
-  bool any_arrived_ = false;
+  bool any_request_arrived_ = false;
   bool healthy_ = true;
   bool draining_ = false;
 };
--- a/src/core/duplicate_coalescer.cpp
+++ b/src/core/duplicate_coalescer.cpp
@@ -142,7 +142,7 @@
   group.result = result;
   if (succeeded) {
     recording_deadlines_.emplace(group.respond_by, primary.id);
-  } else {  // a failure makes no promise, so that clients need not wait for its record
+  } else {  // a failed answer makes no promise, so that clients need not wait until the failure is recorded
     respond_to_all(primary, answer_run_failed, run_end::failed);
   }
   if (!store_->record_result(primary.id, succeeded, result))
@@ -222,7 +222,8 @@
   requests_.remove(entry.id);
 }
 
-// Cancels a queued primary only if no duplicate still needs its outcome.
+// Handles the cancellation by the primary's client. The primary is removed only if it is still queued and no
+// duplicate needs its outcome.
 void duplicate_coalescer::cancel_primary(request_entry& primary) {
   primary.answered = true;
   coalesced_group& group = *primary.group;
--- a/src/core/duplicate_coalescer.hpp
+++ b/src/core/duplicate_coalescer.hpp
@@ -47,6 +47,7 @@
   void pause_primary(request_entry& primary);
   void reject_primary(request_entry& primary, const answer& final_answer);
   void fail_primary(request_entry& primary, const answer& final_answer);
+  // Fetches the stored result for a stored_result_reader, or sends the inquiry of an inquiring primary.
   void share_result(request_entry& entry);
   // Removes a duplicate from its group because it was answered separately or its client cancelled.
   void remove_from_group(const request_entry& duplicate);
--- a/src/core/request.hpp
+++ b/src/core/request.hpp
@@ -45,7 +45,7 @@
 struct answer {
   response_status status = response_status::failed;
   std::string_view result{};        // if served
-  duration retry_after{};           // 0 = no advice
+  duration retry_after{};           // 0 = not specified
   bool no_retry_elsewhere = false;  // if rejected: other servers would reject the request, too
   // If failed:
   bool deadline_exceeded = false;
--- a/src/core/vocabulary.hpp
+++ b/src/core/vocabulary.hpp
@@ -16,7 +16,7 @@
   vocabulary() = default;
 
   // Has exactly the names that the settings list.
-  explicit vocabulary(const admission_policy::settings& settings) : learning_(false) {
+  explicit vocabulary(const admission_policy::settings& settings) : adds_names_(false) {
     for (const auto& request_class : settings.classes) classes.push_back(request_class.name);
     for (const auto& tenant : settings.tenants) tenants.push_back(tenant.name);
   }
@@ -25,7 +25,7 @@
   std::optional<unsigned> class_of(std::string_view name) { return find(classes, name); }
   // Settings that list no tenants have a single tenant, whose index every name gets.
   std::optional<unsigned> tenant_of(std::string_view name) {
-    const bool single_tenant = !learning_ && tenants.empty();
+    const bool single_tenant = !adds_names_ && tenants.empty();
     return single_tenant ? 0 : find(tenants, name);
   }
 
@@ -33,18 +33,18 @@
   std::vector<std::string> tenants;
 
  private:
-  static constexpr std::size_t max_learned_names = 4096;  // bounds the memory that added names occupy
+  static constexpr std::size_t max_added_names = 4096;  // bounds the memory that added names occupy
 
   std::optional<unsigned> find(std::vector<std::string>& names, std::string_view name) const {
     for (unsigned i = 0; i < names.size(); ++i) {
       if (names[i] == name) return i;
     }
-    if (!learning_ || names.size() >= max_learned_names) return std::nullopt;
+    if (!adds_names_ || names.size() >= max_added_names) return std::nullopt;
     names.emplace_back(name);
     return static_cast<unsigned>(names.size() - 1);
   }
 
-  bool learning_ = true;
+  bool adds_names_ = true;
 };
 
 }  // namespace marblewharf
--- a/src/fronts/sweep_schedule.hpp
+++ b/src/fronts/sweep_schedule.hpp
@@ -15,7 +15,7 @@
 
   // Schedules the next sweep; called when a sweep is due. Returns whether connections may be checked now. If
   // the sweep is more than one period late, the whole process was stalled: bytes that arrived in the meantime
-  // have to be read before a connection is judged.
+  // have to be read before connections are checked.
   bool begin(time_point now) {
     const bool stalled = next_.count() > 0 && now > next_ + period_;
     next_ = now + period_;
