--- a/src/server/price_node.cpp
+++ b/src/server/price_node.cpp
@@ -21,8 +21,8 @@
   return static_cast<std::size_t>(found - names.begin());
 }
 
-void log_listening(const char* subject_and_verb, const endpoint& address) {
-  telemetry::log("start", "%s on %s:%u", subject_and_verb, address.host.c_str(),
+void log_listening(const char* description, const endpoint& address) {
+  telemetry::log("start", "%s on %s:%u", description, address.host.c_str(),
                  static_cast<unsigned>(address.port));
 }
 
@@ -84,13 +84,13 @@
 void price_node::start_console() {
   if (!config_.console) return;
   console_.emplace(reactor_, config_.bounds, *config_.console, admin_handler_, counters_);
-  log_listening("console accepts connections", *config_.console);
+  log_listening("console configured", *config_.console);
 }
 
 void price_node::start_uwsgi() {
   if (!config_.uwsgi) return;
   uwsgi_server_.emplace(reactor_, config_, dispatcher_, make_uwsgi_backend(), counters_);
-  log_listening("uwsgi front accepts connections", config_.uwsgi->listen);
+  log_listening("uwsgi front configured", config_.uwsgi->listen);
 }
 
 // Chains the backends: each backend passes requests that it does not handle to the backend created before it.
