--- a/src/fan_out/dependency_state.cpp
+++ b/src/fan_out/dependency_state.cpp
@@ -29,7 +29,7 @@
 }
 
 bool dependency_state::take_retry(unsigned attempts, time_point deadline, time_point now) {
-  return attempts < rules_.tries && now + expected_latency() < deadline && retries_.try_take(now);
+  return attempts < rules_.tries && now + expected_latency() < deadline && retries_.try_acquire(now);
 }
 
 std::optional<duration> dependency_state::hedge_delay() const {
--- a/src/fan_out/dependency_state.hpp
+++ b/src/fan_out/dependency_state.hpp
@@ -67,7 +67,7 @@
                                         RandomSource& random) {
     if (!has_capacity() || now + expected_latency() > deadline) return std::nullopt;
     const auto other = endpoints_.choose(now, random(), false, used_endpoint);
-    if (!other || !hedges_.try_take(now)) return std::nullopt;
+    if (!other || !hedges_.try_acquire(now)) return std::nullopt;
     return other;
   }
   // How long a call may take before it is hedged: longer than nearly all do. None: it is not hedged.
@@ -85,7 +85,7 @@
 
  private:
   // The mean of the last few calls. A median of many would keep calls back long after a stall is over.
-  duration expected_latency() const { return latency_.recent(); }
+  duration expected_latency() const { return latency_.recent_mean(); }
 
   upstream::dependency_rules rules_;
   upstream::endpoint_set endpoints_;
--- a/src/transaction/admission.cpp
+++ b/src/transaction/admission.cpp
@@ -27,7 +27,7 @@
   }
   if (!inputs.outcomes.has_room())
     return rejection{rejection_reason::outcomes_full, until_next_expiry(inputs)};
-  if (!calls.try_take(participants))
+  if (!calls.try_acquire(participants))
     return rejection{rejection_reason::participants_busy, inputs.participant_retry};
   return std::nullopt;
 }
--- a/src/transaction/coordinator.cpp
+++ b/src/transaction/coordinator.cpp
@@ -230,7 +230,7 @@
 
 // A recovered transaction goes on once there is a call in flight for it at each participant.
 void coordinator::begin_waiting(open_transaction& transaction) {
-  if (!in_flight_.try_take_recovered(transaction.plan->participants)) return;
+  if (!in_flight_.try_acquire_recovered(transaction.plan->participants)) return;
   transaction.needs_calls = false;
   --waiting_;
   update_fan_out_share(transaction);
--- a/src/upstream/adaptive_limit.cpp
+++ b/src/upstream/adaptive_limit.cpp
@@ -6,20 +6,28 @@
 namespace marblewharf::upstream {
 namespace {
 
-constexpr double mean_calls = 8;             // over which the mean latency is taken
-constexpr double slow_ratio = 2;             // mean over baseline: above it the dependency is slow
-constexpr double cut_factor = 0.7;           // of the limit, for each mean latency
-constexpr double baseline_rise = 1.0005;     // factor a call: slower than any stall lasts
-constexpr double baseline_gain_share = 0.2;  // of a lower latency, a call: not the luck of one
-constexpr double baseline_give_way = 1.05;   // factor a call, while the limit is at its floor
-constexpr double floor_ratio = 2;            // limit over least: up to it the limit is at its floor
-constexpr double used_share = 0.5;           // of the limit in flight: from it on the limit is used
-constexpr double least_latency_s = 1e-6;
+// Number of calls over which the moving mean of the latency is taken.
+constexpr double mean_window_calls = 8;
+// The dependency is slow when its mean latency exceeds this multiple of the baseline.
+constexpr double slow_ratio = 2;
+// A decrease multiplies the limit by this factor, at most once per mean latency.
+constexpr double decrease_factor = 0.7;
+// Growth of the baseline per call: so slow that a stall ends before it can shift the baseline.
+constexpr double baseline_growth_per_call = 1.0005;
+// Weight of a latency below the baseline: a single unusually fast call does not set the baseline.
+constexpr double lower_latency_weight = 0.2;
+// Growth of the baseline per call while the dependency is slow and the limit is at its floor.
+constexpr double baseline_growth_at_floor = 1.05;
+// Up to this multiple of the minimum the limit counts as being at its floor.
+constexpr double floor_ratio = 2;
+// The limit counts as utilized when at least this share of it is in flight.
+constexpr double utilized_share = 0.5;
+constexpr double min_latency_s = 1e-6;
 
 }  // namespace
 
-adaptive_limit::adaptive_limit(double least, double most, double start)
-    : least_(least), most_(most), limit_(std::clamp(start, least, most)) {}
+adaptive_limit::adaptive_limit(double min_limit, double max_limit, double initial_limit)
+    : min_limit_(min_limit), max_limit_(max_limit), limit_(std::clamp(initial_limit, min_limit, max_limit)) {}
 
 duration adaptive_limit::healthy_latency() const {
   return std::chrono::duration_cast<duration>(std::chrono::duration<double>(slow_ratio * baseline_s_));
@@ -29,50 +37,54 @@
   return baseline_s_ > 0 && mean_s_ > slow_ratio * baseline_s_;
 }
 
-void adaptive_limit::on_end(time_point now, duration took, unsigned in_flight, bool timed_out) {
-  const double took_s = std::max(least_latency_s, std::chrono::duration<double>(took).count());
-  update_mean(took_s, timed_out);
-  if (!timed_out) update_baseline(took_s);
+void adaptive_limit::on_end(time_point now, duration latency, unsigned in_flight, bool timed_out) {
+  const double latency_s = std::max(min_latency_s, std::chrono::duration<double>(latency).count());
+  update_mean(latency_s, timed_out);
+  if (!timed_out) update_baseline(latency_s);
   if (is_slow() || timed_out) {
-    cut(now);
+    decrease(now);
   } else {
-    grow(in_flight);
+    increase(in_flight);
   }
 }
 
-void adaptive_limit::update_mean(double took_s, bool timed_out) {
+void adaptive_limit::update_mean(double latency_s, bool timed_out) {
   ++calls_;
   if (calls_ == 1) {
-    mean_s_ = took_s;
-    if (!timed_out) baseline_s_ = took_s;
+    mean_s_ = latency_s;
+    if (!timed_out) baseline_s_ = latency_s;
   }
-  mean_s_ += (took_s - mean_s_) / std::min<double>(calls_, mean_calls);
+  mean_s_ += (latency_s - mean_s_) / std::min<double>(calls_, mean_window_calls);
 }
 
-void adaptive_limit::update_baseline(double took_s) {
-  if (baseline_s_ <= 0) baseline_s_ = took_s;
-  if (took_s < baseline_s_) {
-    baseline_s_ += (took_s - baseline_s_) * baseline_gain_share;
+void adaptive_limit::update_baseline(double latency_s) {
+  if (baseline_s_ <= 0) baseline_s_ = latency_s;
+  if (latency_s < baseline_s_) {
+    baseline_s_ += (latency_s - baseline_s_) * lower_latency_weight;
   } else if (!is_slow()) {
-    // One lucky call is forgotten. Not while the dependency is slow: that would become the baseline.
-    baseline_s_ *= baseline_rise;
+    // Growth lets the baseline recover from a single unusually fast call. The baseline does not increase
+    // while the dependency is slow: the slow latency would become the baseline.
+    baseline_s_ *= baseline_growth_per_call;
   }
-  // A dependency that stays slow with hardly any call in flight has become slow: more calls do it no harm.
-  // Without this the limit would stay at its floor.
-  const bool at_floor = limit_ <= floor_ratio * least_;
-  if (is_slow() && at_floor) baseline_s_ *= baseline_give_way;
+  // A dependency that is still slow with hardly any call in flight is not slow because of its load: its
+  // normal latency has risen. The baseline follows the new latency; otherwise the limit would stay at its
+  // floor.
+  const bool at_floor = limit_ <= floor_ratio * min_limit_;
+  if (is_slow() && at_floor) baseline_s_ *= baseline_growth_at_floor;
 }
 
-// Once for each mean latency: the calls in flight were begun under the earlier limit.
-void adaptive_limit::cut(time_point now) {
-  if (now < next_cut_) return;
-  next_cut_ = now + std::chrono::duration_cast<duration>(std::chrono::duration<double>(mean_s_));
-  limit_ = std::max(least_, limit_ * cut_factor);
+// Decreases the limit at most once per mean latency: calls that end sooner were started under the previous
+// limit and say nothing about the new one.
+void adaptive_limit::decrease(time_point now) {
+  if (now < next_decrease_) return;
+  next_decrease_ = now + std::chrono::duration_cast<duration>(std::chrono::duration<double>(mean_s_));
+  limit_ = std::max(min_limit_, limit_ * decrease_factor);
 }
 
-// By one for each round of calls. Not where the limit is not used: then a higher one shows nothing.
-void adaptive_limit::grow(unsigned in_flight) {
-  if (in_flight + 1 >= used_share * limit_) limit_ = std::min(most_, limit_ + 1 / limit_);
+// Increases the limit by one per round of calls (as many calls as the limit allows). An unused limit does not
+// increase: the latency then says nothing about a higher limit.
+void adaptive_limit::increase(unsigned in_flight) {
+  if (in_flight + 1 >= utilized_share * limit_) limit_ = std::min(max_limit_, limit_ + 1 / limit_);
 }
 
 }  // namespace marblewharf::upstream
--- a/src/upstream/endpoint_set.cpp
+++ b/src/upstream/endpoint_set.cpp
@@ -7,26 +7,26 @@
 namespace marblewharf::upstream {
 namespace {
 
-constexpr double latency_mean_calls = 8;  // over which the mean is taken
-constexpr double least_slow_start_weight = 0.1;
-// Taken for an endpoint that was called and has not answered, where no other latency is known.
+constexpr double latency_mean_calls = 8;  // number of calls over which the moving mean is taken
+constexpr double min_slow_start_weight = 0.1;
+// Assumed for an endpoint that was called and has not answered yet, if no other latency is known.
 constexpr double default_latency_s = 1e-3;
-constexpr unsigned most_ejection_doublings = 16;
+constexpr unsigned max_ejection_doublings = 16;
 
-double seconds(duration d) {
-  return std::chrono::duration<double>(d).count();
+double seconds(duration length) {
+  return std::chrono::duration<double>(length).count();
 }
 
-// Two different candidates, where there are two, from one random number.
+// Draws two candidates from one random number; they differ if there are at least two.
 std::pair<std::size_t, std::size_t> draw_two(const std::vector<std::size_t>& candidates,
                                              std::uint64_t random) {
-  const std::size_t n = candidates.size();
-  const std::size_t first = random % n;
-  const std::size_t distance = 1 + (random >> 32) % std::max<std::size_t>(1, n - 1);
-  return {candidates[first], candidates[(first + distance) % n]};
+  const std::size_t count = candidates.size();
+  const std::size_t first = random % count;
+  const std::size_t distance = 1 + (random >> 32) % std::max<std::size_t>(1, count - 1);
+  return {candidates[first], candidates[(first + distance) % count]};
 }
 
-// In [0, 1), from other bits of the number than draw_two() uses.
+// A number in [0, 1). Mixes the bits of `random`, so that the result is independent of draw_two().
 double draw_uniform(std::uint64_t random) {
   const std::uint64_t mixed = (random ^ (random >> 29)) * 0xbf58476d1ce4e5b9ull;
   return static_cast<double>(mixed >> 11) * 0x1.0p-53;
@@ -38,53 +38,55 @@
     : rules_(rules), locality_(std::move(locality)), endpoints_(count) {}
 
 std::size_t endpoint_set::ejected_count() const {
-  const auto is_ejected = [](const endpoint_status& e) {
-    return e.state == endpoint_state::ejected || e.state == endpoint_state::probing;
+  const auto is_ejected = [](const endpoint_status& status) {
+    return status.state == endpoint_state::ejected || status.state == endpoint_state::probing;
   };
   return static_cast<std::size_t>(std::count_if(endpoints_.begin(), endpoints_.end(), is_ejected));
 }
 
-// ---- Choice -----------------------------------------------------------------------------------------------
+// ---- Endpoint selection -----------------------------------------------------------------------------------
 
-bool endpoint_set::takes_calls(const endpoint_status& e) const {
-  return e.state == endpoint_state::healthy || e.state == endpoint_state::slow_start;
+bool endpoint_set::accepts_calls(const endpoint_status& status) const {
+  return status.state == endpoint_state::healthy || status.state == endpoint_state::slow_start;
 }
 
-bool endpoint_set::is_full(const endpoint_status& e) const {
-  return locality_.rules.most_each > 0 && e.in_flight >= locality_.rules.most_each;
+bool endpoint_set::is_full(const endpoint_status& status) const {
+  return locality_.rules.most_each > 0 && status.in_flight >= locality_.rules.most_each;
 }
 
-// The share of calls that an endpoint gets in its slow start.
-double endpoint_set::slow_start_weight(const endpoint_status& e, time_point now) const {
-  if (e.state != endpoint_state::slow_start) return 1;
-  const double elapsed_share = seconds(now - e.slow_start_since) / seconds(rules_.ramp);
-  return std::clamp(elapsed_share, least_slow_start_weight, 1.0);
+// The share of its normal load that an endpoint receives during slow start.
+double endpoint_set::slow_start_weight(const endpoint_status& status, time_point now) const {
+  if (status.state != endpoint_state::slow_start) return 1;
+  const double elapsed_share = seconds(now - status.slow_start_since) / seconds(rules_.ramp);
+  return std::clamp(elapsed_share, min_slow_start_weight, 1.0);
 }
 
-// The share of the known latency that still counts. Without this an endpoint that was slow once would not be
-// called again, and never show that it no longer is.
-double endpoint_set::remembered_share(duration idle) const {
+// The weight that the measured latency of an endpoint keeps after `idle` time without calls. Without this
+// decay an endpoint that was slow once would receive no further calls, and its recovery would go unnoticed.
+double endpoint_set::latency_weight(duration idle) const {
   return std::exp2(-std::max(0.0, seconds(idle) / seconds(rules_.fade)));
 }
 
-// Times by which an endpoint is probed, or has its full share of calls again.
+// Performs the state changes that are due: ejected to probing, and slow start to healthy.
 void endpoint_set::run_timers(std::size_t endpoint, time_point now) {
-  endpoint_status& e = endpoints_[endpoint];
-  if (e.state == endpoint_state::ejected && now >= e.ejected_until)
-    enter(endpoint, endpoint_state::probing, "is tried again");
-  if (e.state == endpoint_state::slow_start && now >= e.slow_start_since + rules_.ramp)
-    e.state = endpoint_state::healthy;
+  endpoint_status& status = endpoints_[endpoint];
+  if (status.state == endpoint_state::ejected && now >= status.ejected_until)
+    enter(endpoint, endpoint_state::probing, "ejection time has passed, probing");
+  if (status.state == endpoint_state::slow_start && now >= status.slow_start_since + rules_.ramp)
+    status.state = endpoint_state::healthy;
 }
 
-// The first endpoint that is to be probed. One that is known to be cut off is not: the probe would only cost
-// the caller its time. Endpoints behind the one that is probed keep their timers for the next call.
+// Returns the first endpoint that is due for a probe. Unreachable endpoints are not probed: the
+// probe would fail and only delay the caller. The timers of endpoints after the returned one run when the
+// next call is placed.
 std::optional<std::size_t> endpoint_set::find_probe(time_point now, bool may_probe,
                                                     std::optional<std::size_t> excluded) {
   for (std::size_t i = 0; i < endpoints_.size(); ++i) {
     run_timers(i, now);
-    const endpoint_status& e = endpoints_[i];
-    if (e.not_before > now || i == excluded) continue;
-    if (e.state == endpoint_state::probing && may_probe && !e.probe_in_flight && e.reachable && !is_full(e))
+    const endpoint_status& status = endpoints_[i];
+    if (status.rejected_until > now || i == excluded) continue;
+    if (status.state == endpoint_state::probing && may_probe && !status.probe_in_flight && status.reachable &&
+        !is_full(status))
       return i;
   }
   return std::nullopt;
@@ -94,54 +96,55 @@
                                                         std::optional<std::size_t> excluded) const {
   std::vector<std::size_t> usable;
   for (std::size_t i = 0; i < endpoints_.size(); ++i) {
-    const endpoint_status& e = endpoints_[i];
-    if (e.not_before <= now && i != excluded && takes_calls(e)) usable.push_back(i);
+    const endpoint_status& status = endpoints_[i];
+    if (status.rejected_until <= now && i != excluded && accepts_calls(status)) usable.push_back(i);
   }
   return usable;
 }
 
-// Endpoints of one level, which is drawn by the shares of calls that the levels can take
-// (failover/locality.hpp).
+// Returns the usable endpoints of one locality level. The level is drawn at random, weighted by each level's
+// share of calls (failover/locality.hpp).
 std::vector<std::size_t> endpoint_set::usable_by_locality(time_point now, std::uint64_t random,
                                                           std::optional<std::size_t> excluded) const {
   std::vector<failover::endpoint_state> states(endpoints_.size());
-  std::vector<bool> closed(endpoints_.size());  // not even panic overrides it
+  std::vector<bool> blocked(endpoints_.size());  // excluded even in panic mode
   for (std::size_t i = 0; i < endpoints_.size(); ++i) {
-    const endpoint_status& e = endpoints_[i];
-    closed[i] = e.not_before > now || is_full(e);
-    states[i] = {locality_.where[i], takes_calls(e) && e.reachable && !closed[i]};
+    const endpoint_status& status = endpoints_[i];
+    blocked[i] = status.rejected_until > now || is_full(status);
+    states[i] = {locality_.where[i], accepts_calls(status) && status.reachable && !blocked[i]};
   }
   const failover::level_shares shares = failover::shares_of(states, locality_.rules);
   std::vector<std::size_t> usable;
   const auto add_level = [&](failover::level level) {
     for (std::size_t i = 0; i < endpoints_.size(); ++i) {
-      const bool can_take = states[i].able || (shares.panic && !closed[i]);
+      const bool can_take = states[i].able || (shares.panic && !blocked[i]);
       if (i != excluded && states[i].where == level && can_take) usable.push_back(i);
     }
   };
   if (const auto drawn = failover::draw(shares, draw_uniform(random))) add_level(*drawn);
-  // The drawn level may hold only the excluded one: then the nearest that has another.
+  // If the drawn level has no endpoint but the excluded one, the nearest level with a usable
+  // endpoint is taken.
   for (std::size_t level = 0; level < failover::levels && usable.empty(); ++level)
     add_level(static_cast<failover::level>(level));
   return usable;
 }
 
-// An endpoint that was never called costs nothing, so it is called next: any guess could keep it from calls
-// for ever. One that was called and has not answered yet counts as slow as the other: taken for quick, it
-// would get all calls until it answers.
-double endpoint_set::expected_latency_s(const endpoint_status& e, const endpoint_status& other,
+// An endpoint that was never called has an expected latency of 0, so that it is called next: with an estimate
+// above 0 it might never be called. An endpoint that was called but has not answered yet gets the latency of
+// the other candidate: with a low estimate it would receive all calls until it answers.
+double endpoint_set::expected_latency_s(const endpoint_status& status, const endpoint_status& other,
                                         time_point now) const {
-  if (e.mean_latency_s > 0) {
-    const bool idle = e.in_flight == 0;
-    return e.mean_latency_s * (idle ? remembered_share(now - e.idle_since) : 1);
+  if (status.mean_latency_s > 0) {
+    const bool idle = status.in_flight == 0;
+    return status.mean_latency_s * (idle ? latency_weight(now - status.idle_since) : 1);
   }
-  const bool never_called = e.in_flight + e.bound == 0;
+  const bool never_called = status.in_flight + status.bound == 0;
   return never_called ? 0 : std::max(other.mean_latency_s, default_latency_s);
 }
 
-double endpoint_set::cost(const endpoint_status& e, const endpoint_status& other, time_point now) const {
-  const unsigned load = e.in_flight + e.bound + 1;
-  return load * expected_latency_s(e, other, now) / slow_start_weight(e, now);
+double endpoint_set::cost(const endpoint_status& status, const endpoint_status& other, time_point now) const {
+  const unsigned load = status.in_flight + status.bound + 1;
+  return load * expected_latency_s(status, other, now) / slow_start_weight(status, now);
 }
 
 std::optional<std::size_t> endpoint_set::choose(time_point now, std::uint64_t random, bool may_probe,
@@ -151,18 +154,19 @@
       locality_.where.empty() ? usable_endpoints(now, excluded) : usable_by_locality(now, random, excluded);
   if (usable.empty()) return std::nullopt;
   const auto [first, second] = draw_two(usable, random);
-  const endpoint_status& a = endpoints_[first];
-  const endpoint_status& b = endpoints_[second];
-  return cost(b, a, now) < cost(a, b, now) ? second : first;
+  const endpoint_status& first_status = endpoints_[first];
+  const endpoint_status& second_status = endpoints_[second];
+  return cost(second_status, first_status, now) < cost(first_status, second_status, now) ? second : first;
 }
 
 std::optional<time_point> endpoint_set::next_usable_at(time_point now) const {
   std::optional<time_point> next;
-  for (const endpoint_status& e : endpoints_) {
-    if (e.state == endpoint_state::probing && e.probe_in_flight) continue;
-    if (!e.reachable || is_full(e)) continue;  // no time is known at which that ends
-    const time_point ejected_until = e.state == endpoint_state::ejected ? e.ejected_until : time_point{};
-    const time_point usable_at = std::max(e.not_before, ejected_until);
+  for (const endpoint_status& status : endpoints_) {
+    if (status.state == endpoint_state::probing && status.probe_in_flight) continue;
+    if (!status.reachable || is_full(status)) continue;  // the time at which this ends is not known
+    const time_point ejected_until =
+        status.state == endpoint_state::ejected ? status.ejected_until : time_point{};
+    const time_point usable_at = std::max(status.rejected_until, ejected_until);
     if (usable_at <= now) return std::nullopt;
     if (!next || usable_at < *next) next = usable_at;
   }
@@ -172,24 +176,24 @@
 // ---- Calls ------------------------------------------------------------------------------------------------
 
 void endpoint_set::on_start(std::size_t endpoint) {
-  endpoint_status& e = endpoints_[endpoint];
-  e.was_idle = e.in_flight == 0;
-  ++e.in_flight;
-  if (e.state == endpoint_state::probing) e.probe_in_flight = true;
+  endpoint_status& status = endpoints_[endpoint];
+  status.was_idle = status.in_flight == 0;
+  ++status.in_flight;
+  if (status.state == endpoint_state::probing) status.probe_in_flight = true;
 }
 
-void endpoint_set::on_end(std::size_t endpoint, time_point now, duration took, call_outcome outcome) {
-  endpoint_status& e = endpoints_[endpoint];
-  if (e.in_flight > 0) --e.in_flight;
-  // What was known counts as little in the new mean as it did when the call was placed.
-  const bool was_idle = std::exchange(e.was_idle, false);
-  const double remembered = was_idle ? remembered_share(now - took - e.idle_since) : 1;
-  if (e.in_flight == 0) e.idle_since = now;
-  const bool was_probe = e.state == endpoint_state::probing;
-  if (was_probe) e.probe_in_flight = false;
+void endpoint_set::on_end(std::size_t endpoint, time_point now, duration latency, call_outcome outcome) {
+  endpoint_status& status = endpoints_[endpoint];
+  if (status.in_flight > 0) --status.in_flight;
+  // The previous mean is weighted with the same decay as when the call was placed.
+  const bool was_idle = std::exchange(status.was_idle, false);
+  const double previous_weight = was_idle ? latency_weight(now - latency - status.idle_since) : 1;
+  if (status.in_flight == 0) status.idle_since = now;
+  const bool was_probe = status.state == endpoint_state::probing;
+  if (was_probe) status.probe_in_flight = false;
   if (outcome == call_outcome::cancelled) return;
-  update_latency(e, took, remembered);
-  count_in_sample(e);
+  update_latency(status, latency, previous_weight);
+  count_in_sample(status);
   if (outcome == call_outcome::succeeded) {
     on_success(endpoint, now, was_probe);
   } else {
@@ -198,77 +202,79 @@
 }
 
 void endpoint_set::on_rejected(std::size_t endpoint, time_point until) {
-  endpoint_status& e = endpoints_[endpoint];
-  e.not_before = std::max(e.not_before, until);
+  endpoint_status& status = endpoints_[endpoint];
+  status.rejected_until = std::max(status.rejected_until, until);
 }
 
-void endpoint_set::update_latency(endpoint_status& e, duration took, double remembered) {
-  const double took_s = seconds(took);
-  if (e.mean_latency_s <= 0) {
-    e.mean_latency_s = took_s;
+void endpoint_set::update_latency(endpoint_status& status, duration latency, double previous_weight) {
+  const double latency_s = seconds(latency);
+  if (status.mean_latency_s <= 0) {
+    status.mean_latency_s = latency_s;
     return;
   }
-  const double weight = std::max(1 / latency_mean_calls, 1 - remembered);
-  e.mean_latency_s += (took_s - e.mean_latency_s) * weight;
+  const double new_weight = std::max(1 / latency_mean_calls, 1 - previous_weight);
+  status.mean_latency_s += (latency_s - status.mean_latency_s) * new_weight;
 }
 
-// Old calls count half once the sample is full twice over.
-void endpoint_set::count_in_sample(endpoint_status& e) {
-  if (++e.sample_calls < 2 * rules_.sample) return;
-  e.sample_calls /= 2;
-  e.sample_failures /= 2;
+// Halves the counts when the sample reaches twice its size, so that older calls lose weight.
+void endpoint_set::count_in_sample(endpoint_status& status) {
+  if (++status.sample_calls < 2 * rules_.sample) return;
+  status.sample_calls /= 2;
+  status.sample_failures /= 2;
 }
 
 // ---- Ejection and recovery --------------------------------------------------------------------------------
 
 void endpoint_set::on_success(std::size_t endpoint, time_point now, bool was_probe) {
-  endpoint_status& e = endpoints_[endpoint];
-  e.failures_in_row = 0;
-  if (!was_probe || ++e.probes_succeeded < rules_.probes) return;
-  e.slow_start_since = now;
-  e.ejections_in_row = 0;
-  e.sample_calls = 0;
-  e.sample_failures = 0;
-  enter(endpoint, endpoint_state::slow_start, "is back");
+  endpoint_status& status = endpoints_[endpoint];
+  status.consecutive_failures = 0;
+  if (!was_probe || ++status.probes_succeeded < rules_.probes) return;
+  status.slow_start_since = now;
+  status.consecutive_ejections = 0;
+  status.sample_calls = 0;
+  status.sample_failures = 0;
+  enter(endpoint, endpoint_state::slow_start, "probes succeeded, slow start begins");
 }
 
-// An endpoint is ejected for a probe that failed, for failures in a row, or for a share of failures.
+// Ejects the endpoint after a failed probe, after too many consecutive failures, or when the share
+// of failed calls is too high.
 void endpoint_set::on_failure(std::size_t endpoint, time_point now, bool was_probe) {
-  endpoint_status& e = endpoints_[endpoint];
-  ++e.failures_in_row;
-  ++e.sample_failures;
+  endpoint_status& status = endpoints_[endpoint];
+  ++status.consecutive_failures;
+  ++status.sample_failures;
   if (was_probe) {
-    eject(endpoint, now, "failed its probe");
+    eject(endpoint, now, "ejected: probe failed");
     return;
   }
-  if (e.state == endpoint_state::ejected) return;
-  const bool sample_is_full = e.sample_calls >= rules_.sample;
-  if (e.failures_in_row >= rules_.failures) {
-    eject(endpoint, now, "failed several times in a row");
-  } else if (sample_is_full && e.sample_failures >= rules_.failing * e.sample_calls) {
-    eject(endpoint, now, "fails too often");
+  if (status.state == endpoint_state::ejected) return;
+  const bool sample_is_full = status.sample_calls >= rules_.sample;
+  if (status.consecutive_failures >= rules_.failures) {
+    eject(endpoint, now, "ejected: too many consecutive failures");
+  } else if (sample_is_full && status.sample_failures >= rules_.failing * status.sample_calls) {
+    eject(endpoint, now, "ejected: share of failed calls too high");
   }
 }
 
-// Where more fail, the cause is likely elsewhere: the endpoints that are left are called, failing or not.
-bool endpoint_set::may_eject_one_more() const {
-  const double most = rules_.most_out * static_cast<double>(endpoints_.size());
-  return static_cast<double>(ejected_count() + 1) <= most;
+// Limits the share of ejected endpoints. If more endpoints than this fail, the cause is probably not in the
+// endpoints, and the remaining ones stay in use although they fail.
+bool endpoint_set::can_eject_another() const {
+  const double max_ejected = rules_.most_out * static_cast<double>(endpoints_.size());
+  return static_cast<double>(ejected_count() + 1) <= max_ejected;
 }
 
 void endpoint_set::eject(std::size_t endpoint, time_point now, const char* reason) {
-  endpoint_status& e = endpoints_[endpoint];
-  const bool counts_already = e.state == endpoint_state::probing;
-  if (!counts_already && !may_eject_one_more()) return;
-  const unsigned doublings = std::min(e.ejections_in_row, most_ejection_doublings);
+  endpoint_status& status = endpoints_[endpoint];
+  const bool counted_as_ejected = status.state == endpoint_state::probing;
+  if (!counted_as_ejected && !can_eject_another()) return;
+  const unsigned doublings = std::min(status.consecutive_ejections, max_ejection_doublings);
   const auto factor = static_cast<double>(std::uint64_t{1} << doublings);
   const auto ejection = std::chrono::duration_cast<duration>(rules_.out * factor);
-  e.ejected_until = now + std::min(ejection, rules_.longest_out);
-  ++e.ejections_in_row;
-  e.probes_succeeded = 0;
-  e.failures_in_row = 0;
-  e.sample_calls = 0;
-  e.sample_failures = 0;
+  status.ejected_until = now + std::min(ejection, rules_.longest_out);
+  ++status.consecutive_ejections;
+  status.probes_succeeded = 0;
+  status.consecutive_failures = 0;
+  status.sample_calls = 0;
+  status.sample_failures = 0;
   enter(endpoint, endpoint_state::ejected, reason);
 }
 
--- a/src/upstream/latency_estimator.cpp
+++ b/src/upstream/latency_estimator.cpp
@@ -8,20 +8,21 @@
 
 using microseconds = std::chrono::duration<double, std::micro>;
 
-constexpr double first_bucket_us = 50;  // its upper end
+constexpr double first_bucket_end_us = 50;
 constexpr double bucket_growth = 1.25;
-constexpr double least_us = 1;
-constexpr int recent_calls = 8;  // over which the recent mean is taken
+constexpr double min_latency_us = 1;
+constexpr int recent_mean_calls = 8;  // number of calls over which the moving mean is taken
 
 }  // namespace
 
-void latency_estimator::add(duration took) {
-  recent_ = recent_.count() == 0 ? took : recent_ + (took - recent_) / recent_calls;
-  const double us = std::max(least_us, microseconds(took).count());
-  const double bucket = std::ceil(std::log(us / first_bucket_us) / std::log(bucket_growth));
+void latency_estimator::add(duration latency) {
+  recent_mean_ =
+      recent_mean_.count() == 0 ? latency : recent_mean_ + (latency - recent_mean_) / recent_mean_calls;
+  const double latency_us = std::max(min_latency_us, microseconds(latency).count());
+  const double bucket = std::ceil(std::log(latency_us / first_bucket_end_us) / std::log(bucket_growth));
   const double last_bucket = static_cast<double>(bucket_count - 1);
   ++counts_[static_cast<std::size_t>(std::clamp(bucket, 0.0, last_bucket))];
-  if (++total_ < most_samples) return;
+  if (++total_ < max_samples) return;
   total_ = 0;
   for (std::uint32_t& count : counts_) {
     count /= 2;
@@ -29,17 +30,17 @@
   }
 }
 
-std::optional<duration> latency_estimator::quantile(double q) const {
-  if (total_ < least_samples) return std::nullopt;
-  const double rank = q * total_;
+std::optional<duration> latency_estimator::quantile(double probability) const {
+  if (total_ < min_quantile_samples) return std::nullopt;
+  const double rank = probability * total_;
   std::size_t bucket = 0;
-  double below = counts_[0];
-  while (bucket + 1 < bucket_count && below < rank) {
+  double cumulative_count = counts_[0];
+  while (bucket + 1 < bucket_count && cumulative_count < rank) {
     ++bucket;
-    below += counts_[bucket];
+    cumulative_count += counts_[bucket];
   }
-  const double upper_end_us = first_bucket_us * std::pow(bucket_growth, static_cast<double>(bucket));
-  return std::chrono::duration_cast<duration>(microseconds(upper_end_us));
+  const double bucket_end_us = first_bucket_end_us * std::pow(bucket_growth, static_cast<double>(bucket));
+  return std::chrono::duration_cast<duration>(microseconds(bucket_end_us));
 }
 
 }  // namespace marblewharf::upstream
--- a/src/upstream/latency_estimator.hpp
+++ b/src/upstream/latency_estimator.hpp
@@ -1,6 +1,6 @@
-// The latency of recent calls: quantiles from a histogram of logarithmic buckets that forgets by halving, and
-// the mean of the last few. A bucket is a quarter wide, so a quantile is off by that at most. One thread at a
-// time.
+// Estimates the latency of recent calls: quantiles from a histogram with logarithmic buckets whose counts are
+// halved periodically, and a moving mean of the last few calls. Each bucket end is 25 % above the previous
+// one, so a quantile is at most 25 % too high. Not thread-safe.
 #pragma once
 
 #include <array>
@@ -13,20 +13,20 @@
 
 class latency_estimator {
  public:
-  void add(duration took);
-  // `q`: from 0 to 1. None before enough calls were added.
-  std::optional<duration> quantile(double q) const;
-  // The mean of the last few calls: follows a change at once. 0: no call was added.
-  duration recent() const { return recent_; }
+  void add(duration latency);
+  // `probability`: from 0 to 1. None until enough calls were added.
+  std::optional<duration> quantile(double probability) const;
+  // The moving mean of the last few calls, which follows a change quickly. 0: no call was added yet.
+  duration recent_mean() const { return recent_mean_; }
 
  private:
   static constexpr std::size_t bucket_count = 64;
-  static constexpr std::uint32_t most_samples = 1024;  // then all counts are halved
-  static constexpr std::uint32_t least_samples = 20;   // for a quantile
+  static constexpr std::uint32_t max_samples = 1024;         // at this total all counts are halved
+  static constexpr std::uint32_t min_quantile_samples = 20;  // required for a quantile
 
   std::array<std::uint32_t, bucket_count> counts_{};
   std::uint32_t total_ = 0;
-  duration recent_{};
+  duration recent_mean_{};
 };
 
 }  // namespace marblewharf::upstream
--- a/src/upstream/plan.hpp
+++ b/src/upstream/plan.hpp
@@ -1,5 +1,5 @@
-// What a request of a class needs from its dependencies: its parts, each with the dependency that it comes
-// from and its fallbacks. Checked as a whole before anything starts.
+// The plan of a request class: the parts of the response, each with its dependency and its fallbacks. Plans
+// are validated at start-up.
 #pragma once
 
 #include <cstdint>
@@ -13,48 +13,49 @@
 
 namespace marblewharf::upstream {
 
-// How a dependency is called. The fields are named after their settings.
+// Rules for calls to one dependency. The fields are named after their settings.
 struct dependency_rules {
   std::string name;
   std::size_t endpoints = 1;
-  duration budget = std::chrono::seconds(1);  // of one sub-request, all its attempts together
-  unsigned tries = 2;                         // attempts of a sub-request, hedged requests aside
-  double retry_share = 0.1;                   // retries for each first attempt
-  double retry_floor = 1;                     // retries a second that are allowed anyway
-  double hedge_quantile = 0.95;               // of latency, after which a call is hedged; 0: never
-  double hedge_share = 0.05;                  // hedged requests for each first attempt
-  double least_in_flight = 1;                 // bounds of the adaptive limit
-  double most_in_flight = 64;
-  std::size_t most_waiting = 256;  // sub-requests queued for a call in flight
-  endpoint_rules health;
+  duration budget = std::chrono::seconds(1);  // time for one sub-request, including all of its attempts
+  unsigned tries = 2;                         // maximum attempts of a sub-request, without hedged requests
+  double retry_share = 0.1;                   // retry budget: retries per first attempt
+  double retry_floor = 1;                     // retry budget: retries per second that are always allowed
+  double hedge_quantile = 0.95;               // latency quantile after which a call is hedged; 0: never
+  double hedge_share = 0.05;                  // hedge budget: hedged requests per first attempt
+  double least_in_flight = 1;                 // minimum of the adaptive limit
+  double most_in_flight = 64;                 // maximum of the adaptive limit
+  std::size_t most_waiting = 256;             // maximum number of sub-requests queued for a call
+  endpoint_rules health;                      // rules for ejecting failing endpoints
   endpoint_locality near;
 };
 
-// What replaces a sub-response that does not come. Tried in the order of the plan.
+// Replacement for a sub-response that its dependency does not deliver. Fallbacks are tried in the order of
+// the plan.
 struct fallback {
   enum class kind {
-    dependency,  // another dependency is called
-    stale,       // the last fresh response of the same subject
-    fixed,       // a text; it never fails
+    dependency,  // call another dependency
+    stale,       // use the last fresh response for the same subject
+    fixed,       // use a fixed text, which is always available
   };
   kind what = kind::fixed;
-  std::size_t from = 0;  // dependency
-  duration oldest{};     // stale: its greatest age
-  std::string bytes{};   // fixed
+  std::size_t from = 0;  // dependency: its index
+  duration oldest{};     // stale: maximum age
+  std::string bytes{};   // fixed: the text
 };
 
-// One sub-request.
+// The plan of one sub-request, which provides one part of the response.
 struct sub_request_plan {
   std::string name;
-  std::size_t from = 0;   // its own dependency
-  bool required = false;  // the request fails without it
+  std::size_t from = 0;   // index of its own dependency
+  bool required = false;  // the request fails if this part is missing
   std::vector<fallback> fallbacks;
 };
 
 struct request_plan {
   std::string request_class;
   duration latency_objective{};                      // of the class
-  duration reserve = std::chrono::milliseconds(50);  // of the objective, to assemble and send the response
+  duration reserve = std::chrono::milliseconds(50);  // for assembling and sending the response
   std::vector<sub_request_plan> parts;
 };
 
@@ -62,23 +63,23 @@
   no_part,
   duplicate_part,
   unknown_dependency,
-  repeated_dependency,   // in the fallbacks of one part
-  unreachable_fallback,  // behind a fixed one
-  no_stale_age,
-  too_slow,  // the budgets of a part's dependencies exceed the latency objective less the reserve
+  repeated_dependency,   // a part uses the same dependency more than once
+  unreachable_fallback,  // a fallback follows a fixed one
+  no_stale_age,          // a stale fallback without a positive maximum age
+  too_slow,              // the budgets of a part's dependencies exceed the latency objective less the reserve
 };
 
-// A plan that cannot be kept. what() is for the operator.
+// Thrown for an invalid plan. what() describes the fault for the operator.
 struct plan_error : std::runtime_error {
-  plan_error(plan_fault why, const std::string& text, std::size_t which_plan,
-             std::optional<std::size_t> which_part)
-      : std::runtime_error(text), fault(why), plan(which_plan), part(which_part) {}
+  plan_error(plan_fault cause, const std::string& text, std::size_t plan_index,
+             std::optional<std::size_t> part_index)
+      : std::runtime_error(text), fault(cause), plan(plan_index), part(part_index) {}
   plan_fault fault;
   std::size_t plan;                 // index
-  std::optional<std::size_t> part;  // index in the plan; none: the plan as a whole
+  std::optional<std::size_t> part;  // index in the plan; none: the fault concerns the whole plan
 };
 
-// Throws plan_error for the first fault.
+// Throws plan_error for the first fault that is found.
 void check_plans(const std::vector<request_plan>& plans, const std::vector<dependency_rules>& dependencies);
 
 }  // namespace marblewharf::upstream
--- a/src/upstream/response_deadline.hpp
+++ b/src/upstream/response_deadline.hpp
@@ -1,4 +1,4 @@
-// When a request's sub-responses, or the decision on its transaction, are wanted at the latest.
+// The latest time for the sub-responses of a request, or for the decision on its transaction.
 #pragma once
 
 #include "admission_policy/policy.hpp"
@@ -6,13 +6,13 @@
 
 namespace marblewharf::upstream {
 
-// The class's latency objective, or its deadline where it has none, counts from the arrival. The reserve is
-// left for the response to reach the client.
-inline time_point response_deadline(const request& what,
+// Returns arrival + latency objective - reserve; without a latency objective the deadline of the class is
+// used instead. The reserve is the time to assemble the response and send it to the client.
+inline time_point response_deadline(const request& client_request,
                                     const admission_policy::class_settings& request_class, duration reserve) {
   const bool has_objective = request_class.latency_objective.count() > 0;
   const duration limit = has_objective ? request_class.latency_objective : request_class.deadline;
-  return what.arrived + limit - reserve;
+  return client_request.arrived + limit - reserve;
 }
 
 }  // namespace marblewharf::upstream
--- a/src/upstream/retry_budget.hpp
+++ b/src/upstream/retry_budget.hpp
@@ -1,6 +1,6 @@
-// A budget of extra calls (retries, or hedged requests) as a share of first attempts, with a floor for rare
-// traffic. Over any window that ends at a call, extra calls are no more than share * first attempts in it +
-// floor * its length. One thread at a time.
+// A budget of extra calls (retries or hedged requests): a share of the first attempts, plus a floor for low
+// traffic. In every window that ends at a call, the number of extra calls is at most share * first attempts
+// in the window + floor * length of the window. Not thread-safe.
 #pragma once
 
 #include <array>
@@ -12,13 +12,14 @@
 
 class retry_budget {
  public:
-  // `share`: extra calls for each first attempt. `floor_per_s`: extra calls that are allowed anyway.
+  // `share`: extra calls per first attempt. `floor_per_s`: extra calls per second that are allowed regardless
+  // of the number of first attempts.
   retry_budget(double share, double floor_per_s, duration window = std::chrono::seconds(10))
-      : share_(share), floor_per_s_(floor_per_s), slice_(window / slice_count) {}
+      : share_(share), floor_per_s_(floor_per_s), slice_length_(window / slice_count) {}
 
   void on_first_attempt(time_point now);
-  // Charges one extra call where the budget allows it.
-  bool try_take(time_point now);
+  // Charges one extra call to the budget; false if the budget is exhausted.
+  bool try_acquire(time_point now);
 
  private:
   static constexpr std::size_t slice_count = 20;
@@ -31,10 +32,10 @@
 
   double share_;
   double floor_per_s_;
-  duration slice_;
-  std::array<slice_counts, slice_count> slices_{};  // a ring
-  std::size_t current_ = 0;                         // slice
-  time_point current_end_{};
+  duration slice_length_;
+  std::array<slice_counts, slice_count> slices_{};  // ring buffer
+  std::size_t current_slice_ = 0;                   // index
+  time_point current_slice_end_{};
 };
 
 }  // namespace marblewharf::upstream
--- a/tests/fan_out/library_test.cpp
+++ b/tests/fan_out/library_test.cpp
@@ -92,7 +92,7 @@
   CHECK(refused({{"p", "c", false, {}}}, 2s) == "no source: c");
   CHECK(refused({{"p", "a", false, {}}}, 500ms) != "");
   CHECK(refused({{"p", "a", false, {{.source = "a", .oldest = {}, .fixed = {}}}}}, 9s) ==
-        "part p falls back on a, which it has tried");
+        "part p falls back on a, which the part already calls");
 }
 
 }  // namespace
--- a/tests/net/dependencies_test.cpp
+++ b/tests/net/dependencies_test.cpp
@@ -172,7 +172,7 @@
   s.kurse1.change(does(manner::error));
   s.kurse2.change(does(manner::error));
   for (int i = 0; i < 40; ++i) CHECK(part(s.answer(), "kurse") == "missing ");
-  s.n->logged("failed several times in a row");
+  s.n->logged("ejected: too many consecutive failures");
   s.kurse1.change(says("101.42"));
   s.kurse2.change(says("101.42"));
   const auto until = clock::now() + 10s;
@@ -216,8 +216,9 @@
   };
   const std::string head = "part kurse {\n class = kurs-abfrage\n";
   CHECK(has(fault(head + " from = kurse\n fallback = {\"dependency ersatz\"}\n}\n"),
-            "operators.conf:17: part \"kurse\".from needs 4000ms one after the other"));
-  CHECK(has(fault(head + " from = kurse\n fallback = {\"dependency kurse\"}\n}\n"), "which it has tried"));
+            "operators.conf:17: part \"kurse\".from needs 4000ms for its dependencies in sequence"));
+  CHECK(has(fault(head + " from = kurse\n fallback = {\"dependency kurse\"}\n}\n"),
+            "which the part already calls"));
   CHECK(has(fault(head + " from = none\n}\n"),
             "operators.conf:17: part \"kurse\".from names no dependency: \"none\""));
   CHECK(has(fault(head + " from = kurse\n fallback = {\"stale soon\"}\n}\n"),
