--- a/src/fan_out/call_placement.cpp
+++ b/src/fan_out/call_placement.cpp
@@ -1,12 +1,11 @@
-// Placement of calls: which endpoint a sub-request calls and when, what it waits for, retries and hedged
-// requests.
+// Placement of calls: selection of the endpoint, queuing, retries and hedged requests.
 #include <utility>
 
 #include "fan_out/state_machine.hpp"
 
 namespace marblewharf::fan_out {
 
-// Calls now, waits for what is in the way, or falls back where a call could not end in time.
+// Starts a call, or waits for capacity or for an endpoint. Falls back if a call could not end in time.
 void state_machine::place(fan_out_id id, std::size_t part, time_point now) {
   sub_request& sub = sub_request_of(id, part);
   dependency_state& dependency = dependencies_[sub.dependency];
@@ -24,7 +23,7 @@
   sub.queued = false;
   if (endpoint) {
     start(id, part, *endpoint, now);
-  } else if (sub.avoided_endpoint) {  // there is no other one: the same again
+  } else if (sub.avoided_endpoint) {  // no other endpoint is usable: allow the one that failed
     sub.avoided_endpoint.reset();
     place(id, part, now);
   } else {
@@ -49,10 +48,10 @@
   }
   sub.queued = true;
   dependency.queue().push_back({id, part});
-  timers_.emplace(dependency.latest_start(sub.deadline), timer{timer_kind::place_again, 0, id, part});
+  timers_.emplace(dependency.latest_start(sub.deadline), timer{timer_kind::retry_placement, 0, id, part});
 }
 
-// The oldest entries may be of sub-requests that do not wait here any more.
+// Removes the oldest entries whose sub-requests no longer wait for this dependency.
 void state_machine::drop_stale_queue_entries(std::size_t dependency) {
   std::deque<queued_sub_request>& queue = dependencies_[dependency].queue();
   while (!queue.empty()) {
@@ -65,13 +64,14 @@
   }
 }
 
-// All endpoints are ejected or have asked for time.
+// Called when no endpoint is usable (ejected, within the retry-after of a rejection, unreachable, or at its
+// limit of calls in flight).
 void state_machine::wait_for_endpoint(fan_out_id id, std::size_t part, time_point now) {
   const sub_request& sub = sub_request_of(id, part);
   const dependency_state& dependency = dependencies_[sub.dependency];
   const auto usable_at = dependency.endpoints().next_usable_at(now);
   if (usable_at && *usable_at <= dependency.latest_start(sub.deadline)) {
-    timers_.emplace(*usable_at, timer{timer_kind::place_again, 0, id, part});
+    timers_.emplace(*usable_at, timer{timer_kind::retry_placement, 0, id, part});
   } else {
     fall_back(id, part, now);
   }
@@ -92,28 +92,29 @@
   actions_.emplace_back(start_call{number, id, sub.dependency, endpoint, sub.deadline - now});
 }
 
-// A second call beside one that takes longer than nearly all do: whichever succeeds first counts.
+// Starts a hedged request if the call `id` is still in flight and not hedged yet. Of the two calls, the first
+// to succeed provides the response.
 void state_machine::send_hedge(call_id id, time_point now) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
-  const call slow = found->second;
-  sub_request& sub = sub_request_of(slow.request, slow.part);
+  const call slow_call = found->second;
+  sub_request& sub = sub_request_of(slow_call.request, slow_call.part);
   if (sub.done || sub.calls.size() != 1) return;
-  dependency_state& dependency = dependencies_[slow.dependency];
-  const auto endpoint = dependency.take_hedge(slow.endpoint, sub.deadline, now, random_);
+  dependency_state& dependency = dependencies_[slow_call.dependency];
+  const auto endpoint = dependency.try_acquire_hedge(slow_call.endpoint, sub.deadline, now, random_);
   if (!endpoint) return;
   ++dependency.counts().hedges;
-  --sub.attempts;  // start() counts it, and it is no attempt of its own
-  start(slow.request, slow.part, *endpoint, now);
+  --sub.attempts;  // offsets the increment in start(): a hedged request is not an attempt
+  start(slow_call.request, slow_call.part, *endpoint, now);
 }
 
 void state_machine::retry_or_fall_back(fan_out_id id, std::size_t part, std::size_t failed_endpoint,
                                        time_point now) {
   sub_request& sub = sub_request_of(id, part);
-  if (!sub.calls.empty()) return;  // the hedged request, or the one that it hedges, is still in flight
+  if (!sub.calls.empty()) return;  // the hedged request or the original call is still in flight
   dependency_state& dependency = dependencies_[sub.dependency];
   sub.avoided_endpoint = failed_endpoint;
-  if (dependency.take_retry(sub.attempts, sub.deadline, now)) {
+  if (dependency.try_acquire_retry(sub.attempts, sub.deadline, now)) {
     ++dependency.counts().retries;
     place(id, part, now);
   } else {
@@ -121,13 +122,15 @@
   }
 }
 
-void state_machine::end_call(std::map<call_id, call>::iterator ended, time_point now,
+void state_machine::end_call(std::map<call_id, call>::iterator position, time_point now,
                              upstream::call_outcome outcome) {
-  const auto [id, was] = *ended;
-  dependencies_[was.dependency].on_call_ended(was.endpoint, now, now - was.begun_at, outcome);
-  report_endpoint_changes(was.dependency);
-  if (open_request* request = find(was.request)) std::erase(request->sub_requests[was.part].calls, id);
-  calls_.erase(ended);
+  const auto [id, ended_call] = *position;
+  dependencies_[ended_call.dependency].on_call_ended(ended_call.endpoint, now, now - ended_call.begun_at,
+                                                     outcome);
+  report_endpoint_changes(ended_call.dependency);
+  if (open_request* request = find(ended_call.request))
+    std::erase(request->sub_requests[ended_call.part].calls, id);
+  calls_.erase(position);
 }
 
 void state_machine::cancel_calls(sub_request& sub, time_point now) {
@@ -140,34 +143,36 @@
   sub.calls.clear();
 }
 
-// The end of a request may have cancelled calls of any dependency.
+// Starts queued sub-requests of all dependencies, because the end of a request may have cancelled calls of
+// any of them.
 void state_machine::start_all_queued(time_point now) {
   for (std::size_t dependency = 0; dependency < dependencies_.size(); ++dependency)
     start_queued(dependency, now);
 }
 
-// Capacity goes to the last that came, which has its time before it. In order of arrival it would go to those
-// whose time is nearly over, and all would come late.
-void state_machine::start_queued(std::size_t which, time_point now) {
-  dependency_state& dependency = dependencies_[which];
+// Starts queued sub-requests while there is capacity, the newest first (LIFO): the newest has the most time
+// left. In order of arrival, capacity would go to sub-requests close to their deadlines, and all of them
+// would end late.
+void state_machine::start_queued(std::size_t dependency_index, time_point now) {
+  dependency_state& dependency = dependencies_[dependency_index];
   while (!dependency.queue().empty() && dependency.has_capacity()) {
-    const queued_sub_request last = dependency.queue().back();
+    const queued_sub_request newest = dependency.queue().back();
     dependency.queue().pop_back();
-    open_request* request = find(last.request);
+    open_request* request = find(newest.request);
     if (request == nullptr) continue;
-    sub_request& sub = request->sub_requests[last.part];
-    if (!sub.queued || sub.dependency != which) continue;
+    sub_request& sub = request->sub_requests[newest.part];
+    if (!sub.queued || sub.dependency != dependency_index) continue;
     sub.queued = false;
-    place(last.request, last.part, now);
+    place(newest.request, newest.part, now);
   }
 }
 
-void state_machine::report_endpoint_changes(std::size_t which) {
-  dependency_state& dependency = dependencies_[which];
+void state_machine::report_endpoint_changes(std::size_t dependency_index) {
+  dependency_state& dependency = dependencies_[dependency_index];
   for (const upstream::endpoint_change& change : dependency.endpoints().take_changes()) {
     if (dependency.endpoints().state_of(change.endpoint) == upstream::endpoint_state::ejected)
       ++dependency.counts().ejections;
-    actions_.emplace_back(endpoint_changed{which, change.endpoint, change.reason});
+    actions_.emplace_back(endpoint_changed{dependency_index, change.endpoint, change.reason});
   }
 }
 
--- a/src/fan_out/client.cpp
+++ b/src/fan_out/client.cpp
@@ -31,12 +31,13 @@
 }
 
 struct interpreted_response {
-  call_result end = call_result::failed;
-  duration retry_after{};  // of a rejection
-  std::string bytes;       // of a success
+  call_result result = call_result::failed;
+  duration retry_after{};  // after a rejection
+  std::string bytes;       // the body, after a success
 };
 
-// 2xx: success; 503 and 429: a rejection, with the retry-after that it states; all else: a failure.
+// 2xx is a success. 503 and 429 are rejections, with the retry-after of the response or a default. Everything
+// else is a failure.
 interpreted_response interpret_response(uwsgi::exchange_end end, const uwsgi::response_head* head,
                                         std::string_view response) {
   constexpr duration default_retry_after = std::chrono::seconds(1);
@@ -55,11 +56,12 @@
 
 }  // namespace
 
-client::client(net::reactor& reactor, const config& settings, dispatcher& requests, backend& behind)
+client::client(net::reactor& reactor, const config& settings, dispatcher& request_dispatcher,
+               backend& next_backend)
     : reactor_(reactor),
       config_(settings),
-      dispatcher_(requests),
-      behind_(behind),
+      dispatcher_(request_dispatcher),
+      next_backend_(next_backend),
       state_machine_(settings.dependencies->plans, settings.dependencies->rules, settings.dependencies->cache,
                      settings.seed),
       plan_of_class_(plans_by_class(settings)) {}
@@ -68,13 +70,13 @@
 
 // ---- backend ----------------------------------------------------------------------------------------------
 
-void client::run(request_id id, const request& what) {
-  const std::optional<std::size_t> plan = plan_of_class_[what.request_class];
+void client::run(request_id id, const request& client_request) {
+  const std::optional<std::size_t> plan = plan_of_class_[client_request.request_class];
   if (!plan) {
-    behind_.run(id, what);
+    next_backend_.run(id, client_request);
     return;
   }
-  runs_[id] = {what, *plan, net::steady_now(), {}, false};
+  runs_[id] = {client_request, *plan, net::steady_now(), {}, false};
   dispatcher_.on_call_needed(id);
   reactor_.wake();
 }
@@ -84,12 +86,13 @@
   if (found == runs_.end()) return;
   const run_state& run = found->second;
   const time_point now = net::steady_now();
-  const time_point wanted_by = upstream::response_deadline(
-      run.what, config_.settings.classes[run.what.request_class], state_machine_.plan_at(run.plan).reserve);
-  begin_fan_out(id, std::min(now + limit, std::max(now, wanted_by)));
+  const time_point deadline = upstream::response_deadline(
+      run.client_request, config_.settings.classes[run.client_request.request_class],
+      state_machine_.plan_at(run.plan).reserve);
+  begin_fan_out(id, std::min(now + limit, std::max(now, deadline)));
 }
 
-// The request goes on without calls: its deadline is now, so that only fallbacks without a call are used.
+// Continues the request without calls: with the deadline set to now, only fallbacks without a call are used.
 void client::skip_call(request_id id) {
   begin_fan_out(id, net::steady_now());
 }
@@ -101,14 +104,14 @@
   const time_point now = net::steady_now();
   run.fan_out_begun = true;
   run.fan_out_begun_at = now;
-  state_machine_.begin(id, run.plan, run.what.fingerprint, deadline, now);
+  state_machine_.begin(id, run.plan, run.client_request.fingerprint, deadline, now);
   apply_actions();
 }
 
 void client::pause(request_id id) {
   const auto found = runs_.find(id);
   if (found == runs_.end()) {
-    behind_.pause(id);
+    next_backend_.pause(id);
     return;
   }
   const duration elapsed = net::steady_now() - found->second.begun_at;
@@ -120,7 +123,7 @@
 }
 
 void client::resume(request_id id) {
-  if (!runs_.contains(id)) behind_.resume(id);
+  if (!runs_.contains(id)) next_backend_.resume(id);
 }
 
 time_point client::step(time_point now) {
@@ -131,18 +134,19 @@
 
 // ---- Actions ----------------------------------------------------------------------------------------------
 
-// An action may lead to more actions: they are carried out in their order, by the outermost call.
+// Carries out the pending actions. An action may cause further actions; the outermost call carries them out
+// in their order.
 void client::apply_actions() {
   if (std::exchange(applying_, true)) return;
   while (const auto next = state_machine_.next_action()) {
-    std::visit([this](const auto& wanted) { apply(wanted); }, *next);
+    std::visit([this](const auto& pending_action) { apply(pending_action); }, *next);
   }
   applying_ = false;
 }
 
-// The client's request, with the dependency's path and the call's budget.
-std::string client::encode_call(const request& what, const start_call& start) const {
-  const auto packet = uwsgi::next_packet(what.payload, config_.bounds);
+// Returns the client's request with the path of the dependency and the budget of the call.
+std::string client::encode_call(const request& client_request, const start_call& start) const {
+  const auto packet = uwsgi::next_packet(client_request.payload, config_.bounds);
   if (!packet) return {};
   std::vector<std::pair<std::string, std::string>> vars = packet->vars;
   const auto replace_var = [&vars](const std::string& name, std::string value) {
@@ -164,12 +168,13 @@
   const call_id id = start.id;
   const auto on_end = [this, id](uwsgi::exchange_end end, const uwsgi::response_head* head,
                                  std::string_view response) { on_exchange_ended(id, end, head, response); };
-  std::string bytes = encode_call(found->second.what, start);
+  std::string bytes = encode_call(found->second.client_request, start);
   try {
     calls_[id] = std::make_shared<uwsgi::exchange>(reactor_, config_.bounds, dependency.at[start.endpoint],
                                                    std::move(bytes), on_end);
   } catch (const Poco::Exception& e) {
-    log("dependency", "%s: no connection: %s", dependency.name.c_str(), e.displayText().c_str());
+    log("dependency", "%s: connecting to an endpoint failed: %s; the call counts as failed",
+        dependency.name.c_str(), e.displayText().c_str());
     calls_.erase(id);
     state_machine_.on_result(id, call_result::failed, {}, {}, net::steady_now());
   }
@@ -183,21 +188,21 @@
   calls_.erase(found);
 }
 
-void client::apply(const request_finished& end) {
-  const auto found = runs_.find(end.id);
+void client::apply(const request_finished& finished) {
+  const auto found = runs_.find(finished.id);
   if (found == runs_.end()) return;
   const run_state run = std::move(found->second);
   runs_.erase(found);
   const time_point now = net::steady_now();
-  dispatcher_.on_call_ended(end.id, now - run.fan_out_begun_at);
+  dispatcher_.on_call_ended(finished.id, now - run.fan_out_begun_at);
   reactor_.wake();
   const duration elapsed = now - run.begun_at;
-  if (end.missing_required) {
-    dispatcher_.on_end(end.id, run_end::failed, {}, elapsed);
+  if (finished.missing_required) {
+    dispatcher_.on_end(finished.id, run_end::failed, {}, elapsed);
     return;
   }
-  const std::string response = assemble_response(state_machine_.plan_at(run.plan), end.parts);
-  dispatcher_.on_end(end.id, run_end::succeeded, response, elapsed);
+  const std::string response = assemble_response(state_machine_.plan_at(run.plan), finished.parts);
+  dispatcher_.on_end(finished.id, run_end::succeeded, response, elapsed);
 }
 
 void client::apply(const endpoint_changed& change) {
@@ -212,13 +217,14 @@
   found->second->close();
   reactor_.retire(std::move(found->second));
   calls_.erase(found);
-  interpreted_response result = interpret_response(end, head, response);
+  interpreted_response interpreted = interpret_response(end, head, response);
   reactor_.wake();
-  state_machine_.on_result(id, result.end, std::move(result.bytes), result.retry_after, net::steady_now());
+  state_machine_.on_result(id, interpreted.result, std::move(interpreted.bytes), interpreted.retry_after,
+                           net::steady_now());
   apply_actions();
 }
 
-// ---- The cluster's view, figures --------------------------------------------------------------------------
+// ---- Reachability and statistics --------------------------------------------------------------------------
 
 void client::routes_changed(const std::function<bool(const std::string&)>& routable) {
   for (std::size_t dependency = 0; dependency < config_.dependencies->endpoints.size(); ++dependency) {
@@ -234,17 +240,17 @@
   for (std::size_t i = 0; i < config_.dependencies->endpoints.size(); ++i) {
     const dependency_config& dependency = config_.dependencies->endpoints[i];
     if (dependency.places.empty()) continue;
-    const auto& at_level = state_machine_.counts(i).at_level;
-    for (std::size_t level = 0; level < at_level.size(); ++level)
+    const auto& calls_by_level = state_machine_.counts(i).calls_by_level;
+    for (std::size_t level = 0; level < calls_by_level.size(); ++level)
       lines += "dependency." + dependency.name + ".calls_" + level_names[level] + "=" +
-               std::to_string(at_level[level]) + "\n";
+               std::to_string(calls_by_level[level]) + "\n";
   }
   return lines;
 }
 
 void client::print() const {
   for (std::size_t i = 0; i < config_.dependencies->endpoints.size(); ++i) {
-    const dependency_counts& n = state_machine_.counts(i);
+    const dependency_counts& counts = state_machine_.counts(i);
     std::string line = config_.dependencies->endpoints[i].name;
     const auto add = [&line](const char* name, std::uint64_t value) {
       line += std::string(" ") + name + "=" + std::to_string(value);
@@ -252,26 +258,26 @@
     const auto milliseconds = [](duration d) {
       return static_cast<std::uint64_t>(d / std::chrono::milliseconds(1));
     };
-    add("calls", n.calls);
-    add("retries", n.retries);
-    add("hedges", n.hedges);
-    add("good", n.succeeded);
-    add("failed", n.failed);
-    add("late", n.timed_out);
-    add("not_now", n.rejected);
-    add("no_room", n.without_capacity);
-    add("held_out", n.ejections);
+    add("calls", counts.calls);
+    add("retries", counts.retries);
+    add("hedges", counts.hedges);
+    add("good", counts.succeeded);
+    add("failed", counts.failed);
+    add("late", counts.timed_out);
+    add("not_now", counts.rejected);
+    add("no_room", counts.without_capacity);
+    add("held_out", counts.ejections);
     add("allowed", state_machine_.allowed(i));
     add("in_flight", state_machine_.in_flight(i));
-    add("fresh", n.fresh);
-    add("stale", n.stale);
-    add("stand_in", n.fallback);
-    add("missing", n.missing);
-    add("stale_age_ms", milliseconds(n.stale_age));
-    add("spent_ms", milliseconds(n.time_in_calls));
-    add("zone", n.at_level[0]);
-    add("region", n.at_level[1]);
-    add("rest", n.at_level[2]);
+    add("fresh", counts.fresh);
+    add("stale", counts.stale);
+    add("stand_in", counts.fallback);
+    add("missing", counts.missing);
+    add("stale_age_ms", milliseconds(counts.stale_age));
+    add("spent_ms", milliseconds(counts.time_in_calls));
+    add("zone", counts.calls_by_level[0]);
+    add("region", counts.calls_by_level[1]);
+    add("rest", counts.calls_by_level[2]);
     log("dependencies", "%s", line.c_str());
   }
 }
--- a/src/fan_out/client.hpp
+++ b/src/fan_out/client.hpp
@@ -1,11 +1,12 @@
-// The fan-out client: a backend that runs requests of planned classes as sub-requests to dependencies that
-// speak uwsgi; all other requests go to the backend behind it. The state machine decides, this makes the
-// calls.
+// The fan-out client: a backend that runs requests whose class has a plan as sub-requests to dependencies
+// over uwsgi. Requests of other classes go to the next backend. The state machine makes the decisions; the
+// client makes the calls.
 //
-// The fan-out of a request is one dependency call to the dispatcher: that says when it may begin and for how
-// long, or that the request goes on without it; then only fallbacks that need no call are used.
+// For the dispatcher the whole fan-out of a request is one dependency call: the dispatcher decides when it
+// starts and how long it may last, or that it is skipped. If it is skipped, only fallbacks without a call are
+// used.
 //
-// Owned by the event loop's thread.
+// Used by the event loop's thread only.
 #pragma once
 
 #include <functional>
@@ -26,45 +27,50 @@
 
 class client : public backend {
  public:
-  // `requests`: where ends are reported. `behind`: runs the requests of classes without a plan.
-  client(net::reactor& reactor, const config& settings, dispatcher& requests, backend& behind);
+  // `request_dispatcher`: receives the ends of runs. `next_backend`: runs requests of classes without a plan.
+  client(net::reactor& reactor, const config& settings, dispatcher& request_dispatcher,
+         backend& next_backend);
   ~client() override;
 
   // backend
-  void run(request_id id, const request& what) override;
+  void run(request_id id, const request& client_request) override;
   void pause(request_id id) override;
   void resume(request_id id) override;
-  bool inquire(request_id id, const request& what) override { return behind_.inquire(id, what); }
+  bool inquire(request_id id, const request& client_request) override {
+    return next_backend_.inquire(id, client_request);
+  }
   void place_call(request_id id, duration limit) override;
   void skip_call(request_id id) override;
 
-  // Does what is due; returns when it wants to be called again.
+  // Runs the timers that are due. Returns the time at which it must be called again.
   time_point step(time_point now);
 
+  // The number of requests that have not ended.
   std::size_t running() const { return runs_.size(); }
-  const state_machine& decisions() const { return state_machine_; }
+  const state_machine& machine() const { return state_machine_; }
   // Logs a line of counters for each dependency.
   void print() const;
-  // The cluster's view has changed. `routable`: whether calls may go to a place (a zone or a member).
+  // Updates the reachability of the endpoints after a change in the cluster. `routable`: returns whether
+  // calls may go to a place (a zone or a member).
   void routes_changed(const std::function<bool(const std::string&)>& routable);
-  // This node's quota share of calls in flight at a dependency.
-  void set_share(std::size_t dependency, double most) { state_machine_.set_share(dependency, most); }
-  // What fan-out has and wants of a dependency's calls.
+  // Sets this node's quota share of calls in flight at a dependency.
+  void set_share(std::size_t dependency, double share) { state_machine_.set_share(dependency, share); }
+  // The current use of a dependency's calls, and the demand for more.
   struct calls {
     std::size_t in_flight = 0;
     std::size_t waiting = 0;
-    std::uint64_t turned_away = 0;  // for want of capacity, since the start
+    std::uint64_t turned_away = 0;  // rejected for lack of capacity since the start of the process
   };
   calls calls_at(std::size_t dependency) const {
     return {state_machine_.in_flight(dependency), state_machine_.waiting(dependency),
             state_machine_.counts(dependency).without_capacity};
   }
-  // Lines for show-stat: calls by locality, of dependencies whose endpoints have places.
+  // Lines for the console command show-stat: calls by locality level, for dependencies with known places.
   std::string figures() const;
 
  private:
   struct run_state {
-    request what;
+    request client_request;
     std::size_t plan = 0;
     time_point begun_at{};
     time_point fan_out_begun_at{};
@@ -75,16 +81,16 @@
   void apply_actions();
   void apply(const start_call& start);
   void apply(const cancel_call& cancel);
-  void apply(const request_finished& end);
+  void apply(const request_finished& finished);
   void apply(const endpoint_changed& change);
-  std::string encode_call(const request& what, const start_call& start) const;
+  std::string encode_call(const request& client_request, const start_call& start) const;
   void on_exchange_ended(call_id id, uwsgi::exchange_end end, const uwsgi::response_head* head,
                          std::string_view response);
 
   net::reactor& reactor_;
   const config& config_;
   dispatcher& dispatcher_;
-  backend& behind_;
+  backend& next_backend_;
   state_machine state_machine_;
   std::vector<std::optional<std::size_t>> plan_of_class_;
   std::unordered_map<request_id, run_state> runs_;
--- a/src/fan_out/dependency_state.cpp
+++ b/src/fan_out/dependency_state.cpp
@@ -3,9 +3,9 @@
 namespace marblewharf::fan_out {
 namespace {
 
-// In the middle: a dependency that is slow already does not get at once all calls that it takes when it is
-// well.
-double first_limit(const upstream::dependency_rules& rules) {
+// A quarter of the sum of the bounds, not the maximum: a dependency that is already slow must not receive at
+// once all the calls that it can handle when it is healthy.
+double initial_limit(const upstream::dependency_rules& rules) {
   return (rules.least_in_flight + rules.most_in_flight) / 4;
 }
 
@@ -14,7 +14,7 @@
 dependency_state::dependency_state(const upstream::dependency_rules& rules)
     : rules_(rules),
       endpoints_(rules.endpoints, rules.health, rules.near),
-      limit_(rules.least_in_flight, rules.most_in_flight, first_limit(rules)),
+      limit_(rules.least_in_flight, rules.most_in_flight, initial_limit(rules)),
       retries_(rules.retry_share, rules.retry_floor),
       hedges_(rules.hedge_share, 0) {}
 
@@ -28,7 +28,7 @@
   return std::min(now + rules_.budget, request_deadline);
 }
 
-bool dependency_state::take_retry(unsigned attempts, time_point deadline, time_point now) {
+bool dependency_state::try_acquire_retry(unsigned attempts, time_point deadline, time_point now) {
   return attempts < rules_.tries && now + expected_latency() < deadline && retries_.try_acquire(now);
 }
 
@@ -41,26 +41,27 @@
   endpoints_.on_start(endpoint);
   ++in_flight_;
   ++counts_.calls;
-  if (!rules_.near.where.empty()) ++counts_.at_level[static_cast<std::size_t>(rules_.near.where[endpoint])];
+  if (!rules_.near.where.empty())
+    ++counts_.calls_by_level[static_cast<std::size_t>(rules_.near.where[endpoint])];
 }
 
-void dependency_state::on_call_ended(std::size_t endpoint, time_point now, duration took,
+void dependency_state::on_call_ended(std::size_t endpoint, time_point now, duration elapsed,
                                      upstream::call_outcome outcome) {
-  endpoints_.on_end(endpoint, now, took, outcome);
+  endpoints_.on_end(endpoint, now, elapsed, outcome);
   --in_flight_;
-  counts_.time_in_calls += took;
+  counts_.time_in_calls += elapsed;
 }
 
-void dependency_state::on_success(time_point now, duration took) {
+void dependency_state::on_success(time_point now, duration elapsed) {
   ++counts_.succeeded;
-  latency_.add(took);
-  limit_.on_end(now, took, in_flight_, false);
+  latency_.add(elapsed);
+  limit_.on_end(now, elapsed, in_flight_, false);
 }
 
-upstream::call_outcome dependency_state::on_timeout(time_point now, duration took) {
+upstream::call_outcome dependency_state::on_timeout(time_point now, duration elapsed) {
   ++counts_.timed_out;
-  if (took <= limit_.healthy_latency()) return upstream::call_outcome::cancelled;
-  limit_.on_end(now, took, in_flight_, true);
+  if (elapsed <= limit_.healthy_latency()) return upstream::call_outcome::cancelled;
+  limit_.on_end(now, elapsed, in_flight_, true);
   return upstream::call_outcome::failed;
 }
 
--- a/src/fan_out/dependency_state.hpp
+++ b/src/fan_out/dependency_state.hpp
@@ -1,6 +1,6 @@
-// One dependency as fan-out sees it: its endpoints, its limit of calls in flight, its latency and its retry
-// and hedge budgets. Each rule on calls stands here once. Free of I/O; time and randomness are handed in. One
-// thread at a time.
+// The state of one dependency for fan-out: its endpoints, its limit of calls in flight, its latency, and its
+// retry and hedge budgets. Implements the rules for placing, retrying and hedging calls. Free of I/O; time
+// and random numbers are passed in. Not thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -18,7 +18,7 @@
 
 namespace marblewharf::fan_out {
 
-// A sub-request that waits for a call in flight.
+// A sub-request that waits until the limit of calls in flight allows its call.
 struct queued_sub_request {
   fan_out_id request = 0;
   std::size_t part = 0;
@@ -38,53 +38,56 @@
 
   // ---- Calls in flight
 
-  // This node's quota share, beside the limit that adapts to the dependency's latency.
-  void set_share(double most) { share_ = most; }
-  // Under one call, sub-requests are not queued: they fall back at once.
+  // Sets this node's quota share, which applies in addition to the adaptive limit.
+  void set_share(double share) { share_ = share; }
+  // False if the quota share is below one call: sub-requests then use their fallbacks at once instead of
+  // queuing.
   bool has_share() const { return share_ >= 1; }
+  // The number of calls that may be in flight: the smaller of adaptive limit and quota share.
   unsigned allowed() const;
   unsigned in_flight() const { return in_flight_; }
   bool has_capacity() const { return in_flight_ < allowed(); }
 
   // ---- Rules
 
-  // A sub-request begins: it counts in the retry and hedge budgets. Returns its deadline: within the
-  // dependency's budget, and no later than `request_deadline`.
+  // Starts a sub-request: counts its first attempt in the retry and hedge budgets, and returns its deadline
+  // (the end of the dependency's budget, but not later than `request_deadline`).
   time_point begin_sub_request(time_point request_deadline, time_point now);
-  // When a call has to begin so that it can be expected to end by the deadline.
+  // The latest time at which a call can start and is still expected to end by the deadline.
   time_point latest_start(time_point deadline) const { return deadline - expected_latency(); }
   bool can_end_in_time(time_point deadline, time_point now) const {
     return now <= latest_start(deadline) && now < deadline;
   }
-  // Whether a sub-request that failed is tried again: it has attempts left, the next one can be expected to
-  // end before the deadline, and the retry budget allows it, which then is charged.
-  bool take_retry(unsigned attempts, time_point deadline, time_point now);
-  // Whether a call that takes long gets a hedged request beside it: there is capacity for it, it can be
-  // expected to end by the deadline, there is another endpoint, and the hedge budget allows it, which then is
-  // charged. Returns the endpoint. `random`: drawn only where it comes to a choice.
+  // Decides whether a failed sub-request is retried: attempts are left, the retry is expected to end before
+  // the deadline, and the retry budget allows it. If so, charges the budget.
+  bool try_acquire_retry(unsigned attempts, time_point deadline, time_point now);
+  // Decides whether a slow call is hedged: there is capacity, the hedged request is expected to end by the
+  // deadline, another endpoint is usable, and the hedge budget allows it. If so, charges the budget and
+  // returns the endpoint. A number is drawn from `random` only if an endpoint is to be selected.
   template <typename RandomSource>
-  std::optional<std::size_t> take_hedge(std::size_t used_endpoint, time_point deadline, time_point now,
-                                        RandomSource& random) {
+  std::optional<std::size_t> try_acquire_hedge(std::size_t used_endpoint, time_point deadline, time_point now,
+                                               RandomSource& random) {
     if (!has_capacity() || now + expected_latency() > deadline) return std::nullopt;
-    const auto other = endpoints_.choose(now, random(), false, used_endpoint);
-    if (!other || !hedges_.try_acquire(now)) return std::nullopt;
-    return other;
+    const auto hedge_endpoint = endpoints_.choose(now, random(), false, used_endpoint);
+    if (!hedge_endpoint || !hedges_.try_acquire(now)) return std::nullopt;
+    return hedge_endpoint;
   }
-  // How long a call may take before it is hedged: longer than nearly all do. None: it is not hedged.
+  // The time after which a call is hedged: the latency quantile of the settings. None: calls are not hedged.
   std::optional<duration> hedge_delay() const;
 
   // ---- Events of calls
 
   void on_call_started(std::size_t endpoint);
-  void on_call_ended(std::size_t endpoint, time_point now, duration took, upstream::call_outcome outcome);
-  // Before on_call_ended().
-  void on_success(time_point now, duration took);
-  // Before on_call_ended(). A call that had little time to begin with says nothing of its endpoint: the
-  // result is the outcome that counts.
-  upstream::call_outcome on_timeout(time_point now, duration took);
+  void on_call_ended(std::size_t endpoint, time_point now, duration elapsed, upstream::call_outcome outcome);
+  // Must precede on_call_ended().
+  void on_success(time_point now, duration elapsed);
+  // Must precede on_call_ended(). Returns the outcome to report for the endpoint: `cancelled` if the call had
+  // so little time that its timeout does not indicate a slow endpoint.
+  upstream::call_outcome on_timeout(time_point now, duration elapsed);
 
  private:
-  // The mean of the last few calls. A median of many would keep calls back long after a stall is over.
+  // The mean of the last few calls. The median of a longer history would block calls long after a stall has
+  // ended.
   duration expected_latency() const { return latency_.recent_mean(); }
 
   upstream::dependency_rules rules_;
--- a/src/fan_out/messages.hpp
+++ b/src/fan_out/messages.hpp
@@ -1,5 +1,5 @@
-// What goes into the fan-out state machine and what comes out of it: identifiers, results of calls,
-// sub-responses and actions.
+// Input and output types of the fan-out state machine: identifiers, results of calls, sub-responses and
+// actions.
 #pragma once
 
 #include <array>
@@ -15,53 +15,53 @@
 
 namespace marblewharf::fan_out {
 
-using fan_out_id = std::uint32_t;  // of a request; chosen by the caller
+using fan_out_id = std::uint32_t;  // identifies a request; chosen by the caller
 using call_id = std::uint64_t;
 
 // How a call ended.
 enum class call_result {
-  succeeded,  // a whole response came
-  failed,     // an error, an unreadable response, or a lost connection
-  rejected,   // rejected with a retry-after: nothing was done
+  succeeded,  // a complete response was received
+  failed,     // an error, an invalid response, or a lost connection
+  rejected,   // rejected with a retry-after; the dependency did not process the request
 };
 
 // Where a sub-response came from.
 enum class sub_response_state {
   missing,
-  fresh,     // from its own dependency, now
-  stale,     // an earlier fresh one of the same subject
-  fallback,  // from another dependency, or a fixed text
+  fresh,     // response of its own dependency to this request
+  stale,     // cached response of its own dependency to an earlier request for the same subject
+  fallback,  // response of another dependency, or a fixed text
 };
 
 struct sub_response {
   sub_response_state state = sub_response_state::missing;
-  duration age{};  // of a stale one
+  duration age{};  // of a stale sub-response
   std::string bytes;
 };
 
 // ---- Actions ----------------------------------------------------------------------------------------------
 
-// The call is to be made; on_result() reports its end.
+// Requests that the call be made; on_result() must report its end.
 struct start_call {
   call_id id = 0;
   fan_out_id request = 0;
   std::size_t dependency = 0;
   std::size_t endpoint = 0;
-  duration budget{};  // until the call is cancelled
+  duration budget{};  // time after which the call is cancelled
 };
-// The call is to be abandoned; its end is not to be reported.
+// Requests that the call be cancelled; its end must not be reported.
 struct cancel_call {
   call_id id = 0;
 };
-// The request has ended.
+// Reports the end of the request.
 struct request_finished {
   fan_out_id id = 0;
   bool complete = false;  // all sub-responses are fresh
-  std::optional<std::size_t>
-      missing_required;             // the required sub-response that is missing: the request has failed
+  // The part whose sub-response is required and missing: the request has failed. None: it has succeeded.
+  std::optional<std::size_t> missing_required;
   std::vector<sub_response> parts;  // in the order of the plan
 };
-// An endpoint was ejected, is probed, or is back. For the log.
+// Reports for the log that an endpoint was ejected, is probed, or has recovered.
 struct endpoint_changed {
   std::size_t dependency = 0;
   std::size_t endpoint = 0;
@@ -71,7 +71,7 @@
 
 // ---- Statistics -------------------------------------------------------------------------------------------
 
-// Of one dependency, since the start.
+// Counters of one dependency since the start of the process.
 struct dependency_counts {
   std::uint64_t calls = 0;
   std::uint64_t retries = 0;
@@ -80,16 +80,17 @@
   std::uint64_t failed = 0;
   std::uint64_t timed_out = 0;
   std::uint64_t rejected = 0;          // by the dependency, with a retry-after
-  std::uint64_t without_capacity = 0;  // sub-requests that got no call in flight
+  std::uint64_t without_capacity = 0;  // sub-requests that received no call because of a limit
   std::uint64_t ejections = 0;         // of endpoints
-  // Sub-responses of the plans' parts that belong to this dependency.
+  // Sub-responses to parts whose own dependency is this one, by state.
   std::uint64_t fresh = 0;
   std::uint64_t stale = 0;
   std::uint64_t fallback = 0;
   std::uint64_t missing = 0;
-  std::chrono::nanoseconds stale_age{};                    // of stale sub-responses, together
-  std::chrono::nanoseconds time_in_calls{};                // of all calls, together
-  std::array<std::uint64_t, failover::levels> at_level{};  // calls by locality, where places are known
+  std::chrono::nanoseconds stale_age{};      // sum over all stale sub-responses
+  std::chrono::nanoseconds time_in_calls{};  // sum over all calls
+  // Calls by locality level, if the places are known.
+  std::array<std::uint64_t, failover::levels> calls_by_level{};
 };
 
 }  // namespace marblewharf::fan_out
--- a/src/fan_out/response_assembly.cpp
+++ b/src/fan_out/response_assembly.cpp
@@ -6,7 +6,7 @@
 namespace marblewharf::fan_out {
 namespace {
 
-// A boundary that occurs in no part.
+// Returns a boundary that does not occur in any part.
 std::string choose_boundary(const std::vector<sub_response>& parts) {
   for (unsigned number = 0;; ++number) {
     std::string boundary = "part" + std::to_string(number);
--- a/src/fan_out/response_assembly.hpp
+++ b/src/fan_out/response_assembly.hpp
@@ -1,5 +1,5 @@
-// Assembles sub-responses into one response: HTTP-shaped, `multipart/mixed` (RFC 2046), each part with its
-// state and its length. docs/dependencies.md has the form.
+// Assembles sub-responses into one HTTP response of type `multipart/mixed` (RFC 2046). Each part carries its
+// state and its length. The format is described in docs/dependencies.md.
 #pragma once
 
 #include <string>
@@ -10,11 +10,11 @@
 
 namespace marblewharf::fan_out {
 
-// Of a request that missing_required no required sub-response. The head has `Partial: yes` where not all are
-// fresh. `parts`: in the order of the plan.
+// Must be called only for a request without a missing required sub-response. The head has `Partial: yes`
+// unless all sub-responses are fresh. `parts`: in the order of the plan.
 std::string assemble_response(const upstream::request_plan& plan, const std::vector<sub_response>& parts);
 
-// As the header Part-State has it.
+// The name of the state in the header Part-State.
 const char* name_of(sub_response_state state);
 
 }  // namespace marblewharf::fan_out
--- a/src/fan_out/state_machine.cpp
+++ b/src/fan_out/state_machine.cpp
@@ -1,4 +1,4 @@
-// Requests and sub-requests: their begin, fallbacks, deadlines and end.
+// Requests and sub-requests: start, fallbacks, deadlines and end.
 #include "fan_out/state_machine.hpp"
 
 #include <utility>
@@ -10,7 +10,7 @@
                              std::uint64_t seed)
     : plans_(std::move(plans)), cache_(cache_bytes), random_(seed) {
   check_plans(plans_, rules);
-  for (const upstream::dependency_rules& of_dependency : rules) dependencies_.emplace_back(of_dependency);
+  for (const upstream::dependency_rules& dependency : rules) dependencies_.emplace_back(dependency);
 }
 
 std::optional<action> state_machine::next_action() {
@@ -25,16 +25,16 @@
   return found == requests_.end() ? nullptr : &found->second;
 }
 
-void state_machine::begin(fan_out_id id, std::size_t which, std::uint64_t subject, time_point by,
+void state_machine::begin(fan_out_id id, std::size_t plan, std::uint64_t subject, time_point deadline,
                           time_point now) {
-  const std::size_t parts = plans_[which].parts.size();
+  const std::size_t parts = plans_[plan].parts.size();
   open_request& request = requests_[id];
-  request.plan = which;
+  request.plan = plan;
   request.subject = subject;
-  request.deadline = by;
+  request.deadline = deadline;
   request.open_sub_requests = parts;
   request.sub_requests.resize(parts);
-  // A required sub-request may end the request at once.
+  // A required sub-request whose response is missing ends the request, so the loop stops.
   for (std::size_t i = 0; i < parts && find(id) != nullptr; ++i) try_source(id, i, now);
 }
 
@@ -48,7 +48,8 @@
 
 // ---- Sub-requests -----------------------------------------------------------------------------------------
 
-// Its own dependency, then its fallbacks; behind the last one the sub-response is missing.
+// Tries the current source of the sub-request: its own dependency first, then its fallbacks. If there are no
+// sources left, the sub-response is missing.
 void state_machine::try_source(fan_out_id id, std::size_t part, time_point now) {
   const std::size_t source = sub_request_of(id, part).source;
   const upstream::sub_request_plan& plan = plans_[find(id)->plan].parts[part];
@@ -80,10 +81,10 @@
   place(id, part, now);
 }
 
-void state_machine::try_stale(fan_out_id id, std::size_t part, duration oldest, time_point now) {
+void state_machine::try_stale(fan_out_id id, std::size_t part, duration max_age, time_point now) {
   const open_request& request = *find(id);
   const std::size_t dependency = plans_[request.plan].parts[part].from;
-  if (const auto cached = cache_.get(dependency, request.subject, oldest, now)) {
+  if (const auto cached = cache_.get(dependency, request.subject, max_age, now)) {
     complete(id, part, {sub_response_state::stale, cached->age, *cached->bytes}, now);
   } else {
     fall_back(id, part, now);
@@ -142,52 +143,52 @@
 
 // ---- Results and timers -----------------------------------------------------------------------------------
 
-void state_machine::on_result(call_id id, call_result how, std::string bytes, duration come_back,
+void state_machine::on_result(call_id id, call_result result, std::string bytes, duration retry_after,
                               time_point now) {
   const auto found = calls_.find(id);
-  if (found == calls_.end()) return;  // cancelled meanwhile
-  const call ended = found->second;
-  dependency_state& dependency = dependencies_[ended.dependency];
-  switch (how) {
+  if (found == calls_.end()) return;  // already cancelled
+  const call ended_call = found->second;
+  dependency_state& dependency = dependencies_[ended_call.dependency];
+  switch (result) {
     case call_result::rejected:
       ++dependency.counts().rejected;
-      dependency.endpoints().on_rejected(ended.endpoint, now + come_back);
+      dependency.endpoints().on_rejected(ended_call.endpoint, now + retry_after);
       end_call(found, now, upstream::call_outcome::cancelled);
-      retry_or_fall_back(ended.request, ended.part, ended.endpoint, now);
+      retry_or_fall_back(ended_call.request, ended_call.part, ended_call.endpoint, now);
       break;
     case call_result::failed:
       ++dependency.counts().failed;
       end_call(found, now, upstream::call_outcome::failed);
-      retry_or_fall_back(ended.request, ended.part, ended.endpoint, now);
+      retry_or_fall_back(ended_call.request, ended_call.part, ended_call.endpoint, now);
       break;
     case call_result::succeeded:
-      dependency.on_success(now, now - ended.begun_at);
+      dependency.on_success(now, now - ended_call.begun_at);
       end_call(found, now, upstream::call_outcome::succeeded);
-      on_response(ended, std::move(bytes), now);
+      on_response(ended_call, std::move(bytes), now);
       break;
   }
   start_all_queued(now);
 }
 
-void state_machine::on_response(const call& ended, std::string bytes, time_point now) {
-  const open_request& request = *find(ended.request);
-  const bool from_own_dependency = request.sub_requests[ended.part].source == 0;
-  if (from_own_dependency) cache_.put(ended.dependency, request.subject, bytes, now);
+void state_machine::on_response(const call& ended_call, std::string bytes, time_point now) {
+  const open_request& request = *find(ended_call.request);
+  const bool from_own_dependency = request.sub_requests[ended_call.part].source == 0;
+  if (from_own_dependency) cache_.put(ended_call.dependency, request.subject, bytes, now);
   complete(
-      ended.request, ended.part,
+      ended_call.request, ended_call.part,
       {from_own_dependency ? sub_response_state::fresh : sub_response_state::fallback, {}, std::move(bytes)},
       now);
 }
 
 void state_machine::step(time_point now) {
   while (!timers_.empty() && timers_.begin()->first <= now) {
-    const auto [due_at, due] = *timers_.begin();
+    const auto [due_at, expired] = *timers_.begin();
     timers_.erase(timers_.begin());
-    switch (due.kind) {
-      case timer_kind::hedge: send_hedge(due.call, now); break;
-      case timer_kind::call_deadline: on_call_deadline(due.call, now); break;
-      case timer_kind::place_again:
-      case timer_kind::sub_request_deadline: on_sub_request_timer(due, due_at, now); break;
+    switch (expired.kind) {
+      case timer_kind::hedge: send_hedge(expired.call, now); break;
+      case timer_kind::call_deadline: on_call_deadline(expired.call, now); break;
+      case timer_kind::retry_placement:
+      case timer_kind::sub_request_deadline: on_sub_request_timer(expired, due_at, now); break;
     }
   }
   start_all_queued(now);
@@ -196,30 +197,31 @@
 void state_machine::on_call_deadline(call_id id, time_point now) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
-  const call ended = found->second;
+  const call ended_call = found->second;
   const upstream::call_outcome outcome =
-      dependencies_[ended.dependency].on_timeout(now, now - ended.begun_at);
+      dependencies_[ended_call.dependency].on_timeout(now, now - ended_call.begun_at);
   actions_.emplace_back(cancel_call{id});
   end_call(found, now, outcome);
-  if (find(ended.request) != nullptr) retry_or_fall_back(ended.request, ended.part, ended.endpoint, now);
+  if (find(ended_call.request) != nullptr)
+    retry_or_fall_back(ended_call.request, ended_call.part, ended_call.endpoint, now);
 }
 
-void state_machine::on_sub_request_timer(const timer& due, time_point due_at, time_point now) {
-  open_request* request = find(due.request);
+void state_machine::on_sub_request_timer(const timer& expired, time_point due_at, time_point now) {
+  open_request* request = find(expired.request);
   if (request == nullptr) return;
-  const sub_request& sub = request->sub_requests[due.part];
+  const sub_request& sub = request->sub_requests[expired.part];
   if (sub.done || !sub.calls.empty()) return;
   dependency_state& dependency = dependencies_[sub.dependency];
-  if (due.kind == timer_kind::sub_request_deadline) {
-    if (due_at != sub.deadline) return;  // of an earlier source
+  if (expired.kind == timer_kind::sub_request_deadline) {
+    if (due_at != sub.deadline) return;  // the timer belongs to a previous source
     if (sub.queued) ++dependency.counts().without_capacity;
-    fall_back(due.request, due.part, now);
+    fall_back(expired.request, expired.part, now);
   } else if (sub.queued) {
     if (now < dependency.latest_start(sub.deadline)) return;
     ++dependency.counts().without_capacity;
-    fall_back(due.request, due.part, now);
+    fall_back(expired.request, expired.part, now);
   } else {
-    place(due.request, due.part, now);
+    place(expired.request, expired.part, now);
   }
 }
 
--- a/tests/fan_out/library_test.cpp
+++ b/tests/fan_out/library_test.cpp
@@ -1,4 +1,5 @@
-// Gathering as a library: calls that are functions, on the daemon's decisions.
+// Tests of fan-out as a library (marblewharf/gathering.hpp): calls are functions of the embedder, decisions
+// are made by the daemon's state machine.
 #include <map>
 #include <thread>
 
@@ -10,98 +11,107 @@
 
 namespace {
 
-source_call says(const std::string& bytes) {
+source_call returns(const std::string& bytes) {
   return [bytes](const call_terms&) { return bytes; };
 }
+// A call that blocks until it is cancelled.
 source_call hangs(std::atomic<int>& cancelled) {
-  return [&cancelled](const call_terms& t) -> std::string {
-    while (!*t.cancelled) std::this_thread::sleep_for(1ms);
+  return [&cancelled](const call_terms& terms) -> std::string {
+    while (!*terms.cancelled) std::this_thread::sleep_for(1ms);
     ++cancelled;
-    throw std::runtime_error("nobody waits");
+    throw std::runtime_error("cancelled");
   };
 }
 
-void gathers() {
+// Guards against waiting for a source that hangs, and against calls that hang after nobody waits for them any
+// more.
+void hanging_source_is_replaced() {
   std::atomic<int> cancelled = 0;
-  gathering g(
-      {{.name = "kurse", .endpoints = {says("101.42")}},
+  gathering fan_out(
+      {{.name = "kurse", .endpoints = {returns("101.42")}},
        {.name = "stamm", .endpoints = {hangs(cancelled)}, .budget = 100ms}},
       {{"kurs", "kurse", false, {}}, {"name", "stamm", false, {{.source = "", .oldest = 0s, .fixed = "?"}}}},
       2s);
   const auto begin = std::chrono::steady_clock::now();
-  const gathered one = g.gather(1, 1s);
-  CHECK(!one.complete && !one.failed && one.parts[0].state == part_state::fresh &&
-        one.parts[0].bytes == "101.42");
-  CHECK(one.parts[1].state == part_state::stand_in && one.parts[1].bytes == "?");
+  const gathered result = fan_out.gather(1, 1s);
+  CHECK(!result.complete && !result.failed && result.parts[0].state == part_state::fresh &&
+        result.parts[0].bytes == "101.42");
+  CHECK(result.parts[1].state == part_state::stand_in && result.parts[1].bytes == "?");
   CHECK(std::chrono::steady_clock::now() - begin >= 90ms);
-  // One that hangs takes none of the others' threads, and what nobody waits for is told so.
+  // The hanging source does not block the threads of the other source, and its calls are cancelled.
   std::vector<std::thread> callers;
   std::atomic<int> fresh = 0;
   for (int i = 0; i < 32; ++i)
-    callers.emplace_back([&] { fresh += g.gather(1, 1s).parts[0].state == part_state::fresh; });
-  for (std::thread& t : callers) t.join();
+    callers.emplace_back([&] { fresh += fan_out.gather(1, 1s).parts[0].state == part_state::fresh; });
+  for (std::thread& caller : callers) caller.join();
   CHECK(fresh == 32 && cancelled > 0);
 }
 
-void another_endpoint_and_required() {
-  std::atomic<int> good = 0;
+// Guards against failing a request although another endpoint can serve it, and against success without a
+// required part.
+void failed_call_is_retried_at_another_endpoint() {
+  std::atomic<int> succeeded = 0;
   const source_call fails = [](const call_terms&) -> std::string { throw std::runtime_error("down"); };
   const source_call busy = [](const call_terms&) -> std::string { throw not_now(10s); };
-  gathering g(
-      {{.name = "kurse", .endpoints = {fails, [&](const call_terms&) { return ++good, std::string("x"); }}}},
+  gathering fan_out(
+      {{.name = "kurse",
+        .endpoints = {fails, [&](const call_terms&) { return ++succeeded, std::string("x"); }}}},
       {{"kurs", "kurse", true, {}}}, 2s);
   int served = 0;
-  for (int i = 0; i < 20; ++i) served += !g.gather(1, 1s).failed;
-  CHECK(served >= 15 && good >= served);
-  gathering none({{.name = "kurse", .endpoints = {busy}}}, {{"kurs", "kurse", true, {}}}, 2s);
-  CHECK(none.gather(1, 1s).failed && none.gather(1, 1s).failed);
+  for (int i = 0; i < 20; ++i) served += !fan_out.gather(1, 1s).failed;
+  CHECK(served >= 15 && succeeded >= served);
+  gathering rejecting({{.name = "kurse", .endpoints = {busy}}}, {{"kurs", "kurse", true, {}}}, 2s);
+  CHECK(rejecting.gather(1, 1s).failed && rejecting.gather(1, 1s).failed);
 }
 
-void calls_stay_near() {
-  std::atomic<int> at[3] = {};
-  const auto counts = [&at](int i) {
-    return [&at, i](const call_terms&) { return ++at[i], std::string("x"); };
+// Guards against calls to a distant endpoint while a nearer one is reachable.
+void near_endpoints_are_preferred() {
+  std::atomic<int> calls[3] = {};
+  const auto counts = [&calls](int endpoint) {
+    return [&calls, endpoint](const call_terms&) { return ++calls[endpoint], std::string("x"); };
   };
-  gathering g({{.name = "kurse",
-                .endpoints = {counts(0), counts(1), counts(2)},
-                .where = {nearness::elsewhere, nearness::own_zone, nearness::own_region}}},
-              {{"kurs", "kurse", true, {}}}, 2s);
-  for (int i = 0; i < 30; ++i) CHECK(!g.gather(1, 1s).failed);
-  CHECK(at[0] == 0 && at[1] == 30 && at[2] == 0);
-  g.set_reachable("kurse", 1, false);
-  for (int i = 0; i < 30; ++i) CHECK(!g.gather(1, 1s).failed);
-  CHECK(at[0] == 0 && at[1] == 30 && at[2] == 30);
+  gathering fan_out({{.name = "kurse",
+                      .endpoints = {counts(0), counts(1), counts(2)},
+                      .where = {nearness::elsewhere, nearness::own_zone, nearness::own_region}}},
+                    {{"kurs", "kurse", true, {}}}, 2s);
+  for (int i = 0; i < 30; ++i) CHECK(!fan_out.gather(1, 1s).failed);
+  CHECK(calls[0] == 0 && calls[1] == 30 && calls[2] == 0);
+  fan_out.set_reachable("kurse", 1, false);
+  for (int i = 0; i < 30; ++i) CHECK(!fan_out.gather(1, 1s).failed);
+  CHECK(calls[0] == 0 && calls[1] == 30 && calls[2] == 30);
   try {
-    g.set_reachable("kurse", 3, false);
+    fan_out.set_reachable("kurse", 3, false);
     CHECK(false);
   } catch (const std::invalid_argument&) {
   }
 }
 
-void plans() {
-  const auto refused = [](std::vector<part_of> parts, std::chrono::nanoseconds aim) {
+// Guards against accepting plans that cannot be carried out.
+void invalid_plans_are_rejected() {
+  const auto error_for = [](std::vector<part_of> parts, std::chrono::nanoseconds latency_objective) {
     try {
-      gathering g({{.name = "a", .endpoints = {says("a")}}, {.name = "b", .endpoints = {says("b")}}},
-                  std::move(parts), aim);
+      gathering fan_out(
+          {{.name = "a", .endpoints = {returns("a")}}, {.name = "b", .endpoints = {returns("b")}}},
+          std::move(parts), latency_objective);
     } catch (const std::invalid_argument& e) {
       return std::string(e.what());
     }
     return std::string();
   };
-  CHECK(refused({{"p", "a", false, {}}}, 2s).empty());
-  CHECK(refused({{"p", "c", false, {}}}, 2s) == "no source: c");
-  CHECK(refused({{"p", "a", false, {}}}, 500ms) != "");
-  CHECK(refused({{"p", "a", false, {{.source = "a", .oldest = {}, .fixed = {}}}}}, 9s) ==
+  CHECK(error_for({{"p", "a", false, {}}}, 2s).empty());
+  CHECK(error_for({{"p", "c", false, {}}}, 2s) == "no source: c");
+  CHECK(error_for({{"p", "a", false, {}}}, 500ms) != "");
+  CHECK(error_for({{"p", "a", false, {{.source = "a", .oldest = {}, .fixed = {}}}}}, 9s) ==
         "part p falls back on a, which the part already calls");
 }
 
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {{"gathers", gathers},
-                                                   {"another", another_endpoint_and_required},
-                                                   {"near", calls_stay_near},
-                                                   {"plans", plans}};
+  const std::map<std::string, void (*)()> tests = {{"hanging_source", hanging_source_is_replaced},
+                                                   {"retry", failed_call_is_retried_at_another_endpoint},
+                                                   {"locality", near_endpoints_are_preferred},
+                                                   {"plans", invalid_plans_are_rejected}};
   tests.at(argv[1])();
   return 0;
 }
