--- a/src/transaction/admission.cpp
+++ b/src/transaction/admission.cpp
@@ -5,11 +5,11 @@
 namespace marblewharf::transaction {
 namespace {
 
-constexpr duration shortest_retry = std::chrono::seconds(1);
+constexpr duration min_retry_after = std::chrono::seconds(1);
 
-// An outcome that expires makes room.
+// The retry-after when space or memory is exhausted: capacity becomes free when the next outcome expires.
 duration until_next_expiry(const admission_inputs& inputs) {
-  return std::max<duration>(shortest_retry, duration(inputs.outcomes.next_expiry() - inputs.now));
+  return std::max<duration>(min_retry_after, duration(inputs.outcomes.next_expiry() - inputs.now));
 }
 
 }  // namespace
@@ -17,18 +17,18 @@
 std::optional<rejection> admit(const admission_inputs& inputs, const std::vector<std::size_t>& participants,
                                upstream::in_flight_calls& calls) {
   if (!inputs.log || !inputs.log->writable)
-    return rejection{rejection_reason::log_not_writable, inputs.disk_retry};
+    return rejection{rejection_reason::log_not_writable, inputs.disk_retry_after};
   const auto growth = static_cast<std::int64_t>(inputs.bytes_needed);
   const store::verdict space = inputs.log->rules.of(inputs.log->disk, inputs.bytes_needed, growth);
   if (!space.may) {
     const duration retry_after =
-        space.come_back ? std::max<duration>(shortest_retry, *space.come_back) : until_next_expiry(inputs);
+        space.come_back ? std::max<duration>(min_retry_after, *space.come_back) : until_next_expiry(inputs);
     return rejection{rejection_reason::log_full, retry_after};
   }
-  if (!inputs.outcomes.has_room())
+  if (!inputs.outcomes.has_capacity())
     return rejection{rejection_reason::outcomes_full, until_next_expiry(inputs)};
   if (!calls.try_acquire(participants))
-    return rejection{rejection_reason::participants_busy, inputs.participant_retry};
+    return rejection{rejection_reason::participants_busy, inputs.participant_retry_after};
   return std::nullopt;
 }
 
--- a/src/transaction/admission.hpp
+++ b/src/transaction/admission.hpp
@@ -1,4 +1,4 @@
-// The decision whether a transaction may begin.
+// Admission control of transactions.
 #pragma once
 
 #include <cstdint>
@@ -13,10 +13,10 @@
 namespace marblewharf::transaction {
 
 enum class rejection_reason {
-  log_not_writable,   // another process has the folder, or the disk fails
-  log_full,           // no space on disk for all records of all open transactions
-  outcomes_full,      // no room in memory for one more outcome
-  participants_busy,  // a participant has as many calls in flight as it may
+  log_not_writable,   // another process holds the folder, or the disk fails
+  log_full,           // not enough disk space for all records of all open transactions
+  outcomes_full,      // the outcome cache is full
+  participants_busy,  // a participant is at its limit of calls in flight
 };
 struct rejection {
   rejection_reason reason{};
@@ -25,16 +25,17 @@
 
 struct admission_inputs {
   const std::optional<store::table_service::condition>& log;  // none: the log is not open
-  std::uint64_t bytes_needed = 0;  // on disk: by this transaction and by all that are open
+  std::uint64_t bytes_needed = 0;  // disk space for this transaction and all open ones
   const outcome_cache& outcomes;
   outcome_cache::timestamp now = 0;
-  duration disk_retry{};         // how long clients wait for a disk that fails
-  duration participant_retry{};  // how long clients wait for a busy participant
+  duration disk_retry_after{};         // retry-after while the log is not writable
+  duration participant_retry_after{};  // retry-after while a participant is busy
 };
 
-// A transaction that has begun is never stopped, so all that it may need has to be there before: otherwise it
-// is rejected, and no participant has been asked. None: it may begin, and has taken a call in flight at each
-// of `participants`.
+// Decides whether a transaction may start. A transaction cannot be stopped once it has started, so all
+// resources that it may need must be available in advance; otherwise it is rejected before any participant is
+// contacted. None: the transaction is admitted, and one call in flight at each of `participants` was acquired
+// for it.
 std::optional<rejection> admit(const admission_inputs& inputs, const std::vector<std::size_t>& participants,
                                upstream::in_flight_calls& calls);
 
--- a/src/transaction/coordinator.cpp
+++ b/src/transaction/coordinator.cpp
@@ -18,7 +18,7 @@
   return limits;
 }
 
-duration longest_window(const writes_config& writes) {
+duration longest_idempotency_window(const writes_config& writes) {
   duration longest{};
   for (const write_plan& plan : writes.plans) longest = std::max(longest, plan.window);
   return longest;
@@ -26,16 +26,16 @@
 
 }  // namespace
 
-coordinator::coordinator(net::reactor& reactor, const config& settings, dispatcher& requests,
+coordinator::coordinator(net::reactor& reactor, const config& settings, dispatcher& request_dispatcher,
                          fan_out::client& fan_out, std::shared_ptr<store::file_system> file_system,
                          std::uint64_t random, std::function<void()> notify)
     : reactor_(reactor),
       config_(settings),
-      dispatcher_(requests),
+      dispatcher_(request_dispatcher),
       fan_out_(fan_out),
       file_system_(std::move(file_system)),
       notify_(std::move(notify)),
-      outcome_retention_(longest_window(*settings.writes)),
+      outcome_retention_(longest_idempotency_window(*settings.writes)),
       random_(random),
       participants_(reactor, settings, random,
                     [this](const transaction_id& id, const send_request& request,
@@ -46,18 +46,18 @@
   try {
     open_log();
   } catch (const store::held& e) {
-    log("handover", "%s: writes are turned away until it lets go", e.what());
+    log("handover", "%s: transactions are rejected until the other process releases the folder", e.what());
     next_take_over_ = net::steady_now() + config_.keyed->retry_disk;
   }
 }
 
-// A slice of background work may still share the table service, and its end must not wake an event loop that
-// has gone.
+// Background work may still share the table service; when the work ends, it must not notify an event loop
+// that no longer exists.
 coordinator::~coordinator() {
   log_.stop();
 }
 
-// ---- Taking the log's folder ------------------------------------------------------------------------------
+// ---- Opening the log's folder -----------------------------------------------------------------------------
 
 void coordinator::open_log() {
   const std::string& folder = config_.writes->folder;
@@ -68,15 +68,16 @@
   for (const auto& restored : recovered.open) {
     last_number_ = std::max(last_number_, restored->number);
     outcomes_.on_begin(hash_of(restored->key), restored->number);
-    open_[restored->id] = restored;
+    open_transactions_[restored->id] = restored;
   }
-  const auto now_of_thread = [clock = clock_] {
+  const auto aging_time = [clock = clock_] {
     return clock.at(std::chrono::steady_clock::now().time_since_epoch());
   };
   log_.open(std::make_shared<store::table_service>(file_system_, folder, std::move(recovered.tables),
-                                                   store::table_service_options{}, now_of_thread, notify_));
-  log("writes", "%s: %zu open, %zu outcomes known", folder.c_str(), open_.size(), outcomes_.size());
-  for (const auto& [id, restored] : open_) resume_recovered(*restored);
+                                                   store::table_service_options{}, aging_time, notify_));
+  log("writes", "%s: log opened with %zu open transactions and %zu outcomes", folder.c_str(),
+      open_transactions_.size(), outcomes_.size());
+  for (const auto& [id, restored] : open_transactions_) queue_recovered(*restored);
 }
 
 void coordinator::restore_outcomes(const std::vector<outcome_found>& outcomes) {
@@ -88,13 +89,13 @@
   outcomes_.expire(aging_now());
 }
 
-// It goes on once its participants have calls in flight for it.
-void coordinator::resume_recovered(open_transaction& restored) {
+// Queues a recovered transaction; it is resumed once its participants have capacity for its calls in flight.
+void coordinator::queue_recovered(open_transaction& restored) {
   restored.reserved_bytes = disk_space_of_transaction(restored.payload.size(), config_.bounds.write_buffer);
   reserved_bytes_ += restored.reserved_bytes;
   participants_.bind(restored);
   restored.needs_calls = true;
-  ++waiting_;
+  ++waiting_recovered_;
   restored.retry_at = restored.begun_at;
   schedule(restored);
 }
@@ -104,16 +105,18 @@
   try {
     open_log();
     next_take_over_ = time_point::max();
-    log("handover", "%s taken over", config_.writes->folder.c_str());
+    log("handover", "%s: taken over from the other process", config_.writes->folder.c_str());
   } catch (const store::held&) {
-    // The other process still has it.
+    // The other process still holds the folder.
   } catch (const std::exception& e) {
-    // Damage does not mend itself, and each try reads the folder on the event loop's thread.
+    // Do not retry if the folder is damaged: the damage would remain, and each attempt reads the folder on
+    // the event loop's thread.
     if (dynamic_cast<const store::damaged*>(&e) != nullptr) next_take_over_ = time_point::max();
-    open_.clear();
+    open_transactions_.clear();
     outcomes_ = outcome_cache(config_.writes->outcomes);
     log_.abandon();
-    log("handover", "%s cannot be taken over: %s", config_.writes->folder.c_str(), e.what());
+    log("handover", "%s: taking over the folder failed, transactions remain rejected: %s",
+        config_.writes->folder.c_str(), e.what());
   }
 }
 
@@ -121,12 +124,12 @@
   return clock_.at(net::steady_now());
 }
 
-// ---- Life of a transaction --------------------------------------------------------------------------------
+// ---- Processing of open transactions ----------------------------------------------------------------------
 
-// Carries out what the state machine wants.
+// Carries out the actions of the state machine.
 void coordinator::advance(const std::shared_ptr<open_transaction>& transaction) {
   while (const auto next = transaction->machine.next_action())
-    std::visit([&](const auto& wanted) { apply(*transaction, wanted); }, *next);
+    std::visit([&](const auto& pending_action) { apply(*transaction, pending_action); }, *next);
   if (transaction->machine.current_state() == state_machine::state::ended) end(transaction);
 }
 
@@ -140,10 +143,10 @@
 }
 
 void coordinator::apply(open_transaction& transaction, const report_outcome& report) {
-  // In doubt: the dispatcher's own deadline tells the client.
+  // An outcome in doubt is not reported here: the dispatcher answers the client when its deadline passes.
   if (report.outcome == client_outcome::in_doubt || transaction.client == 0) return;
   const request_id client = std::exchange(transaction.client, 0);
-  running_.erase(client);
+  waiting_clients_.erase(client);
   reactor_.wake();
   const bool committed = report.outcome == client_outcome::committed;
   dispatcher_.on_end(client, committed ? run_end::succeeded : run_end::never_started,
@@ -153,8 +156,8 @@
 
 void coordinator::on_response(const transaction_id& id, const send_request& request,
                               const participant_response& response) {
-  const auto found = open_.find(id);
-  if (found == open_.end()) return;
+  const auto found = open_transactions_.find(id);
+  if (found == open_transactions_.end()) return;
   const auto transaction = found->second;
   participants_.close(*transaction, request.participant);
   reactor_.wake();
@@ -171,8 +174,8 @@
 }
 
 void coordinator::on_event(const transaction_log::record_written& written) {
-  const auto found = open_.find(written.id);
-  if (found == open_.end()) return;
+  const auto found = open_transactions_.find(written.id);
+  if (found == open_transactions_.end()) return;
   const auto transaction = found->second;
   if (written.durable) transaction->last_logged = std::max(transaction->last_logged, written.record);
   transaction->machine.on_logged(written.record, written.durable);
@@ -200,21 +203,21 @@
   update_fan_out_share(*transaction);
   reserved_bytes_ -= transaction->reserved_bytes;
   timers_.erase({transaction->due_at, transaction->id});
-  open_.erase(transaction->id);
+  open_transactions_.erase(transaction->id);
 }
 
 // ---- Timers -----------------------------------------------------------------------------------------------
 
 void coordinator::schedule(open_transaction& transaction) {
   timers_.erase({transaction.due_at, transaction.id});
-  transaction.due_at = std::min(transaction.decide_by, transaction.retry_at);
+  transaction.due_at = std::min(transaction.decision_deadline, transaction.retry_at);
   timers_.insert({transaction.due_at, transaction.id});
 }
 
 void coordinator::on_timer(const std::shared_ptr<open_transaction>& transaction, time_point now) {
-  if (transaction->needs_calls) begin_waiting(*transaction);
-  if (now >= transaction->decide_by) {
-    transaction->decide_by = time_point::max();
+  if (transaction->needs_calls) try_resume(*transaction);
+  if (now >= transaction->decision_deadline) {
+    transaction->decision_deadline = time_point::max();
     transaction->machine.on_deadline();
   }
   if (now >= transaction->retry_at) {
@@ -228,26 +231,26 @@
   advance(transaction);
 }
 
-// A recovered transaction goes on once there is a call in flight for it at each participant.
-void coordinator::begin_waiting(open_transaction& transaction) {
+// Resumes a recovered transaction if one call in flight can be acquired at each participant.
+void coordinator::try_resume(open_transaction& transaction) {
   if (!in_flight_.try_acquire_recovered(transaction.plan->participants)) return;
   transaction.needs_calls = false;
-  --waiting_;
+  --waiting_recovered_;
   update_fan_out_share(transaction);
   transaction.machine.recover(transaction.last_logged);
 }
 
 void coordinator::retry_requests(open_transaction& transaction, time_point now) {
-  transaction.retry_at = now + transaction.retry_pause;
-  transaction.retry_pause = std::min<duration>(transaction.retry_pause * 2, config_.writes->longest_retry);
-  for (std::size_t i = 0; i < transaction.calls.size(); ++i) give_up_hanging_request(transaction, i, now);
+  transaction.retry_at = now + transaction.retry_interval;
+  transaction.retry_interval =
+      std::min<duration>(transaction.retry_interval * 2, config_.writes->longest_retry);
+  for (std::size_t i = 0; i < transaction.calls.size(); ++i) time_out_request(transaction, i, now);
   transaction.machine.retry();
 }
 
-// A request counts as unanswered once the participant's budget has passed: it is sent again on a new
-// connection. Prepares are ended by the deadline of the decision instead.
-void coordinator::give_up_hanging_request(open_transaction& transaction, std::size_t participant,
-                                          time_point now) {
+// Closes a commit or abort request that has not been answered within the participant's budget; it is sent
+// again on a new connection. Prepare requests have no such timeout: they end at the deadline of the decision.
+void coordinator::time_out_request(open_transaction& transaction, std::size_t participant, time_point now) {
   const participant_call& call = transaction.calls[participant];
   const duration budget = config_.dependencies->rules[transaction.plan->participants[participant]].budget;
   const state_machine::state state = transaction.machine.current_state();
@@ -263,8 +266,8 @@
 
 void coordinator::run_timers(time_point now) {
   while (!timers_.empty() && timers_.begin()->due <= now) {
-    const auto found = open_.find(timers_.begin()->id);
-    if (found == open_.end()) {
+    const auto found = open_transactions_.find(timers_.begin()->id);
+    if (found == open_transactions_.end()) {
       timers_.erase(timers_.begin());
     } else {
       on_timer(std::shared_ptr<open_transaction>(found->second), now);
@@ -276,8 +279,8 @@
   if (!log_.is_open() && now >= next_take_over_) try_take_over(now);
   if (!log_.is_open()) return next_take_over_;
   for (const store::table_service::done& done : log_.collect()) {
-    if (const auto event = log_.event_of(done))
-      std::visit([this](const auto& happened) { on_event(happened); }, *event);
+    if (const auto event = log_.to_event(done))
+      std::visit([this](const auto& log_event) { on_event(log_event); }, *event);
   }
   log_.flush();
   run_timers(now);
@@ -289,26 +292,27 @@
   return timers_.empty() ? next : std::min(next, timers_.begin()->due);
 }
 
-// ---- Calls in flight, figures -----------------------------------------------------------------------------
+// ---- Calls in flight and statistics -----------------------------------------------------------------------
 
 void coordinator::routes_changed(const std::function<bool(const std::string&)>& routable) {
   participants_.set_reachable(routable);
 }
 
-void coordinator::set_share(std::size_t dependency, double most) {
-  in_flight_.set_share(dependency, most);
+void coordinator::set_share(std::size_t dependency, double share) {
+  in_flight_.set_share(dependency, share);
   fan_out_.set_share(dependency, in_flight_.remaining_share(dependency));
 }
 
 fan_out::client::calls coordinator::calls_at(std::size_t dependency) const {
   fan_out::client::calls calls = fan_out_.calls_at(dependency);
   calls.in_flight += in_flight_.transactions(dependency);
-  calls.waiting += waiting_;
+  calls.waiting += waiting_recovered_;
   calls.turned_away += in_flight_.rejected(dependency);
   return calls;
 }
 
-// The transaction's calls were taken or given back: fan-out at the same dependencies has the rest.
+// Called after the transaction's calls were acquired or released: fan-out receives the remaining quota share
+// of the same dependencies.
 void coordinator::update_fan_out_share(const open_transaction& transaction) {
   for (const std::size_t dependency : transaction.plan->participants)
     fan_out_.set_share(dependency, in_flight_.remaining_share(dependency));
@@ -319,7 +323,7 @@
   const auto add = [&](const char* name, std::uint64_t value) {
     lines += "writes." + std::string(name) + "=" + std::to_string(value) + "\n";
   };
-  add("open", open_.size());
+  add("open", open_transactions_.size());
   add("outcomes", outcomes_.size());
   add("turned_away", rejected_);
   add("holds_folder", log_.is_open() ? 1 : 0);
--- a/src/transaction/coordinator.hpp
+++ b/src/transaction/coordinator.hpp
@@ -1,15 +1,15 @@
-// The transaction coordinator: a backend that runs requests of classes with several participants as
-// distributed transactions, committed at all participants or at none, across restarts. It takes requests in
-// and drives each transaction from its begin to its end; all other requests go to the fan-out client behind
-// it.
+// The transaction coordinator: a backend that runs requests whose class has several participants as
+// distributed transactions, which are committed at all participants or at none, also across restarts.
+// Requests of other classes go to the fan-out client.
 //
-// Requests have idempotency keys (src/idempotency): the run of a key is one transaction, and after a crash
+// Requests have idempotency keys (src/idempotency). The run of a key is one transaction, and after a crash
 // its outcome is found by the key.
 //
-// Two processes never have the log's folder at once. One that finds it held (a hot restart) rejects
-// transactions with a retry-after, answers no inquiry, and takes the folder over once it is released.
+// The folder of the transaction log is held by one process at a time. A process that finds the folder held by
+// another one (hot restart) rejects transactions with a retry-after, answers inquiries as unknown, and opens
+// the folder once the other process has released it.
 //
-// Owned by the event loop's thread; the disk has a thread of its own.
+// Used by the event loop's thread only; disk I/O runs on a separate thread.
 #pragma once
 
 #include <cstdint>
@@ -39,35 +39,38 @@
 
 class coordinator : public backend {
  public:
-  // Reads the log's folder and goes on with its open transactions, unless another process has it. `random`:
-  // the first half of new transactions' ids, and the seed of choices. `notify`: step() has something to do;
-  // called from another thread. Throws store::io_error or store::damaged.
-  coordinator(net::reactor& reactor, const config& settings, dispatcher& requests, fan_out::client& fan_out,
-              std::shared_ptr<store::file_system> file_system, std::uint64_t random,
+  // Opens the log's folder and resumes its open transactions, unless another process holds the folder.
+  // `random`: a random number, used as the first half of the ids of new transactions and as the seed for
+  // endpoint selection. `notify`: called from another thread when step() has work to do. Throws
+  // store::io_error or store::damaged.
+  coordinator(net::reactor& reactor, const config& settings, dispatcher& request_dispatcher,
+              fan_out::client& fan_out, std::shared_ptr<store::file_system> file_system, std::uint64_t random,
               std::function<void()> notify);
   ~coordinator() override;
 
   // backend
-  void run(request_id id, const request& what) override;
+  void run(request_id id, const request& client_request) override;
   void pause(request_id id) override;
   void resume(request_id id) override;
-  bool inquire(request_id id, const request& what) override;
+  bool inquire(request_id id, const request& client_request) override;
   void place_call(request_id id, duration limit) override { fan_out_.place_call(id, limit); }
   void skip_call(request_id id) override { fan_out_.skip_call(id); }
 
-  // Does what is due; returns when it wants to be called again.
+  // Processes disk results and runs the timers that are due. Returns the time at which it must be called
+  // again.
   time_point step(time_point now);
-  // The cluster's view has changed. `routable`: whether calls may go to a place (a zone or a member).
+  // Updates the reachability of the endpoints after a change in the cluster. `routable`: returns whether
+  // calls may go to a place (a zone or a member).
   void routes_changed(const std::function<bool(const std::string&)>& routable);
-  // Transactions that have begun and not ended.
-  std::size_t open() const { return open_.size(); }
-  // This node's quota share of calls in flight at a dependency, for transactions and fan-out together.
-  void set_share(std::size_t dependency, double most);
-  // What transactions and fan-out together have and want of a dependency's calls.
+  // The number of transactions that have started but not ended.
+  std::size_t open() const { return open_transactions_.size(); }
+  // Sets this node's quota share of calls in flight at a dependency, for transactions and fan-out together.
+  void set_share(std::size_t dependency, double share);
+  // The current use of a dependency's calls by transactions and fan-out together, and the demand for more.
   fan_out::client::calls calls_at(std::size_t dependency) const;
-  // Lines of `writes.NAME=VALUE` for show-stat.
+  // Lines of the form `writes.NAME=VALUE` for the console command show-stat.
   std::string figures() const;
-  // For background work on the log. Null: another process has the folder.
+  // The table service, for background work on the log. Null: another process holds the folder.
   std::shared_ptr<store::table_service> tables() const { return log_.service(); }
 
  private:
@@ -77,21 +80,21 @@
     bool operator<(const timer& other) const { return std::tie(due, id) < std::tie(other.due, other.id); }
   };
 
-  // Taking the log's folder.
+  // Opening the log's folder.
   void open_log();
   void try_take_over(time_point now);
   void restore_outcomes(const std::vector<outcome_found>& outcomes);
-  void resume_recovered(open_transaction& restored);
+  void queue_recovered(open_transaction& restored);
 
-  // Intake.
-  std::optional<duration> reject_for(const write_plan& plan, const request& what);
-  std::shared_ptr<open_transaction> begin(request_id id, const request& what);
+  // Start of transactions, and inquiries (coordinator_intake.cpp).
+  std::optional<duration> try_admit(const write_plan& plan, const request& client_request);
+  std::shared_ptr<open_transaction> begin(request_id id, const request& client_request);
   transaction_id next_id() const;
-  const write_plan* plan_of(const request& what) const;
-  std::string key_of(const request& what) const;
+  const write_plan* plan_of(const request& client_request) const;
+  std::string scoped_key(const request& client_request) const;
   void inquire_result(request_id id, const std::string& key, const outcome_id& outcome);
 
-  // Life of a transaction.
+  // Processing of open transactions.
   void advance(const std::shared_ptr<open_transaction>& transaction);
   void apply(open_transaction& transaction, const send_request& request);
   void apply(open_transaction& transaction, const write_log_record& record);
@@ -106,9 +109,9 @@
   void schedule(open_transaction& transaction);
   void run_timers(time_point now);
   void on_timer(const std::shared_ptr<open_transaction>& transaction, time_point now);
-  void begin_waiting(open_transaction& transaction);
+  void try_resume(open_transaction& transaction);
   void retry_requests(open_transaction& transaction, time_point now);
-  void give_up_hanging_request(open_transaction& transaction, std::size_t participant, time_point now);
+  void time_out_request(open_transaction& transaction, std::size_t participant, time_point now);
 
   void update_fan_out_share(const open_transaction& transaction);
   outcome_cache::key hash_of(const std::string& key) const { return hash_key(key, salt_); }
@@ -123,20 +126,22 @@
   const duration outcome_retention_;  // the longest idempotency window of any class
   const std::uint64_t random_;
   idempotency::aging_clock clock_;
-  std::uint64_t salt_ = 0;  // of the folder
+  std::uint64_t salt_ = 0;  // of the log's folder
   participant_calls participants_;
   upstream::in_flight_calls in_flight_;
   std::uint64_t last_number_ = 0;
-  std::unordered_map<transaction_id, std::shared_ptr<open_transaction>> open_;
-  std::unordered_map<request_id, transaction_id> running_;  // of clients that wait for the outcome
-  std::set<timer> timers_;                                  // one for each of open_
+  std::unordered_map<transaction_id, std::shared_ptr<open_transaction>> open_transactions_;
+  // Requests whose clients wait for the outcome.
+  std::unordered_map<request_id, transaction_id> waiting_clients_;
+  std::set<timer> timers_;  // one for each open transaction
   outcome_cache outcomes_;
-  std::uint64_t reserved_bytes_ = 0;  // on disk, by open transactions
-  std::size_t waiting_ = 0;           // recovered transactions that wait for calls in flight
+  std::uint64_t reserved_bytes_ = 0;   // disk space reserved by open transactions
+  std::size_t waiting_recovered_ = 0;  // recovered transactions that wait for calls in flight
   std::uint64_t rejected_ = 0;
   time_point next_take_over_ = time_point::max();
   time_point next_expiry_check_{};
-  transaction_log log_;  // last: its thread ends first
+  // The last member: destroyed first, so that its thread ends before the other members are destroyed.
+  transaction_log log_;
 };
 
 }  // namespace marblewharf::transaction
--- a/src/transaction/legacy_log.cpp
+++ b/src/transaction/legacy_log.cpp
@@ -9,9 +9,9 @@
 namespace marblewharf::transaction {
 namespace {
 
-// On disk: id, expiry, record, whether it committed; then class, key, payload and endpoints, each with its
-// length. Fields that a record does not need are empty; in the first versions a record ends behind the
-// payload.
+// Layout on disk: id, expiry, record type, committed flag; then class, key, payload and endpoints, each
+// length-prefixed. Fields that a record type does not use are empty. Records of the first versions have no
+// endpoints.
 struct legacy_record {
   transaction_id id;
   std::int64_t expiry = 0;
@@ -19,7 +19,7 @@
   bool committed = false;
   std::string request_class;
   std::string key;
-  std::string payload;  // of an end record: the result
+  std::string payload;  // in an end record: the result
   std::string endpoints;
 };
 
@@ -51,13 +51,13 @@
   if (!parsed) return;
   const auto known = transactions_.find(parsed->id);
   if (known == transactions_.end()) {
-    // Without a class it continues a transaction of which nothing else is left.
+    // A record without a class is not the first of its transaction; the earlier records have expired.
     if (parsed->request_class.empty()) return;
-    found_transaction& added = transactions_[parsed->id];
-    added.begin = {parsed->id, std::move(parsed->request_class), std::move(parsed->key),
-                   std::move(parsed->payload), std::move(parsed->endpoints)};
-    added.last = parsed->record;
-    added.expiry = parsed->expiry;
+    found_transaction& transaction = transactions_[parsed->id];
+    transaction.begin = {parsed->id, std::move(parsed->request_class), std::move(parsed->key),
+                         std::move(parsed->payload), std::move(parsed->endpoints)};
+    transaction.last = parsed->record;
+    transaction.expiry = parsed->expiry;
     return;
   }
   found_transaction& found = known->second;
--- a/src/transaction/legacy_log.hpp
+++ b/src/transaction/legacy_log.hpp
@@ -1,4 +1,4 @@
-// The records of a transaction log from before it had tables, and the rows that are made of them
+// Reads the records of a legacy transaction log (the format before tables) and converts them to table rows
 // (docs/store.md).
 //
 // Free of I/O and clocks.
@@ -15,14 +15,15 @@
 
 namespace marblewharf::transaction {
 
-// Collects the records in the order of the log. The last record of a transaction counts; one that holds the
-// whole request begins a transaction whose own begin record has expired.
+// Collects the records in the order of the log. The last record of a transaction determines its state. If the
+// begin record of a transaction has expired, a later record that contains the whole request takes its place.
 class legacy_log {
  public:
   void add_record(std::uint32_t type, std::string_view body);
   bool empty() const { return empty_; }
-  // The rows that still count at `now` (ns of Unix time). The last batch says that the migration is whole: it
-  // must be written after all others are durable. Writing a batch twice changes nothing.
+  // Returns the rows that are not expired at `now` (nanoseconds of Unix time). The last batch marks the
+  // migration as complete and must be written only after all others are durable. Writing a batch more than
+  // once is harmless.
   std::vector<store::batch> migrate(std::int64_t now, std::uint64_t salt) const;
 
  private:
@@ -30,7 +31,7 @@
     begin_record begin;
     log_record last{};
     bool committed = false;
-    std::int64_t expiry = 0;  // ns of Unix time
+    std::int64_t expiry = 0;  // nanoseconds of Unix time
     std::string result;
   };
   bool empty_ = true;
--- a/src/transaction/length_prefixed.hpp
+++ b/src/transaction/length_prefixed.hpp
@@ -1,4 +1,4 @@
-// Texts with their length before them (32 bits, little-endian), as the transaction log's rows have them.
+// Encoding of length-prefixed texts in the rows of the transaction log (32-bit length, little-endian).
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
   out += text;
 }
 
-// Takes a text off the front of `in`. False where there is no whole one.
+// Reads a text from the front of `in` and removes it there. False: `in` does not start with a complete text.
 inline bool consume_text(std::string_view& in, std::string& out) {
   constexpr std::size_t prefix_size = sizeof(std::uint32_t);
   if (in.size() < prefix_size) return false;
--- a/src/transaction/log_folder.cpp
+++ b/src/transaction/log_folder.cpp
@@ -9,8 +9,9 @@
 namespace marblewharf::transaction {
 namespace {
 
-constexpr double amplification = 2;  // docs/store.md
-// Outcomes stay on disk for this much longer than in memory, so that a result that memory knows of is there.
+constexpr double space_amplification = 2;  // docs/store.md
+// Outcomes are kept on disk for this much longer than in memory, so that the result of every outcome in
+// memory can be read.
 constexpr std::chrono::nanoseconds extra_retention = std::chrono::seconds(2);
 
 void commit_all(store::tables& tables, const std::string& folder,
@@ -18,12 +19,12 @@
   for (const store::tables::committed& committed : tables.commit_all(batches, now)) {
     if (!committed.fault.empty()) throw store::io_error(committed.fault);
     if (!committed.v.may)
-      throw store::io_error(folder + ": what an older program left finds no room: more writes.space");
+      throw store::io_error(folder + ": not enough space to migrate the legacy log: increase writes.space");
   }
 }
 
-// Returns the number of rows. The batch that says that the migration is whole is written last; batches that
-// a migration wrote before it failed are the same.
+// Writes the rows of the legacy log and returns their number. The batch that marks the migration as complete
+// is written last. A repeated migration writes the same batches as the one that failed.
 std::size_t migrate(store::tables& tables, const std::string& folder, const legacy_log& legacy,
                     std::int64_t now) {
   const std::vector<store::batch> batches = legacy.migrate(now, tables.salt());
@@ -42,7 +43,7 @@
   std::vector<outcome_found> outcomes;
   tables.each_key(outcome_table, now, [&](const std::string& key, std::int64_t expiry) {
     const auto id = parse_outcome_id(key);
-    if (!id) throw store::damaged(folder + ": an outcome whose key is none");
+    if (!id) throw store::damaged(folder + ": table outcome has a row with an invalid key");
     outcomes.push_back({*id, expiry - extra_retention.count()});
   });
   std::sort(outcomes.begin(), outcomes.end(),
@@ -57,7 +58,8 @@
     auto begin = parse_begin_record(id, value);
     const auto row = tables.get(record_table, id, now);
     const auto last = row ? parse_log_record(*row) : std::optional(log_record::begin);
-    if (!begin || !last) throw store::damaged(folder + ": write " + id + " cannot be read");
+    if (!begin || !last)
+      throw store::damaged(folder + ": the records of open transaction " + id + " are invalid");
     open.push_back({std::move(*begin), *last});
     return true;
   };
@@ -71,9 +73,9 @@
   legacy_log legacy;
   store::tables_options tables_options;
   tables_options.folder = options.folder;
-  tables_options.disk = {options.segment_bytes, options.space_bytes, amplification};
+  tables_options.disk = {options.segment_bytes, options.space_bytes, space_amplification};
   tables_options.life = {{outcome_table, options.outcome_retention + extra_retention}};
-  // Outcomes and open transactions have bounds of their own.
+  // No limit of keys: the outcome cache and admission already limit outcomes and open transactions.
   tables_options.most_keys = std::numeric_limits<std::size_t>::max();
   tables_options.salt = options.salt;
   tables_options.older = [&legacy](std::uint32_t type, std::string_view body) {
--- a/src/transaction/log_records.cpp
+++ b/src/transaction/log_records.cpp
@@ -105,7 +105,7 @@
 }
 
 std::uint64_t disk_space_of_transaction(std::size_t payload_bytes, std::size_t longest_result_bytes) {
-  constexpr std::size_t names_bytes = 1024;  // class, key and endpoints
+  constexpr std::size_t names_bytes = 1024;  // reserved for class, key and endpoints
   constexpr std::uint64_t records = 3;       // last_agent, commit, abort
   constexpr std::uint64_t erased_rows = 2;
   return disk_space_of_row(transaction_id_size, payload_bytes + names_bytes) +
--- a/src/transaction/open_transaction.cpp
+++ b/src/transaction/open_transaction.cpp
@@ -39,18 +39,18 @@
                                                    std::string key) {
   const write_plan* plan = find_plan(*settings.writes, request_class);
   if (plan == nullptr) return nullptr;
-  auto made = std::make_shared<open_transaction>(participant_kinds(settings, *plan), *plan);
-  made->id = id;
-  made->number = number_of(id);
-  made->request_class = request_class;
-  made->payload = std::move(payload);
-  made->key = std::move(key);
-  made->begun_at = net::steady_now();
-  made->retry_pause = settings.writes->retry;
-  made->retry_at = made->begun_at + made->retry_pause;
-  for (std::size_t i = 0; i < made->calls.size(); ++i)
-    made->calls[i].address = settings.dependencies->endpoints[plan->participants[i]].at.front();
-  return made;
+  auto transaction = std::make_shared<open_transaction>(participant_kinds(settings, *plan), *plan);
+  transaction->id = id;
+  transaction->number = number_of(id);
+  transaction->request_class = request_class;
+  transaction->payload = std::move(payload);
+  transaction->key = std::move(key);
+  transaction->begun_at = net::steady_now();
+  transaction->retry_interval = settings.writes->retry;
+  transaction->retry_at = transaction->begun_at + transaction->retry_interval;
+  for (std::size_t i = 0; i < transaction->calls.size(); ++i)
+    transaction->calls[i].address = settings.dependencies->endpoints[plan->participants[i]].at.front();
+  return transaction;
 }
 
 std::string compose_result(const open_transaction& transaction, const config& settings) {
--- a/src/transaction/outcome_cache.cpp
+++ b/src/transaction/outcome_cache.cpp
@@ -31,7 +31,7 @@
     const pending_expiry next = expiries_.front();
     expiries_.pop_front();
     const auto found = entries_.find(next.request_key);
-    // A later transaction of the key has a number of its own, and stays.
+    // A later transaction of the same key has another number and is kept.
     if (found != entries_.end() && found->second.number == next.number) entries_.erase(found);
   }
 }
--- a/src/transaction/outcome_cache.hpp
+++ b/src/transaction/outcome_cache.hpp
@@ -1,9 +1,9 @@
-// The outcomes of transactions by the key of their request, for as long as a duplicate may ask, and within a
-// bound. A key that is not here never began, or its transaction was aborted at all participants; so no key
-// may be dropped before it expires, and a transaction for which there is no room is rejected.
+// Outcomes of transactions by the key of their request, kept for as long as duplicates may arrive. A key that
+// is not in the cache means that its transaction never started or was aborted at all participants. Therefore
+// no key may be evicted before it expires; transactions that exceed the capacity are rejected instead.
 //
-// Free of I/O and clocks: times are handed in. Results are on disk; here are only their transactions'
-// numbers. One thread at a time. About 100 bytes a key.
+// Free of I/O and clocks: times are passed in. Results are on disk; the cache contains only the numbers of
+// their transactions. Not thread-safe. Uses about 100 bytes per key.
 #pragma once
 
 #include <cstddef>
@@ -15,17 +15,17 @@
 
 class outcome_cache {
  public:
-  using timestamp = std::int64_t;  // ns of the aging clock
-  // The hash of a request's key with its scope.
+  using timestamp = std::int64_t;  // nanoseconds of the aging clock
+  // Hash of a request's key, including its tenant and class.
   struct key {
     std::uint64_t low = 0;
     std::uint64_t high = 0;
     bool operator==(const key&) const = default;
   };
   enum class status {
-    unknown,    // never begun, or aborted
-    open,       // begun, and not ended
-    committed,  // its result is on disk under its number
+    unknown,    // never started, or aborted
+    open,       // started, but not ended
+    committed,  // the result is on disk, under the transaction's number
   };
   struct outcome {
     std::uint64_t number = 0;  // of the transaction
@@ -34,19 +34,20 @@
 
   explicit outcome_cache(std::size_t capacity) : capacity_(capacity) {}
 
-  bool has_room() const { return entries_.size() < capacity_; }
-  // Numbers rise from transaction to transaction, also over restarts. A later transaction of a key replaces
-  // an earlier one, and never the other way round, in whatever order a folder has them.
+  bool has_capacity() const { return entries_.size() < capacity_; }
+  // Adds an open transaction. Numbers increase from transaction to transaction, also across restarts. A later
+  // transaction of a key replaces an earlier one, but never the reverse, whatever the order of the calls
+  // (recovery reads transactions from the folder in any order).
   void on_begin(const key& request_key, std::uint64_t number);
-  // The transaction was aborted, or never began after all. A committed one stays committed.
+  // The transaction was aborted or never started. Has no effect on a committed transaction.
   void on_abort(const key& request_key, std::uint64_t number);
-  // The transaction ended at all participants. `expiry`: not before that of any earlier call.
+  // The transaction was committed at all participants. `expiry` must not be before that of any previous call.
   void on_commit(const key& request_key, std::uint64_t number, timestamp expiry);
 
   outcome find(const key& request_key) const;
-  // Removes what has expired. Open transactions do not expire.
+  // Removes expired outcomes. Open transactions do not expire.
   void expire(timestamp now);
-  // When the next outcome expires; 0: none does.
+  // The time at which the next outcome expires; 0: no outcome will expire.
   timestamp next_expiry() const { return expiries_.empty() ? 0 : expiries_.front().expiry; }
   std::size_t size() const { return entries_.size(); }
 
@@ -57,12 +58,12 @@
     key request_key;
   };
   struct key_hash {
-    std::size_t operator()(const key& k) const { return k.low; }  // it is a hash already
+    std::size_t operator()(const key& request_key) const { return request_key.low; }  // already a hash
   };
 
   std::size_t capacity_;
   std::unordered_map<key, outcome, key_hash> entries_;
-  std::deque<pending_expiry> expiries_;  // of committed transactions, the earliest first
+  std::deque<pending_expiry> expiries_;  // of committed transactions, earliest first
 };
 
 }  // namespace marblewharf::transaction
--- a/src/transaction/participant_calls.cpp
+++ b/src/transaction/participant_calls.cpp
@@ -41,7 +41,7 @@
     endpoint_sets_.emplace_back(rules.endpoints, rules.health, rules.near);
 }
 
-// Null where the endpoint is not configured any more.
+// Null: the endpoint is no longer in the settings.
 upstream::endpoint_set* participant_calls::endpoints_of(const open_transaction& transaction,
                                                         std::size_t participant) {
   upstream::endpoint_set& endpoints = endpoint_sets_[transaction.plan->participants[participant]];
@@ -73,7 +73,7 @@
   }
 }
 
-// The client's request with the vars that name the step and the transaction.
+// Returns the client's request with the variables for the step and the transaction id.
 std::string participant_calls::encode_request(const open_transaction& transaction,
                                               const send_request& request) const {
   const auto packet = uwsgi::next_packet(transaction.payload, config_.bounds);
@@ -95,7 +95,7 @@
 bool participant_calls::send(open_transaction& transaction, const send_request& request) {
   std::string bytes = encode_request(transaction, request);
   participant_call& call = transaction.calls[request.participant];
-  // An earlier request that nobody waits for any more.
+  // An earlier request may still be in flight; its response is no longer needed.
   if (call.exchange != nullptr)
     on_request_ended(transaction, request.participant, upstream::call_outcome::cancelled);
   if (upstream::endpoint_set* endpoints = endpoints_of(transaction, request.participant))
--- a/src/transaction/participant_calls.hpp
+++ b/src/transaction/participant_calls.hpp
@@ -1,5 +1,5 @@
-// Sends the requests of two-phase commit to participants over uwsgi, and chooses the endpoint of each at
-// which a transaction runs. Owned by the event loop's thread.
+// Sends the requests of two-phase commit to participants over uwsgi, and selects the endpoint of each
+// participant for a transaction. Used by the event loop's thread only.
 #pragma once
 
 #include <functional>
@@ -16,13 +16,13 @@
 
 namespace marblewharf::transaction {
 
-// What a participant's response means. `body`: of a yes.
+// The meaning of a participant's response. `body`: of the response, if the reply is yes.
 struct participant_response {
   participant_reply reply = participant_reply::unknown;
   std::string body;
 };
 
-// 2xx: yes; 409: no, for good; anything else, or no whole response, does not tell.
+// 2xx means yes; 409 means no, which is final. Any other status, or an incomplete response, means unknown.
 participant_response interpret_response(uwsgi::exchange_end end, const uwsgi::response_head* head,
                                         std::string_view response);
 
@@ -31,28 +31,31 @@
   using response_handler = std::function<void(const transaction_id& id, const send_request& request,
                                               const participant_response& response)>;
 
-  // `seed`: of the choice of endpoints. `on_response`: a request ended by itself, from the event loop; its
-  // exchange is still there, and is to be closed by close().
+  // `seed`: of the random selection of endpoints. `on_response`: called from the event loop when a request
+  // has ended without close(); its exchange still exists, and the handler must call close().
   participant_calls(net::reactor& reactor, const config& settings, std::uint64_t seed,
                     response_handler on_response);
 
-  // Chooses an endpoint for each participant, once, before the transaction begins: what a participant has
-  // prepared, only that endpoint knows.
+  // Selects an endpoint for each participant and binds the transaction to it, before the transaction starts.
+  // The endpoint is never changed, because only the endpoint that prepared the transaction knows its state.
   void choose_endpoints(open_transaction& transaction);
-  // From then to unbind() the transaction counts as load of its endpoints, with a request in flight or not:
-  // its requests begin once it is on disk, and all that arrive meanwhile would choose the same endpoint.
+  // From bind() to unbind() the transaction counts as load of its endpoints, with or without a request in
+  // flight. Its requests start only after its begin record is durable; without this, all transactions that
+  // arrive in the meantime would select the same endpoint.
   void bind(const open_transaction& transaction);
   void unbind(const open_transaction& transaction);
 
-  // False: no connection could be begun, and `on_response` is not called.
+  // False: the connection could not be started; `on_response` is not called.
   bool send(open_transaction& transaction, const send_request& request);
-  // Ends the exchange of a participant.
+  // Closes the exchange with a participant.
   void close(open_transaction& transaction, std::size_t participant);
-  // A request ended: how its endpoint fares decides where later transactions go.
+  // Reports the end of a request to the health tracking of its endpoint, which affects the selection for
+  // later transactions.
   void on_request_ended(const open_transaction& transaction, std::size_t participant,
                         upstream::call_outcome outcome);
 
-  // `routable`: whether calls may go to a place (a zone or a member), by the cluster's view.
+  // Updates the reachability of the endpoints. `routable`: returns whether calls may go to a place (a zone or
+  // a member), according to the cluster.
   void set_reachable(const std::function<bool(const std::string&)>& routable);
 
  private:
--- a/src/transaction/recovery.cpp
+++ b/src/transaction/recovery.cpp
@@ -17,7 +17,8 @@
   return {address.substr(0, colon), static_cast<std::uint16_t>(std::stoul(address.substr(colon + 1)))};
 }
 
-// Requests go on to the endpoints at which the transaction began.
+// Restores the endpoints at which the transaction started; its remaining requests must go to the same
+// endpoints.
 void restore_endpoints(open_transaction& transaction, const std::string& endpoints, const config& settings) {
   std::istringstream addresses(endpoints);
   std::string address;
@@ -33,15 +34,18 @@
 std::shared_ptr<open_transaction> restore(const open_transaction_found& found, const config& settings) {
   const begin_record& begin = found.begin;
   const auto& classes = settings.settings.classes;
-  const auto named = std::find_if(classes.begin(), classes.end(),
-                                  [&](const auto& c) { return c.name == begin.request_class; });
+  const auto named_class = std::find_if(classes.begin(), classes.end(), [&](const auto& candidate) {
+    return candidate.name == begin.request_class;
+  });
   std::shared_ptr<open_transaction> restored;
-  if (named != classes.end()) {
-    const auto request_class = static_cast<std::size_t>(named - classes.begin());
+  if (named_class != classes.end()) {
+    const auto request_class = static_cast<std::size_t>(named_class - classes.begin());
     restored = make_transaction(settings, begin.id, request_class, begin.payload, begin.key);
   }
   if (restored == nullptr) {
-    log("writes", "a write of %s is open and has no plan any more: it is left as it is",
+    log("writes",
+        "an open transaction of class %s has no plan in the settings: it is not resumed, and its records "
+        "remain unchanged",
         begin.request_class.c_str());
     return nullptr;
   }
@@ -63,7 +67,7 @@
   recovered.clock =
       idempotency::aging_clock(unix_now, std::chrono::nanoseconds(found.tables->latest()), net::steady_now());
   if (found.migrated_rows > 0)
-    log("writes", "%s: %zu rows made of an older program's marks", writes.folder.c_str(),
+    log("writes", "%s: migrated the legacy log to %zu table rows", writes.folder.c_str(),
         found.migrated_rows);
   for (const open_transaction_found& open : found.open) {
     if (auto restored = restore(open, settings)) recovered.open.push_back(std::move(restored));
--- a/src/transaction/recovery.hpp
+++ b/src/transaction/recovery.hpp
@@ -1,4 +1,4 @@
-// What the transaction log's folder holds at a start, or when another process lets go of it.
+// Recovery of the transaction log, at start-up or after another process has released its folder.
 #pragma once
 
 #include <chrono>
@@ -17,14 +17,15 @@
 struct recovered_log {
   std::unique_ptr<store::tables> tables;
   idempotency::aging_clock clock;
-  std::vector<outcome_found> outcomes;  // in the order in which they expire
-  // At the endpoints where they began; their state machines have not gone on yet.
+  std::vector<outcome_found> outcomes;  // in order of expiry
+  // Open transactions, with the endpoints at which they started. Their state machines have not been resumed
+  // yet.
   std::vector<std::shared_ptr<open_transaction>> open;
 };
 
-// Blocks on the disk. A transaction of a class that has no plan any more is logged, and left as it is on
-// disk. `salt`: for a new folder. Throws store::held where another process has the folder, store::io_error or
-// store::damaged.
+// Blocks on disk I/O. If the class of an open transaction no longer has a plan, a message is logged and the
+// records of the transaction remain on disk unchanged. `salt`: used for a new folder. Throws store::held if
+// another process holds the folder, store::io_error or store::damaged.
 recovered_log recover_log(store::file_system& fs, const config& settings,
                           std::chrono::nanoseconds outcome_retention, std::uint64_t salt);
 
--- a/src/transaction/state_machine.cpp
+++ b/src/transaction/state_machine.cpp
@@ -7,9 +7,9 @@
 namespace marblewharf::transaction {
 
 state_machine::state_machine(std::vector<participant_kind> participants) {
-  if (participants.empty()) throw std::invalid_argument("a write over no participant");
+  if (participants.empty()) throw std::invalid_argument("a transaction must have at least one participant");
   if (std::count(participants.begin(), participants.end(), participant_kind::one_phase) > 1)
-    throw std::invalid_argument("more than one participant that cannot prepare");
+    throw std::invalid_argument("a transaction must not have more than one participant that cannot prepare");
   for (const participant_kind kind : participants) participants_.push_back({.kind = kind});
 }
 
@@ -38,13 +38,14 @@
   push(write_log_record{record});
 }
 
-// Logged before any participant is asked: after a crash they are told to abort.
+// The begin record precedes all requests to participants, so that recovery can send them an abort after a
+// crash.
 void state_machine::begin() {
   write(log_record::begin);
 }
 
 void state_machine::recover(log_record last) {
-  reported_ = true;  // the client's connection has ended with the process
+  reported_ = true;  // the connection to the client was lost with the previous process
   for (participant& p : participants_) p.contacted = true;
   switch (last) {
     case log_record::begin:
@@ -57,7 +58,7 @@
       enter_decision(state::asking_last_agent);
       break;
     case log_record::commit:
-      // The last agent's yes was the decision.
+      // The last agent has already committed: its yes was the decision.
       for (participant& p : participants_) p.acknowledged = p.kind == participant_kind::one_phase;
       enter_decision(state::committing);
       break;
@@ -79,7 +80,7 @@
 }
 
 void state_machine::on_begin_logged(bool durable) {
-  if (!durable) {  // no participant was asked
+  if (!durable) {  // no participant was contacted
     report(client_outcome::aborted);
     state_ = state::ended;
     return;
@@ -97,12 +98,12 @@
   if (durable) {
     enter_decision(state::asking_last_agent);
   } else {
-    decide_abort();  // it was not asked: the others can still abort
+    decide_abort();  // the last agent was not asked, so the other participants can still abort
   }
 }
 
-// Without the record nothing may be committed; where the last agent has committed, nothing may be aborted
-// either, so the record is written again.
+// No participant may be sent a commit before the record is durable. If the last agent has committed, the
+// transaction cannot be aborted either, so the record is written again.
 void state_machine::on_commit_logged(bool durable) {
   if (durable) {
     enter_decision(state::committing);
@@ -113,8 +114,10 @@
   }
 }
 
-// Presumed abort: where this record is missing, so is every later one. But an earlier decision record whose
-// write failed may still be found after a crash, so then the abort record has to be on disk.
+// With presumed abort a lost abort record is harmless: no later record is on disk either, so recovery finds
+// only the begin record and aborts. But if the write of a commit or last_agent record was attempted, that
+// record may be on disk although the write failed, and recovery would continue from it. In that case the
+// abort record must be durable.
 void state_machine::on_abort_logged(bool durable) {
   if (!durable && decision_record_tried_) {
     rewrite_record_ = true;
@@ -124,7 +127,7 @@
   enter_decision(state::aborting);
 }
 
-// Without the record recovery would take the transaction up again, and its result could not be read.
+// Without this record recovery would resume the transaction, and its result could not be read.
 void state_machine::on_end_logged(bool durable) {
   if (durable) {
     state_ = state::ended;
@@ -145,7 +148,8 @@
   }
 }
 
-// Commit once all have voted yes; abort as soon as one has not, or the deadline has passed.
+// Decides to commit once all participants have voted yes, and to abort as soon as one has not or the deadline
+// has passed.
 void state_machine::decide_if_prepared() {
   if (state_ != state::preparing) return;
   if (must_abort_) {
@@ -174,11 +178,11 @@
     if (reply == participant_reply::yes) {
       voter.prepared = true;
     } else {
-      must_abort_ = true;  // also where the vote is unknown: that participant is told to abort, too
+      must_abort_ = true;  // also if the vote is unknown; that participant is sent an abort, too
     }
     decide_if_prepared();
   } else if (state_ == state::aborting) {
-    // The abort may have overtaken this prepare, so it is sent once more.
+    // The participant may have processed the abort before this prepare, so the abort is sent again.
     voter.acknowledged = false;
     send_decision();
   }
@@ -186,7 +190,7 @@
 
 void state_machine::on_last_agent_reply(participant& agent, participant_reply reply) {
   if (reply == participant_reply::unknown) {
-    agent.awaiting_retry = true;  // its decision is not known: it is asked until it answers
+    agent.awaiting_retry = true;  // its decision is not known: the request is repeated until it answers
     return;
   }
   agent.acknowledged = true;
@@ -197,28 +201,29 @@
   }
 }
 
-void state_machine::on_reply(std::size_t which, participant_request request, participant_reply reply) {
-  participant& p = participants_.at(which);
-  p.request_sent = false;
+void state_machine::on_reply(std::size_t participant_index, participant_request request,
+                             participant_reply reply) {
+  participant& sender = participants_.at(participant_index);
+  sender.request_sent = false;
   if (request == participant_request::prepare) {
-    on_vote(p, reply);
+    on_vote(sender, reply);
     return;
   }
   if (state_ == state::asking_last_agent) {
-    on_last_agent_reply(p, reply);
+    on_last_agent_reply(sender, reply);
     return;
   }
   if (state_ != state::committing && state_ != state::aborting) return;
-  // A prepared participant has to follow the decision: after a no the request is sent again.
+  // A prepared participant must follow the decision, so after a no the request is repeated.
   if (reply == participant_reply::yes) {
-    p.acknowledged = true;
+    sender.acknowledged = true;
   } else {
-    p.awaiting_retry = true;
+    sender.awaiting_retry = true;
   }
   send_decision();
 }
 
-// ---- The decision's requests ------------------------------------------------------------------------------
+// ---- Requests of the decision -----------------------------------------------------------------------------
 
 void state_machine::enter_decision(state decision_state) {
   state_ = decision_state;
@@ -232,8 +237,8 @@
   return true;
 }
 
-// Sends the request of this state to each participant that has not acknowledged it yet; logs the end once all
-// have.
+// Sends the request of the current state (commit or abort) to each participant that has not acknowledged it
+// yet. Logs the end record once all participants have acknowledged it.
 void state_machine::send_decision() {
   const participant_request request =
       state_ == state::aborting ? participant_request::abort : participant_request::commit;
@@ -271,7 +276,7 @@
         must_abort_ = true;
         report(client_outcome::aborted);
       } else if (pending_record_ != log_record::end) {
-        // Whether the record is on disk is not known yet: neither 'committed' nor 'aborted' is certain.
+        // It is not known yet whether the decision record is on disk, so neither outcome is certain.
         report(client_outcome::in_doubt);
       }
       break;
--- a/src/transaction/state_machine.hpp
+++ b/src/transaction/state_machine.hpp
@@ -1,7 +1,7 @@
-// The state machine of one distributed transaction: two-phase commit with presumed abort (Mohan, Lindsay and
-// Obermarck, 1986), and at most one participant that cannot prepare. That one is asked last, and its yes is
-// the decision (the last agent of Gray and Reuter, 1993). Free of I/O and clocks: events go in, actions come
-// out in their order. One thread at a time.
+// State machine of one distributed transaction: two-phase commit with presumed abort (Mohan, Lindsay and
+// Obermarck, 1986), with at most one participant that cannot prepare. That participant is asked last, and its
+// yes is the decision to commit (last agent optimization; Gray and Reuter, 1993). Free of I/O and clocks:
+// callers report events and carry out the resulting actions in their order. Not thread-safe.
 //
 // | state             | event                                    | next state        | action              |
 // | ----------------- | ---------------------------------------- | ----------------- | ------------------- |
@@ -14,25 +14,27 @@
 // | logging begin     | durable, after the deadline              | logging           | log abort           |
 // | logging begin     | not durable                              | ended             | report aborted      |
 // | preparing         | all prepared, no last agent              | logging           | log commit          |
-// | preparing         | all prepared, a last agent is left       | logging           | log last_agent      |
-// | preparing         | a no, no answer, or the deadline         | logging           | log abort           |
+// | preparing         | all prepared, a last agent remains       | logging           | log last_agent      |
+// | preparing         | a no vote, no answer, or the deadline    | logging           | log abort           |
 // | logging last_agent| durable                                  | asking_last_agent | send commit to it   |
-// | logging last_agent| not durable: it was not asked            | logging           | log abort           |
+// | logging last_agent| not durable (last agent not asked yet)   | logging           | log abort           |
 // | asking_last_agent | yes                                      | logging           | log commit          |
 // | asking_last_agent | no                                       | logging           | log abort           |
 // | logging commit    | durable                                  | committing        | send commit         |
-// | logging commit    | not durable, without a last agent        | logging           | log abort           |
-// | logging commit    | not durable, the last agent has committed| logging           | log commit on retry |
+// | logging commit    | not durable, no last agent               | logging           | log abort           |
+// | logging commit    | not durable, last agent has committed    | logging           | log commit on retry |
 // | logging abort     | durable, or no earlier decision record   | aborting          | send abort          |
-// | logging abort     | not durable, else                        | logging           | log abort on retry  |
+// | logging abort     | not durable, earlier decision record     | logging           | log abort on retry  |
 // | committing        | all have committed                       | logging           | log end             |
 // | aborting          | all have aborted                         | logging           | log end             |
 // | logging end       | durable                                  | ended             |                     |
 // | logging end       | not durable                              | logging           | log end on retry    |
 //
-// The last record on disk says where recovery goes on. None: the transaction never began, and all
-// participants presume abort. A request is repeated until it is answered: participants know the transaction
-// by its id, so a repeated request is harmless.
+// An "earlier decision record" is a commit or last_agent record whose write was attempted.
+//
+// Recovery continues from the last record on disk. Without any record the transaction never started, and all
+// participants presume abort. Requests are repeated until they are answered. Participants identify the
+// transaction by its id, so a repeated request has no further effect.
 #pragma once
 
 #include <cstdint>
@@ -42,33 +44,33 @@
 
 namespace marblewharf::transaction {
 
-// What a participant can do.
+// Which protocol a participant supports.
 enum class participant_kind {
   two_phase,  // prepares, then commits or aborts
-  one_phase,  // the last agent: only commits; at most one, and it is asked last
+  one_phase,  // the last agent: cannot prepare, only commit; at most one per transaction, asked last
 };
 
-// What a participant is asked for.
+// A request to a participant.
 enum class participant_request { prepare, commit, abort };
 
-// A participant's vote on a prepare, or its acknowledgement of a commit or abort. `unknown`: no answer, or
-// one that does not tell; the request may have been carried out.
+// A participant's vote on a prepare, or its acknowledgement of a commit or abort. `unknown`: no answer, or an
+// answer that is neither yes nor no; the request may have been carried out.
 enum class participant_reply { yes, no, unknown };
 
-// A record of the transaction's log; the numbers stand on disk.
+// A record of the transaction log. The values are part of the disk format.
 enum class log_record : std::uint8_t {
   begin = 1,       // participants may be asked to prepare
   last_agent = 2,  // the last agent may be asked to commit
-  commit = 3,      // the decision; with a last agent: it has committed
-  abort = 4,       // the decision
+  commit = 3,      // decision to commit; with a last agent: the last agent has committed
+  abort = 4,       // decision to abort
   end = 5,         // all participants have acknowledged the decision
 };
 
-// What the client is told, once.
+// The outcome that is reported to the client, exactly once.
 enum class client_outcome {
-  committed,  // at all participants
-  aborted,    // at none with certainty, or will be
-  in_doubt,   // the decision is not known yet: the client learns it later by the transaction's key
+  committed,  // committed at all participants
+  aborted,    // certainly committed at none: aborted at all participants, or going to be
+  in_doubt,   // not decided yet; the client can inquire later with the request's key
 };
 
 // Actions.
@@ -76,7 +78,7 @@
   std::size_t participant = 0;
   participant_request request{};
 };
-// The record must be on disk before anything that follows; on_logged() reports it.
+// The record must be durable before any later action is carried out; on_logged() reports the result.
 struct write_log_record {
   log_record record{};
 };
@@ -89,24 +91,24 @@
  public:
   enum class state { idle, logging, preparing, asking_last_agent, committing, aborting, ended };
 
-  // Throws std::invalid_argument where there is no participant, or more than one has one phase.
+  // Throws std::invalid_argument if there is no participant, or more than one is one_phase.
   explicit state_machine(std::vector<participant_kind> participants);
 
   void begin();
-  // After a crash, in place of begin(). `last`: the last record on disk.
+  // Replaces begin() after a crash. `last`: the last record on disk.
   void recover(log_record last);
 
-  // A request ended, with an answer or without.
-  void on_reply(std::size_t participant, participant_request request, participant_reply reply);
-  // A record that was to be written is on disk, or may not be (`durable` false).
+  // A request ended, with or without an answer.
+  void on_reply(std::size_t participant_index, participant_request request, participant_reply reply);
+  // The write of a record ended. `durable`: the record is on disk; false: it may or may not be.
   void on_logged(log_record record, bool durable);
-  // The time for a decision has passed: what is not decided yet is aborted, and the client is told now.
+  // The deadline of the decision has passed: aborts the transaction if a decision is not under way yet, and
+  // reports an outcome to the client.
   void on_deadline();
-  // Requests that were not acknowledged are sent again, and a record that did not get on disk is written
-  // again.
+  // Repeats requests that were not acknowledged, and the write of a record that is not durable.
   void retry();
 
-  // The next action; none: an event has to happen first.
+  // Returns the next action to carry out. None: there is nothing to do until the next event.
   std::optional<action> next_action();
 
   state current_state() const { return state_; }
@@ -115,10 +117,10 @@
   struct participant {
     participant_kind kind{};
     bool prepared = false;
-    bool contacted = false;       // may have prepared
-    bool acknowledged = false;    // the decision
-    bool request_sent = false;    // and not ended
-    bool awaiting_retry = false;  // the last request was not acknowledged
+    bool contacted = false;       // was sent a request, so it may have prepared
+    bool acknowledged = false;    // has acknowledged the decision
+    bool request_sent = false;    // a request is in flight
+    bool awaiting_retry = false;  // its last request was not acknowledged
   };
 
   void push(action next) { actions_.push_back(next); }
@@ -145,11 +147,12 @@
   log_record pending_record_{};  // in state logging
   bool reported_ = false;
   bool must_abort_ = false;  // a participant voted no, or the deadline has passed
-  // A record that leads to commits may be on disk: 'aborted' is certain only behind the abort record.
+  // The write of a commit or last_agent record was attempted. It may be on disk even if the write failed, so
+  // the outcome is certainly `aborted` only once the abort record is durable.
   bool decision_record_tried_ = false;
-  bool rewrite_record_ = false;  // the pending record did not get on disk, and has to
+  bool rewrite_record_ = false;  // the pending record is not durable and must be written again
   std::vector<action> actions_;
-  std::size_t actions_taken_ = 0;
+  std::size_t actions_taken_ = 0;  // number of actions already returned by next_action()
 };
 
 }  // namespace marblewharf::transaction
--- a/src/transaction/transaction_log.cpp
+++ b/src/transaction/transaction_log.cpp
@@ -8,8 +8,8 @@
 
 void transaction_log::open(std::shared_ptr<store::table_service> service) {
   service_ = std::move(service);
-  std::vector<store::table_service::done> none;
-  condition_ = service_->collect(none);
+  std::vector<store::table_service::done> completed;
+  condition_ = service_->collect(completed);
 }
 
 void transaction_log::stop() {
@@ -35,16 +35,17 @@
 }
 
 std::vector<store::table_service::done> transaction_log::collect() {
-  std::vector<store::table_service::done> all;
+  std::vector<store::table_service::done> completed;
   const bool was_writable = condition_->writable;
-  condition_ = service_->collect(all);
+  condition_ = service_->collect(completed);
   if (was_writable != condition_->writable)
     telemetry::log("writes", "%s",
-                   condition_->writable ? "the disk takes writes again" : condition_->fault.c_str());
-  return all;
+                   condition_->writable ? "disk is writable again, transactions are accepted"
+                                        : condition_->fault.c_str());
+  return completed;
 }
 
-std::optional<transaction_log::event> transaction_log::event_of(const store::table_service::done& done) {
+std::optional<transaction_log::event> transaction_log::to_event(const store::table_service::done& done) {
   if (done.what == store::table_service::kind::commit) {
     const auto found = records_.find(done.ticket);
     if (found == records_.end()) return std::nullopt;
@@ -65,8 +66,11 @@
   if (done.value) record = parse_result_record(*done.value);
   if (record && record->key == read.key) return std::move(record->result);
   std::string cause = done.fault;
-  if (cause.empty()) cause = record ? "it is another one's" : "it is not there";
-  telemetry::log("writes", "a result cannot be read: %s", cause.c_str());
+  if (cause.empty()) cause = record ? "the record belongs to another key" : "the record is missing";
+  telemetry::log(
+      "writes",
+      "the result of a committed transaction cannot be read: %s; the inquiry is answered as unknown",
+      cause.c_str());
   return std::nullopt;
 }
 
--- a/src/transaction/transaction_log.hpp
+++ b/src/transaction/transaction_log.hpp
@@ -1,5 +1,6 @@
-// Persistence of transactions: writes log records to the table service, in their order, and reads results
-// back. The owner's thread makes the calls; the disk has a thread of its own, whose results are collected.
+// Persistence of transactions: writes log records to the table service in their order, and reads results
+// back. All functions are called on the owner's thread. Disk I/O runs on the thread of the table service;
+// collect() returns what that thread has completed.
 #pragma once
 
 #include <cstdint>
@@ -22,9 +23,9 @@
   struct record_written {
     transaction_id id;
     log_record record{};
-    bool durable = false;  // false: it may be on disk or not
+    bool durable = false;  // false: it is not known whether the record is on disk
   };
-  // A result was read for a client's inquiry. None: it is not there, or the disk failed.
+  // A result was read for a client's inquiry. None: the result is not on disk, or the disk failed.
   struct result_read {
     request_id client = 0;
     std::optional<std::string> result;
@@ -33,26 +34,27 @@
 
   bool is_open() const { return service_ != nullptr; }
   void open(std::shared_ptr<store::table_service> service);
-  // Forgets the service after a recovery that failed.
+  // Releases the service after a failed recovery.
   void abandon() { service_ = nullptr; }
-  // What was written is finished; from then on the service notifies nobody. Whoever shares the service may
-  // keep it.
+  // Completes the pending writes. After that the service sends no more notifications. Other owners of the
+  // service may keep using it.
   void stop();
 
-  // The record is written behind all earlier ones; a record_written event reports it.
+  // Writes the record after all earlier ones; a record_written event reports the result.
   void append(const transaction_id& id, log_record record, store::batch batch);
-  // A result_read event brings the result. `key`: of the request, as the result must have it. False: the
-  // service's queue is full, and no event comes.
+  // Starts reading a result; a result_read event returns it. `key`: the key of the request, which must match
+  // the key in the result. False: the service's queue is full, and there will be no event.
   bool read_result(request_id client, const std::string& key, const outcome_id& id);
-  // Writes records that the service's queue had no room for.
+  // Submits the records that did not fit into the service's queue.
   void flush();
 
-  // What the service has done since the last call, in order; each is to be handed to event_of().
+  // Returns the operations that the service has completed since the previous call, in order. The caller
+  // passes each to to_event().
   std::vector<store::table_service::done> collect();
-  // None: nobody waits for it.
-  std::optional<event> event_of(const store::table_service::done& done);
+  // Converts a completed operation to an event. None: the operation is not known to this log.
+  std::optional<event> to_event(const store::table_service::done& done);
 
-  // As of the last collect(). None: the log is not open.
+  // The state of the disk at the last collect(). None: the log is not open.
   const std::optional<store::table_service::condition>& condition() const { return condition_; }
   // Null: the log is not open.
   std::shared_ptr<store::table_service> service() const { return service_; }
--- a/tests/transaction/log_folder_test.cpp
+++ b/tests/transaction/log_folder_test.cpp
@@ -1,5 +1,5 @@
-// The folder of the transaction log: its rows, and a legacy log migrated, with crashes and failures at each
-// call on the way (ctest -L dependencies).
+// Tests of the folder of the transaction log: encoding of rows, and migration of a legacy log with a crash or
+// an I/O error at each file system call (ctest -L dependencies).
 #include "transaction/log_folder.hpp"
 
 #include <rapidcheck.h>
@@ -31,144 +31,155 @@
   return text;
 }
 
-void rows() {
-  CHECK(rc::check("rows say what was put into them, and nothing else is a row", [] {
+// Guards against rows that decode to other values, and against invalid bytes that are accepted as a row.
+void rows_are_decoded_as_encoded() {
+  CHECK(rc::check("rows decode to the encoded values, and truncated or longer rows are invalid", [] {
     const auto text = [] { return *rc::gen::arbitrary<std::string>(); };
-    const begin_record w{id_of(*rc::gen::inRange(1, 1'000'000)), text(), text(), text(), text()};
-    const std::string begun = *begin_batch(w).all().at({open_table, w.id});
-    const auto back = parse_begin_record(w.id, begun);
-    RC_ASSERT(back && back->request_class == w.request_class && back->key == w.key &&
-              back->payload == w.payload && back->endpoints == w.endpoints);
-    const std::size_t cut = static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(begun.size())));
-    RC_ASSERT(!parse_begin_record(w.id, begun.substr(0, cut)) && !parse_begin_record(w.id, begun + "x"));
-    const outcome_id o{*rc::gen::arbitrary<std::uint64_t>(),
-                       {*rc::gen::arbitrary<std::uint64_t>(), *rc::gen::arbitrary<std::uint64_t>()}};
-    const auto again = parse_outcome_id(encode_outcome_id(o));
-    RC_ASSERT(again && again->number == o.number && again->key == o.key);
-    const outcome_id p{*rc::gen::arbitrary<std::uint64_t>(), o.key};
-    RC_ASSERT((encode_outcome_id(o) < encode_outcome_id(p)) == (o.number < p.number));
-    const store::batch over = end_batch(w.id, committed_outcome{o, result_record{w.key, w.payload}});
-    const auto ended = parse_result_record(*over.all().at({outcome_table, encode_outcome_id(o)}));
-    RC_ASSERT(ended && ended->key == w.key && ended->result == w.payload);
-    RC_ASSERT(!over.all().at({open_table, w.id}) && !over.all().at({record_table, w.id}));
+    const begin_record begin{id_of(*rc::gen::inRange(1, 1'000'000)), text(), text(), text(), text()};
+    const std::string begin_row = *begin_batch(begin).all().at({open_table, begin.id});
+    const auto parsed = parse_begin_record(begin.id, begin_row);
+    RC_ASSERT(parsed && parsed->request_class == begin.request_class && parsed->key == begin.key &&
+              parsed->payload == begin.payload && parsed->endpoints == begin.endpoints);
+    const std::size_t cut =
+        static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(begin_row.size())));
+    RC_ASSERT(!parse_begin_record(begin.id, begin_row.substr(0, cut)) &&
+              !parse_begin_record(begin.id, begin_row + "x"));
+    const outcome_id id{*rc::gen::arbitrary<std::uint64_t>(),
+                        {*rc::gen::arbitrary<std::uint64_t>(), *rc::gen::arbitrary<std::uint64_t>()}};
+    const auto parsed_id = parse_outcome_id(encode_outcome_id(id));
+    RC_ASSERT(parsed_id && parsed_id->number == id.number && parsed_id->key == id.key);
+    const outcome_id other_id{*rc::gen::arbitrary<std::uint64_t>(), id.key};
+    RC_ASSERT((encode_outcome_id(id) < encode_outcome_id(other_id)) == (id.number < other_id.number));
+    const store::batch end =
+        end_batch(begin.id, committed_outcome{id, result_record{begin.key, begin.payload}});
+    const auto result = parse_result_record(*end.all().at({outcome_table, encode_outcome_id(id)}));
+    RC_ASSERT(result && result->key == begin.key && result->result == begin.payload);
+    RC_ASSERT(!end.all().at({open_table, begin.id}) && !end.all().at({record_table, begin.id}));
   }));
-  for (const log_record m : {log_record::last_agent, log_record::commit, log_record::abort})
-    CHECK(parse_log_record(*record_batch("x", m).all().at({record_table, "x"})) == m);
-  for (const char* none : {"", "\x01", "\x05", "\x03\x03"}) CHECK(!parse_log_record(none));
+  for (const log_record record : {log_record::last_agent, log_record::commit, log_record::abort})
+    CHECK(parse_log_record(*record_batch("x", record).all().at({record_table, "x"})) == record);
+  for (const char* invalid : {"", "\x01", "\x05", "\x03\x03"}) CHECK(!parse_log_record(invalid));
 }
 
-// As the older program wrote it.
-store::entry older_entry(const begin_record& w, log_record what, bool committed, bool whole,
-                         std::int64_t expiry, const std::string& result = {}) {
-  std::string body = w.id;
+// A record in the legacy format. `with_request`: the record contains the whole request.
+store::entry legacy_entry(const begin_record& begin, log_record record, bool committed, bool with_request,
+                          std::int64_t expiry, const std::string& result = {}) {
+  std::string body = begin.id;
   store::put(body, expiry);
-  store::put(body, static_cast<std::uint32_t>(what));
+  store::put(body, static_cast<std::uint32_t>(record));
   store::put(body, static_cast<std::uint32_t>(committed));
-  const std::string none;
-  for (const std::string* text : {whole ? &w.request_class : &none, whole ? &w.key : &none,
-                                  whole ? &w.payload : &result, whole ? &w.endpoints : &none}) {
+  const std::string empty;
+  for (const std::string* text :
+       {with_request ? &begin.request_class : &empty, with_request ? &begin.key : &empty,
+        with_request ? &begin.payload : &result, with_request ? &begin.endpoints : &empty}) {
     store::put(body, static_cast<std::uint32_t>(text->size()));
     body += *text;
   }
   return {{16, body}, expiry};
 }
 
-struct model {
-  std::map<std::string, log_record> open;     // by id
-  std::map<std::uint64_t, std::string> over;  // by number: the result
-  std::map<std::string, begin_record> begun;
+// The expected content of a folder.
+struct expected_folder {
+  std::map<std::string, log_record> last_record;  // of open transactions, by id
+  std::map<std::uint64_t, std::string> results;   // of committed transactions, by number
+  std::map<std::string, begin_record> begin_records;
 };
 
-// A folder of the older program's with `n` writes of which some are under way; it closed at `now`.
-model older_folder(crash::fs& fs, unsigned seed, int n, std::int64_t now) {
+// Writes a legacy log with `count` transactions, some of them open, as it is at the time `now`.
+expected_folder write_legacy_folder(crash::fs& fs, unsigned seed, int count, std::int64_t now) {
   std::mt19937 random(seed);
-  model m;
-  store::log l(
+  expected_folder expected;
+  store::log log(
       fs, {"f", segment, 16 * segment, 7}, [](std::uint32_t, std::string_view) { return store::never; },
       [](std::uint32_t, std::string_view, const store::position&) {});
-  l.open(second);
-  const auto append = [&](const store::entry& e) { l.append(std::span(&e, 1), second); };
-  for (int i = 1; i <= n; ++i) {
-    const begin_record w{id_of(static_cast<std::uint64_t>(i)), "kurs-meldung", "key" + std::to_string(i),
-                         std::string(random() % 400, 'p'),
-                         random() % 2 == 0 ? "127.0.0.1:80 127.0.0.1:81" : ""};
-    m.begun[w.id] = w;
-    append(older_entry(w, log_record::begin, false, true, now + 50 * second));
+  log.open(second);
+  const auto append = [&](const store::entry& entry) { log.append(std::span(&entry, 1), second); };
+  for (int i = 1; i <= count; ++i) {
+    const begin_record begin{id_of(static_cast<std::uint64_t>(i)), "kurs-meldung", "key" + std::to_string(i),
+                             std::string(random() % 400, 'p'),
+                             random() % 2 == 0 ? "127.0.0.1:80 127.0.0.1:81" : ""};
+    expected.begin_records[begin.id] = begin;
+    append(legacy_entry(begin, log_record::begin, false, true, now + 50 * second));
     log_record last = log_record::begin;
-    const auto mark = [&](log_record what) {
-      append(older_entry(w, what, what == log_record::commit, false, now + 50 * second));
-      last = what;
+    const auto append_record = [&](log_record record) {
+      append(legacy_entry(begin, record, record == log_record::commit, false, now + 50 * second));
+      last = record;
     };
-    if (random() % 2 == 0) mark(log_record::last_agent);
-    if (random() % 2 == 0) mark(random() % 3 == 0 ? log_record::abort : log_record::commit);
-    // Renewed, perhaps with a mark from before the last one.
+    if (random() % 2 == 0) append_record(log_record::last_agent);
+    if (random() % 2 == 0) append_record(random() % 3 == 0 ? log_record::abort : log_record::commit);
+    // A record that repeats the whole request, with the last or an earlier state.
     if (random() % 2 == 0)
-      append(older_entry(w, random() % 2 == 0 ? last : log_record::begin, false, true, now + 50 * second));
+      append(
+          legacy_entry(begin, random() % 2 == 0 ? last : log_record::begin, false, true, now + 50 * second));
     if (random() % 2 == 0) {
-      m.open[w.id] = last;
+      expected.last_record[begin.id] = last;
       continue;
     }
-    const bool committed = last == log_record::commit, aged = random() % 4 == 0;
+    const bool committed = last == log_record::commit, expired = random() % 4 == 0;
     const std::string result(random() % 900, static_cast<char>('a' + i % 26));
-    append(older_entry(w, log_record::end, committed, false, aged ? now - second : now + 50 * second,
-                       committed ? result : ""));
-    if (committed && !aged) m.over[static_cast<std::uint64_t>(i)] = result;
+    append(legacy_entry(begin, log_record::end, committed, false, expired ? now - second : now + 50 * second,
+                        committed ? result : ""));
+    if (committed && !expired) expected.results[static_cast<std::uint64_t>(i)] = result;
   }
-  return m;
+  return expected;
 }
 
-void expect(const log_folder& f, const model& m, std::int64_t now) {
-  CHECK(f.open.size() == m.open.size() && f.outcomes.size() == m.over.size());
-  for (const open_transaction_found& w : f.open) {
-    CHECK(m.open.contains(w.begin.id) && m.open.at(w.begin.id) == w.last);
-    const begin_record& b = m.begun.at(w.begin.id);
-    CHECK(w.begin.key == b.key && w.begin.payload == b.payload && w.begin.endpoints == b.endpoints &&
-          w.begin.request_class == b.request_class);
+void check_folder(const log_folder& folder, const expected_folder& expected, std::int64_t now) {
+  CHECK(folder.open.size() == expected.last_record.size() &&
+        folder.outcomes.size() == expected.results.size());
+  for (const open_transaction_found& found : folder.open) {
+    CHECK(expected.last_record.contains(found.begin.id) &&
+          expected.last_record.at(found.begin.id) == found.last);
+    const begin_record& begin = expected.begin_records.at(found.begin.id);
+    CHECK(found.begin.key == begin.key && found.begin.payload == begin.payload &&
+          found.begin.endpoints == begin.endpoints && found.begin.request_class == begin.request_class);
   }
-  std::int64_t before = 0;
-  for (const outcome_found& o : f.outcomes) {
-    CHECK(m.over.contains(o.id.number) && o.expiry >= before && o.expiry > now);
-    before = o.expiry;
-    const std::string key = "key" + std::to_string(o.id.number);
-    CHECK(o.id.key == hash_key(key, f.tables->salt()));
-    const auto ended =
-        parse_result_record(f.tables->get(outcome_table, encode_outcome_id(o.id), now).value());
-    CHECK(ended && ended->key == key && ended->result == m.over.at(o.id.number));
+  std::int64_t previous_expiry = 0;
+  for (const outcome_found& outcome : folder.outcomes) {
+    CHECK(expected.results.contains(outcome.id.number) && outcome.expiry >= previous_expiry &&
+          outcome.expiry > now);
+    previous_expiry = outcome.expiry;
+    const std::string key = "key" + std::to_string(outcome.id.number);
+    CHECK(outcome.id.key == hash_key(key, folder.tables->salt()));
+    const auto result =
+        parse_result_record(folder.tables->get(outcome_table, encode_outcome_id(outcome.id), now).value());
+    CHECK(result && result->key == key && result->result == expected.results.at(outcome.id.number));
   }
 }
 
-// All of an older folder is there, once; what ends afterwards stays ended, though the older marks stand until
-// they are cleaned away; and the older program refuses the folder.
-void migrated() {
+// Guards against transactions or outcomes that the migration loses or duplicates; against a migrated
+// transaction that is open again after its end, because its legacy records remain on disk until compaction;
+// and against an earlier version of the program that opens a migrated folder.
+void legacy_log_is_migrated() {
   constexpr std::int64_t now = 1000 * second;
   for (unsigned seed = 1; seed <= 20; ++seed) {
     crash::fs fs;
-    model m = older_folder(fs, seed, 30, now);
+    expected_folder expected = write_legacy_folder(fs, seed, 30, now);
     {
-      const log_folder f = open_log_folder(fs, options(), now);
-      expect(f, m, now);
-      CHECK(f.migrated_rows >= m.open.size() + m.over.size());
-      const std::string id = m.open.begin()->first;
-      f.tables->commit(end_batch(id, std::nullopt), store::durability::now, now);
-      m.open.erase(id);
+      const log_folder folder = open_log_folder(fs, options(), now);
+      check_folder(folder, expected, now);
+      CHECK(folder.migrated_rows >= expected.last_record.size() + expected.results.size());
+      const std::string id = expected.last_record.begin()->first;
+      folder.tables->commit(end_batch(id, std::nullopt), store::durability::now, now);
+      expected.last_record.erase(id);
     }
     {
-      const log_folder f = open_log_folder(fs, options(), now + second);
-      expect(f, m, now + second);
-      CHECK(f.migrated_rows == 0);
-      for (int i = 0; f.tables->clean_step(now + second); ++i) CHECK(i < 10'000);
-      for (int i = 0; i < 200; ++i) {  // some turns of the log, so that the older segments go
-        store::batch b;
-        b.put("open-for-test", "k", std::string(1000, 'x'));
-        CHECK(f.tables->commit(b, store::durability::now, now + second).may);
-        while (f.tables->clean_step(now + second)) {
+      const log_folder folder = open_log_folder(fs, options(), now + second);
+      check_folder(folder, expected, now + second);
+      CHECK(folder.migrated_rows == 0);
+      for (int i = 0; folder.tables->clean_step(now + second); ++i) CHECK(i < 10'000);
+      for (int i = 0; i < 200; ++i) {  // enough writes that compaction removes all legacy segments
+        store::batch batch;
+        batch.put("open-for-test", "k", std::string(1000, 'x'));
+        CHECK(folder.tables->commit(batch, store::durability::now, now + second).may);
+        while (folder.tables->clean_step(now + second)) {
         }
       }
     }
     CHECK(store::inspect_tables(fs, "f", now + second).older == 0);
-    expect(open_log_folder(fs, options(), now + second), m, now + second);
+    check_folder(open_log_folder(fs, options(), now + second), expected, now + second);
     try {
-      store::log older(
+      store::log earlier_version(
           fs, {"f", segment, 16 * segment, 7},
           [](std::uint32_t, std::string_view) { return std::int64_t{0}; },
           [](std::uint32_t, std::string_view, const store::position&) {});
@@ -179,21 +190,21 @@
   }
 }
 
-// The power goes, or the disk fails, at each call of the move, and again at some call of the next try: in the
-// end all is there, and nothing twice.
-void migrated_with_faults() {
+// Guards against lost or duplicated transactions if the power fails or the disk reports an error at any file
+// system call of the migration, and again during the second attempt.
+void migration_survives_faults() {
   constexpr std::int64_t now = 1000 * second;
   std::uint64_t faults = 0;
-  for (const crash::fault how : {crash::fault::power_loss, crash::fault::error, crash::fault::cut_short}) {
-    for (std::uint64_t at = 1;; ++at) {
+  for (const crash::fault fault : {crash::fault::power_loss, crash::fault::error, crash::fault::cut_short}) {
+    for (std::uint64_t failing_call = 1;; ++failing_call) {
       crash::fs fs;
-      const model m = older_folder(fs, static_cast<unsigned>(at), 12, now);
-      std::mt19937 random(static_cast<unsigned>(at));
+      const expected_folder expected = write_legacy_folder(fs, static_cast<unsigned>(failing_call), 12, now);
+      std::mt19937 random(static_cast<unsigned>(failing_call));
       bool reached = false;
       for (int tries = 0; tries < 2; ++tries) {
         fs.calls = 0;
-        fs.how = how;
-        fs.fail_at = tries == 0 ? at : 1 + random() % at;
+        fs.how = fault;
+        fs.fail_at = tries == 0 ? failing_call : 1 + random() % failing_call;
         try {
           open_log_folder(fs, options(), now);
         } catch (const crash::crashed&) {
@@ -205,7 +216,7 @@
         reached = reached || fs.calls >= fs.fail_at;
         fs.fail_at = 0;
       }
-      expect(open_log_folder(fs, options(), now), m, now);
+      check_folder(open_log_folder(fs, options(), now), expected, now);
       faults += reached;
       if (!reached) break;
     }
@@ -214,21 +225,23 @@
   CHECK(faults > 30);
 }
 
-// Where what counts does not fit, the start says so and leaves the folder as it is.
-void no_room() {
+// Guards against a partial migration if the rows do not fit into the configured space: opening the folder
+// must fail with a message, and must succeed later with more space.
+void migration_fails_without_space() {
   constexpr std::int64_t now = 1000 * second;
   crash::fs fs;
-  const model m = older_folder(fs, 3, 120, now);
+  const expected_folder expected = write_legacy_folder(fs, 3, 120, now);
   try {
     open_log_folder(fs, options(store::least_segments * segment), now);
     CHECK(false);
   } catch (const store::io_error& e) {
-    CHECK(std::string(e.what()).find("more writes.space") != std::string::npos);
+    CHECK(std::string(e.what()).find("increase writes.space") != std::string::npos);
   }
-  expect(open_log_folder(fs, options(), now), m, now);
+  check_folder(open_log_folder(fs, options(), now), expected, now);
 }
 
-// The committed folder of commit 0abc316, in a file system in memory.
+// Loads the folder tests/data/transactions-0abc316, written by the program of commit 0abc316, into an
+// in-memory file system.
 void load_committed_folder(crash::fs& fs) {
   constexpr std::uint64_t segment_bytes = 1 << 20;
   const std::string name = "0000000000000001.seg";
@@ -251,7 +264,7 @@
   return std::string{'\0', static_cast<char>(vars.size()), '\0', '\0'} + vars + "payload";
 }
 
-std::string scoped(const std::string& key) {
+std::string scoped_key(const std::string& key) {
   const std::string zero(1, '\0');
   return "isar-invest" + zero + "kurs-meldung" + zero + key;
 }
@@ -284,10 +297,10 @@
   for (std::size_t i = 0; i < expected.size(); ++i) {
     const open_transaction_found& found = folder.open[i];
     CHECK(found.begin.id == expected[i].id && found.last == expected[i].last);
-    CHECK(found.begin.request_class == "kurs-meldung" && found.begin.key == scoped(expected[i].key));
+    CHECK(found.begin.request_class == "kurs-meldung" && found.begin.key == scoped_key(expected[i].key));
     CHECK(found.begin.payload == request_of(expected[i].key));
     CHECK(found.begin.endpoints == "127.1.95.75:51027 127.1.95.75:48723 127.1.95.75:39001");
-    // Written anew, the rows are the same, byte for byte.
+    // Encoding the record again gives the same row, byte for byte.
     CHECK(begin_batch(found.begin).all().at({open_table, found.begin.id}) ==
           folder.tables->get("open", expected[i].id, now));
     const auto record_row = folder.tables->get("mark", expected[i].id, now);
@@ -309,17 +322,19 @@
   for (std::size_t i = 0; i < expected.size(); ++i) {
     const outcome_found& found = folder.outcomes[i];
     CHECK(found.id.number == expected[i].number && found.expiry == expected[i].expiry);
-    CHECK(found.id.key == hash_key(scoped(expected[i].key), folder.tables->salt()));
+    CHECK(found.id.key == hash_key(scoped_key(expected[i].key), folder.tables->salt()));
     const std::string row = folder.tables->get("outcome", encode_outcome_id(found.id), now).value();
     const auto result = parse_result_record(row);
-    CHECK(result && result->key == scoped(expected[i].key) && result->result == result_of(expected[i].key));
+    CHECK(result && result->key == scoped_key(expected[i].key) &&
+          result->result == result_of(expected[i].key));
     const auto rewritten = end_batch("id", committed_outcome{found.id, *result});
     CHECK(rewritten.all().at({outcome_table, encode_outcome_id(found.id)}) == row);
   }
 }
 
-// A folder that the program of commit 0abc316 wrote says what it said then.
-void written_by_0abc316() {
+// Guards against changes of the disk format: a folder written by the program of commit 0abc316 must be read
+// correctly.
+void folder_of_0abc316_is_read() {
   constexpr std::int64_t now = 1796290700 * second;
   crash::fs fs;
   load_committed_folder(fs);
@@ -337,11 +352,11 @@
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {{"rows", rows},
-                                                   {"migrated", migrated},
-                                                   {"migrated_with_faults", migrated_with_faults},
-                                                   {"no_room", no_room},
-                                                   {"written_by_0abc316", written_by_0abc316}};
+  const std::map<std::string, void (*)()> tests = {{"rows", rows_are_decoded_as_encoded},
+                                                   {"migrated", legacy_log_is_migrated},
+                                                   {"migrated_with_faults", migration_survives_faults},
+                                                   {"no_space", migration_fails_without_space},
+                                                   {"written_by_0abc316", folder_of_0abc316_is_read}};
   tests.at(argv[1])();
   std::printf("%s passed\n", argv[1]);
   return 0;
--- a/tests/transaction/state_machine_test.cpp
+++ b/tests/transaction/state_machine_test.cpp
@@ -1,5 +1,6 @@
-// The write over several participants under lost, late and repeated steps, a disk that fails and crashes at
-// any moment: whole at all or at none once all is quiet, and no answer that is not so.
+// Tests of the transaction state machine with lost, delayed and repeated requests, disk failures and crashes.
+// Guards against a transaction that is committed at some participants only, against a client that receives
+// the wrong outcome, and against participants that remain prepared.
 #include "transaction/state_machine.hpp"
 
 #include <rapidcheck.h>
@@ -13,158 +14,169 @@
 
 namespace {
 
-// Knows the write by its id: repeated steps change nothing, and a prepare that comes behind its abort is
-// turned down.
-struct peer {
+// A correct participant that identifies the transaction by its id: repeated requests have no effect, and a
+// prepare that arrives after the abort gets a no.
+struct simulated_participant {
   participant_kind kind{};
-  enum class state { none, prepared, committed, aborted } is = state::none;
-  bool willing = true;
+  enum class state { none, prepared, committed, aborted } current = state::none;
+  bool votes_yes = true;
 
-  participant_reply take(participant_request what) {
-    switch (what) {
+  participant_reply handle(participant_request request) {
+    switch (request) {
       case participant_request::prepare:
-        if (is == state::none) is = willing ? state::prepared : state::aborted;
-        return is == state::prepared || is == state::committed ? participant_reply::yes
-                                                               : participant_reply::no;
+        if (current == state::none) current = votes_yes ? state::prepared : state::aborted;
+        return current == state::prepared || current == state::committed ? participant_reply::yes
+                                                                         : participant_reply::no;
       case participant_request::commit:
         if (kind == participant_kind::one_phase) {
-          if (is == state::none) is = willing ? state::committed : state::aborted;
-          return is == state::committed ? participant_reply::yes : participant_reply::no;
+          if (current == state::none) current = votes_yes ? state::committed : state::aborted;
+          return current == state::committed ? participant_reply::yes : participant_reply::no;
         }
-        CHECK(is == state::prepared ||
-              is == state::committed);  // never asked to commit what it has not promised
-        is = state::committed;
+        // Only a prepared participant may receive a commit.
+        CHECK(current == state::prepared || current == state::committed);
+        current = state::committed;
         return participant_reply::yes;
       case participant_request::abort:
-        CHECK(is != state::committed);
-        is = state::aborted;
+        CHECK(current != state::committed);
+        current = state::aborted;
         return participant_reply::yes;
     }
     return participant_reply::unknown;
   }
 };
 
-struct step_on_its_way {
-  std::size_t who = 0;
-  participant_request what{};
+struct request_in_transit {
+  std::size_t participant = 0;
+  participant_request request{};
 };
 
-void one(unsigned seed, bool with_last, int loss, int crashes, int disk_faults, int unwilling) {
+// Runs one transaction over three participants. The percentages are the probabilities of a lost message, a
+// failed disk write, and a no vote.
+void run_transaction(unsigned seed, bool with_last_agent, int loss_percent, int crashes,
+                     int disk_fault_percent, int no_vote_percent) {
   std::mt19937 random(seed);
   const auto chance = [&](int percent) { return static_cast<int>(random() % 100) < percent; };
-  std::vector<peer> peers(3);
+  std::vector<simulated_participant> participants(3);
   std::vector<participant_kind> kinds(3, participant_kind::two_phase);
-  if (with_last) kinds[2] = participant_kind::one_phase;
+  if (with_last_agent) kinds[2] = participant_kind::one_phase;
   for (std::size_t i = 0; i < 3; ++i) {
-    peers[i].kind = kinds[i];
-    peers[i].willing = !chance(unwilling);
+    participants[i].kind = kinds[i];
+    participants[i].votes_yes = !chance(no_vote_percent);
   }
   std::vector<log_record> disk;
-  std::optional<client_outcome> told;
-  std::optional<state_machine> t;
-  std::vector<step_on_its_way> way;
-  std::vector<log_record> writing;
-  t.emplace(kinds);
-  t->begin();
+  std::optional<client_outcome> reported;
+  std::optional<state_machine> machine;
+  std::vector<request_in_transit> in_transit;
+  std::vector<log_record> pending_writes;
+  machine.emplace(kinds);
+  machine->begin();
   int crashes_left = crashes;
   for (int round = 0; round < 4000; ++round) {
-    while (const auto a = t->next_action()) {
-      if (const auto* s = std::get_if<send_request>(&*a)) {
-        if (s->request == participant_request::commit && kinds[s->participant] == participant_kind::two_phase)
+    while (const auto action = machine->next_action()) {
+      if (const auto* send = std::get_if<send_request>(&*action)) {
+        if (send->request == participant_request::commit &&
+            kinds[send->participant] == participant_kind::two_phase)
           CHECK(std::find(disk.begin(), disk.end(), log_record::commit) != disk.end());
-        way.push_back({s->participant, s->request});
-      } else if (const auto* m = std::get_if<write_log_record>(&*a)) {
-        writing.push_back(m->record);
+        in_transit.push_back({send->participant, send->request});
+      } else if (const auto* write = std::get_if<write_log_record>(&*action)) {
+        pending_writes.push_back(write->record);
       } else {
-        CHECK(!told);  // one answer
-        told = std::get<report_outcome>(*a).outcome;
-        if (*told == client_outcome::committed)
-          for (const peer& p : peers) CHECK(p.is == peer::state::committed);
+        CHECK(!reported);  // the outcome is reported only once
+        reported = std::get<report_outcome>(*action).outcome;
+        if (*reported == client_outcome::committed)
+          for (const simulated_participant& p : participants)
+            CHECK(p.current == simulated_participant::state::committed);
       }
     }
-    if (t->current_state() == state_machine::state::ended) break;
-    const bool quiet = round > 2000;  // then nothing fails any more
-    if (!quiet && crashes_left > 0 && chance(3)) {
+    if (machine->current_state() == state_machine::state::ended) break;
+    const bool faults_ended = round > 2000;
+    if (!faults_ended && crashes_left > 0 && chance(3)) {
       --crashes_left;
-      // What was on its way to disk may be there or not, and steps on their way may still arrive, or not.
-      for (const log_record m : writing) {
-        if (chance(50)) disk.push_back(m);
+      // In a crash, pending writes may or may not reach the disk, and requests in transit may or may not
+      // arrive.
+      for (const log_record record : pending_writes) {
+        if (chance(50)) disk.push_back(record);
       }
-      writing.clear();
-      for (const step_on_its_way& s : way) {
-        if (chance(50)) peers[s.who].take(s.what);
+      pending_writes.clear();
+      for (const request_in_transit& sent : in_transit) {
+        if (chance(50)) participants[sent.participant].handle(sent.request);
       }
-      way.clear();
-      t.emplace(kinds);
+      in_transit.clear();
+      machine.emplace(kinds);
       if (disk.empty()) {
-        for (const peer& p : peers) CHECK(p.is == peer::state::none);  // nobody was asked before the mark
+        // No participant is contacted before the begin record is durable.
+        for (const simulated_participant& p : participants)
+          CHECK(p.current == simulated_participant::state::none);
         return;
       }
-      t->recover(disk.back());
+      machine->recover(disk.back());
       if (disk.back() == log_record::end) break;
-      if (!told) told = client_outcome::in_doubt;  // its caller heard nothing
+      if (!reported) reported = client_outcome::in_doubt;  // the client received no answer
       continue;
     }
-    if (!quiet && chance(2)) t->on_deadline();
-    if (!writing.empty()) {
-      const log_record m = writing.front();
-      writing.erase(writing.begin());
-      const bool well = quiet || !chance(disk_faults);
-      if (well) disk.push_back(m);
-      t->on_logged(m, well);
+    if (!faults_ended && chance(2)) machine->on_deadline();
+    if (!pending_writes.empty()) {
+      const log_record record = pending_writes.front();
+      pending_writes.erase(pending_writes.begin());
+      const bool durable = faults_ended || !chance(disk_fault_percent);
+      if (durable) disk.push_back(record);
+      machine->on_logged(record, durable);
     }
-    if (!way.empty() && chance(60)) {
-      const std::size_t at = random() % way.size();
-      const step_on_its_way s = way[at];
-      way.erase(way.begin() + static_cast<std::ptrdiff_t>(at));
-      const bool arrives = quiet || !chance(loss), heard = quiet || !chance(loss);
-      const participant_reply how = arrives ? peers[s.who].take(s.what) : participant_reply::unknown;
-      t->on_reply(s.who, s.what, heard ? how : participant_reply::unknown);
+    if (!in_transit.empty() && chance(60)) {
+      const std::size_t index = random() % in_transit.size();
+      const request_in_transit sent = in_transit[index];
+      in_transit.erase(in_transit.begin() + static_cast<std::ptrdiff_t>(index));
+      const bool request_arrives = faults_ended || !chance(loss_percent),
+                 reply_arrives = faults_ended || !chance(loss_percent);
+      const participant_reply reply =
+          request_arrives ? participants[sent.participant].handle(sent.request) : participant_reply::unknown;
+      machine->on_reply(sent.participant, sent.request, reply_arrives ? reply : participant_reply::unknown);
     }
-    if (chance(10)) t->retry();
+    if (chance(10)) machine->retry();
   }
-  CHECK(t->current_state() == state_machine::state::ended);
+  CHECK(machine->current_state() == state_machine::state::ended);
   int committed = 0;
-  for (const peer& p : peers) {
-    CHECK(p.is != peer::state::prepared);  // nobody is left with a promise
-    committed += p.is == peer::state::committed;
+  for (const simulated_participant& p : participants) {
+    CHECK(p.current != simulated_participant::state::prepared);  // no participant remains prepared
+    committed += p.current == simulated_participant::state::committed;
   }
   CHECK(committed == 0 || committed == 3);
-  if (told == client_outcome::committed) CHECK(committed == 3);
-  if (told == client_outcome::aborted) CHECK(committed == 0);
+  if (reported == client_outcome::committed) CHECK(committed == 3);
+  if (reported == client_outcome::aborted) CHECK(committed == 0);
 }
 
-void whole_or_none() {
-  for (const bool with_last : {false, true}) {
-    CHECK(rc::check("whole at all or at none", [with_last] {
+void transaction_is_atomic() {
+  for (const bool with_last_agent : {false, true}) {
+    CHECK(rc::check("committed at all participants or at none", [with_last_agent] {
       const auto seed = static_cast<unsigned>(*rc::gen::inRange(1, 1 << 30));
       for (unsigned i = 0; i < 20; ++i)
-        one(seed + i, with_last, *rc::gen::inRange(0, 60), *rc::gen::inRange(0, 5), *rc::gen::inRange(0, 40),
-            *rc::gen::inRange(0, 40));
+        run_transaction(seed + i, with_last_agent, *rc::gen::inRange(0, 60), *rc::gen::inRange(0, 5),
+                        *rc::gen::inRange(0, 40), *rc::gen::inRange(0, 40));
     }));
   }
 }
 
-void what_cannot_be_kept() {
-  const auto refused = [](std::vector<participant_kind> kinds) {
+// Guards against accepting a transaction without participants, or with more than one that cannot prepare.
+void invalid_participants_are_rejected() {
+  const auto rejected = [](std::vector<participant_kind> kinds) {
     try {
-      state_machine t(std::move(kinds));
+      state_machine machine(std::move(kinds));
     } catch (const std::invalid_argument&) {
       return true;
     }
     return false;
   };
-  CHECK(refused({}) &&
-        refused({participant_kind::one_phase, participant_kind::two_phase, participant_kind::one_phase}));
-  CHECK(!refused({participant_kind::one_phase}) &&
-        !refused({participant_kind::two_phase, participant_kind::two_phase}));
+  CHECK(rejected({}) &&
+        rejected({participant_kind::one_phase, participant_kind::two_phase, participant_kind::one_phase}));
+  CHECK(!rejected({participant_kind::one_phase}) &&
+        !rejected({participant_kind::two_phase, participant_kind::two_phase}));
 }
 
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {{"whole", whole_or_none},
-                                                   {"refused", what_cannot_be_kept}};
+  const std::map<std::string, void (*)()> tests = {
+      {"atomicity", transaction_is_atomic}, {"invalid_participants", invalid_participants_are_rejected}};
   tests.at(argv[1])();
   return 0;
 }
