--- a/src/fan_out/client.hpp
+++ b/src/fan_out/client.hpp
@@ -32,7 +32,7 @@
          backend& next_backend);
   ~client() override;
 
-  // backend
+  // Interface of backend.
   void run(request_id id, const request& client_request) override;
   void pause(request_id id) override;
   void resume(request_id id) override;
--- a/src/transaction/coordinator.hpp
+++ b/src/transaction/coordinator.hpp
@@ -48,7 +48,7 @@
               std::function<void()> notify);
   ~coordinator() override;
 
-  // backend
+  // Interface of backend.
   void run(request_id id, const request& client_request) override;
   void pause(request_id id) override;
   void resume(request_id id) override;
--- a/src/transaction/log_records.hpp
+++ b/src/transaction/log_records.hpp
@@ -16,12 +16,15 @@
 
 namespace marblewharf::transaction {
 
-inline constexpr const char* open_table = "open";  // begin records of open transactions
-inline constexpr const char* record_table =
-    "mark";  // last log record of open transactions, unless it is `begin`
-inline constexpr const char* outcome_table = "outcome";  // results of committed transactions
+// Begin records of open transactions.
+inline constexpr const char* open_table = "open";
+// The last log record of open transactions, unless it is `begin`.
+inline constexpr const char* record_table = "mark";
+// Results of committed transactions.
+inline constexpr const char* outcome_table = "outcome";
 inline constexpr const char* meta_table = "meta";
-inline constexpr const char* migrated_key = "moved";  // in meta: the migration of the legacy log is complete
+// Key in meta_table; present once the migration of the legacy log is complete.
+inline constexpr const char* migrated_key = "moved";
 
 // 32 hexadecimal digits; the second half is the transaction's number.
 using transaction_id = std::string;
--- a/src/transaction/state_machine.hpp
+++ b/src/transaction/state_machine.hpp
@@ -70,7 +70,7 @@
 enum class client_outcome {
   committed,  // committed at all participants
   aborted,    // certainly committed at none: aborted at all participants, or going to be
-  in_doubt,   // not decided yet; the client can inquire later with the request's key
+  in_doubt,   // not certain yet; the client can inquire later with the request's key
 };
 
 // Actions.
@@ -102,8 +102,8 @@
   void on_reply(std::size_t participant_index, participant_request request, participant_reply reply);
   // The write of a record ended. `durable`: the record is on disk; false: it may or may not be.
   void on_logged(log_record record, bool durable);
-  // The deadline of the decision has passed: aborts the transaction if a decision is not under way yet, and
-  // reports an outcome to the client.
+  // The deadline of the decision has passed: aborts the transaction if its decision has not begun, and
+  // reports an outcome to the client (in_doubt if a commit is possible).
   void on_deadline();
   // Repeats requests that were not acknowledged, and the write of a record that is not durable.
   void retry();
--- a/src/upstream/endpoint_set.cpp
+++ b/src/upstream/endpoint_set.cpp
@@ -71,14 +71,14 @@
 void endpoint_set::run_timers(std::size_t endpoint, time_point now) {
   endpoint_status& status = endpoints_[endpoint];
   if (status.state == endpoint_state::ejected && now >= status.ejected_until)
-    enter(endpoint, endpoint_state::probing, "ejection time has passed, probing");
+    enter(endpoint, endpoint_state::probing, "is probed: its ejection time has passed");
   if (status.state == endpoint_state::slow_start && now >= status.slow_start_since + rules_.ramp)
     status.state = endpoint_state::healthy;
 }
 
-// Returns the first endpoint that is due for a probe. Unreachable endpoints are not probed: the
-// probe would fail and only delay the caller. The timers of endpoints after the returned one run when the
-// next call is placed.
+// Returns the first endpoint that is due for a probe. Unreachable endpoints are not probed: the probe would
+// fail and only delay the caller. The timers of endpoints after the returned one run when the next call is
+// placed.
 std::optional<std::size_t> endpoint_set::find_probe(time_point now, bool may_probe,
                                                     std::optional<std::size_t> excluded) {
   for (std::size_t i = 0; i < endpoints_.size(); ++i) {
@@ -122,8 +122,7 @@
     }
   };
   if (const auto drawn = failover::draw(shares, draw_uniform(random))) add_level(*drawn);
-  // If the drawn level has no endpoint but the excluded one, the nearest level with a usable
-  // endpoint is taken.
+  // If the drawn level has no usable endpoint but the excluded one, take the nearest level that has another.
   for (std::size_t level = 0; level < failover::levels && usable.empty(); ++level)
     add_level(static_cast<failover::level>(level));
   return usable;
@@ -233,7 +232,7 @@
   status.consecutive_ejections = 0;
   status.sample_calls = 0;
   status.sample_failures = 0;
-  enter(endpoint, endpoint_state::slow_start, "probes succeeded, slow start begins");
+  enter(endpoint, endpoint_state::slow_start, "enters slow start: its probes succeeded");
 }
 
 // Ejects the endpoint after a failed probe, after too many consecutive failures, or when the share
@@ -243,15 +242,15 @@
   ++status.consecutive_failures;
   ++status.sample_failures;
   if (was_probe) {
-    eject(endpoint, now, "ejected: probe failed");
+    eject(endpoint, now, "is ejected: its probe failed");
     return;
   }
   if (status.state == endpoint_state::ejected) return;
   const bool sample_is_full = status.sample_calls >= rules_.sample;
   if (status.consecutive_failures >= rules_.failures) {
-    eject(endpoint, now, "ejected: too many consecutive failures");
+    eject(endpoint, now, "is ejected: too many consecutive failures");
   } else if (sample_is_full && status.sample_failures >= rules_.failing * status.sample_calls) {
-    eject(endpoint, now, "ejected: share of failed calls too high");
+    eject(endpoint, now, "is ejected: its share of failed calls is too high");
   }
 }
 
