--- a/src/transaction/log_folder.cpp
+++ b/src/transaction/log_folder.cpp
@@ -9,7 +9,7 @@
 namespace marblewharf::transaction {
 namespace {
 
-constexpr double space_amplification = 2;  // docs/store.md
+constexpr double space_amplification = 2;  // disk space relative to live data (docs/store.md)
 // Outcomes are kept on disk for this much longer than in memory, so that the result of every outcome in
 // memory can be read.
 constexpr std::chrono::nanoseconds extra_retention = std::chrono::seconds(2);
--- a/src/transaction/participant_calls.cpp
+++ b/src/transaction/participant_calls.cpp
@@ -95,7 +95,7 @@
 bool participant_calls::send(open_transaction& transaction, const send_request& request) {
   std::string bytes = encode_request(transaction, request);
   participant_call& call = transaction.calls[request.participant];
-  // An earlier request may still be in flight; its response is no longer needed.
+  // An earlier request may still be in flight. Its response is no longer needed, so it counts as cancelled.
   if (call.exchange != nullptr)
     on_request_ended(transaction, request.participant, upstream::call_outcome::cancelled);
   if (upstream::endpoint_set* endpoints = endpoints_of(transaction, request.participant))
--- a/src/upstream/in_flight_calls.cpp
+++ b/src/upstream/in_flight_calls.cpp
@@ -5,9 +5,9 @@
 namespace marblewharf::upstream {
 
 bool in_flight_calls::has_capacity(std::size_t dependency) const {
-  const double required = static_cast<double>(transactions_[dependency]) + 1;
+  const double new_count = static_cast<double>(transactions_[dependency]) + 1;
   const auto fan_out = static_cast<double>(fan_out_calls_(dependency));
-  return required <= max_transactions_[dependency] && required + fan_out <= share_[dependency];
+  return new_count <= max_transactions_[dependency] && new_count + fan_out <= share_[dependency];
 }
 
 bool in_flight_calls::acquire_if_available(const std::vector<std::size_t>& participants) {
--- a/tests/fan_out/library_test.cpp
+++ b/tests/fan_out/library_test.cpp
@@ -23,8 +23,8 @@
   };
 }
 
-// Guards against waiting for a source that hangs, and against calls that hang after nobody waits for them any
-// more.
+// Guards against waiting for a source that hangs, and against calls that are not cancelled once their result
+// is no longer needed.
 void hanging_source_is_replaced() {
   std::atomic<int> cancelled = 0;
   gathering fan_out(
