--- a/src/admission_policy/arrival_curve.hpp
+++ b/src/admission_policy/arrival_curve.hpp
@@ -1,9 +1,11 @@
-// Orders queued requests by pClock tags: every tenant has an arrival curve, a token bucket of its quota here.
+// Assigns pClock tags that order queued requests. Each tenant has an arrival curve: a token bucket with the
+// tenant's quota at this server.
 //
-// A request inside the curve starts its tag at its arrival; one beyond it is spaced by the quota's interval
-// behind its tenant's last. The finish tag adds the latency objective, and the smallest finish tag runs
-// first. Tags are kept in shifted time (real time plus all shifts so far), so that a shift moves all of them
-// at once and keeps their order.
+// The start tag of a request within the curve is its arrival time. The start tag of a request that exceeds
+// the curve is one interval of the quota's rate after the previous such request of the tenant. The finish tag
+// is the start tag plus the latency objective; the request with the smallest finish tag runs first. Tags are
+// in shifted time (real time plus the sum of all shifts), so that a shift changes all tags at once and keeps
+// their order.
 #pragma once
 
 #include <vector>
@@ -13,44 +15,45 @@
 namespace admission_policy {
 
 struct request_tags {
-  time_point start{};   // in shifted time
-  time_point finish{};  // in shifted time
-  bool spaced = false;  // beyond the curve: it took a place behind its tenant's last
+  time_point start{};          // in shifted time
+  time_point finish{};         // in shifted time
+  bool exceeds_curve = false;  // the request got a start tag after the tenant's previous one
 };
 
 class arrival_curves {
  public:
-  arrival_curves(const settings& given, time_point now);
+  arrival_curves(const settings& policy_settings, time_point now);
 
-  // The tenant that a request of tenant number `given` belongs to: numbers beyond the last mean the last.
-  unsigned tenant_of(unsigned given) const;
+  // Maps a tenant number of an arrival to a configured tenant. Numbers beyond the last tenant map to the
+  // last.
+  unsigned tenant_of(unsigned tenant_number) const;
 
-  // Spends a token of the tenant and tags a request of this objective that arrives now.
+  // Takes a token of the tenant and returns the tags of a request that arrives now.
   request_tags tag(unsigned tenant, duration objective, time_point now);
 
-  // A request of the tenant entered the queue, or left it.
+  // A request of the tenant entered or left the queue.
   void enqueued(unsigned tenant) { ++curves_[tenant].queued; }
   void dequeued(unsigned tenant) { --curves_[tenant].queued; }
 
-  // A request with this start tag was taken from the queue to run.
+  // A request with this start tag left the queue to run.
   void started(unsigned tenant, time_point start_tag);
 
-  // Gives back the token and the place of a request that had no service: retries must not spend their
-  // tenant's tokens, and a flooding tenant's tags must not run so far ahead that its share inside the curve
-  // starves.
-  void refund(unsigned tenant, bool spaced);
+  // Returns the token and the interval of a request that got no service. Without a refund, retries would use
+  // up their tenant's tokens, and the tags of a flooding tenant would run so far ahead that its requests
+  // within the curve would starve.
+  void refund(unsigned tenant, bool exceeds_curve);
 
-  // Requests a second to which all tenants together are entitled here; 0 = no quota is stated.
+  // Sum of the tenants' quotas at this server in requests per second; 0 = no quota is configured.
   double total_quota() const { return total_quota_; }
 
  private:
   struct curve {
-    double rate = 0;   // requests a second; 0 = no curve is known
+    double rate = 0;   // requests per second; 0 = no quota
     double burst = 1;  // requests
     double tokens = 1;
     time_point last_arrival{};
-    time_point min_start{};  // start tag that the tenant's next run has, at least
-    time_point max_start{};  // where the next spaced request goes
+    time_point min_start{};  // MinS of pClock: lower bound of the start tags of queued requests
+    time_point max_start{};  // MaxS of pClock: start tag of the next request that exceeds the curve
     unsigned queued = 0;
   };
 
@@ -58,7 +61,7 @@
 
   std::vector<curve> curves_;  // by tenant; at least one
   double total_quota_ = 0;
-  duration shift_{};  // of all tags so far
+  duration total_shift_{};  // sum of all shifts
 };
 
 }  // namespace admission_policy
--- a/src/admission_policy/concurrency_limiter.hpp
+++ b/src/admission_policy/concurrency_limiter.hpp
@@ -1,6 +1,6 @@
-// The limit on requests that run at once. It starts at the core count, grows while cores idle and work waits,
-// and is cut when runs grow late on busy cores. Without fresh gauges the cores count as busy: the limit does
-// not grow then, and may be cut.
+// Adapts the limit on concurrent runs. The limit starts at the core count, grows while cores are idle and
+// work waits, and is cut when runs slow down on busy cores. Cores count as busy without a current gauge: the
+// limit then never grows and may be cut.
 #pragma once
 
 #include "admission_policy/policy.hpp"
@@ -9,32 +9,33 @@
 
 struct load_observation {
   double cpu_busy = 1;            // fraction of the cores, 0 to 1
-  double time_per_unit = 0;       // s of core time for a unit of work, now
-  double best_time_per_unit = 0;  // s, at the best pace known
+  double time_per_unit = 0;       // current core seconds per unit of work
+  double best_time_per_unit = 0;  // lowest core seconds per unit of work
   double speed = 1;               // fraction of full speed, see slow_start
 };
 
 class concurrency_limiter {
  public:
-  concurrency_limiter(const settings& given, time_point now);
+  concurrency_limiter(const settings& policy_settings, time_point now);
 
-  // Runs that may be on the cores at once.
+  // Maximum number of concurrent runs on the cores.
   double limit() const { return limit_; }
 
-  // Runs that the server survives now, with a margin; no limit goes beyond it.
+  // Number of concurrent runs that the server can sustain at this speed, less a margin. Upper bound of the
+  // limit.
   double ceiling(double speed) const;
 
-  // The queue is empty at this moment.
+  // The queue is empty now.
   void note_empty_queue(time_point now) { work_waits_since_ = now; }
 
-  // Once in a control window.
+  // Adjusts the limit; called at the end of each control window.
   void adjust(const load_observation& load, time_point now);
 
  private:
   unsigned cores_;
-  double ceiling_per_core_;  // runs a core that a warm server survives; 0 = not stated
+  double ceiling_per_core_;  // concurrent runs per core that a warm server can sustain; 0 = not configured
   double limit_;
-  time_point work_waits_since_;  // the queue has not been empty since, nor has the limit grown
+  time_point work_waits_since_;  // the last time when the queue was empty or the limit grew
 };
 
 }  // namespace admission_policy
--- a/src/admission_policy/control_window.hpp
+++ b/src/admission_policy/control_window.hpp
@@ -7,7 +7,8 @@
 
 namespace admission_policy {
 
-// Limit, load signal, health and connection advice are evaluated once in this: several runs end in it.
+// Period at which the concurrency limit, the load signal, the health and the advice on idle connections are
+// evaluated. Long enough for several runs to end within it.
 inline constexpr duration control_window = std::chrono::milliseconds(100);
 
 }  // namespace admission_policy
--- a/src/admission_policy/dependency_call_admission.hpp
+++ b/src/admission_policy/dependency_call_admission.hpp
@@ -1,12 +1,13 @@
-// Decides on the calls of runs to the shared dependency: which may be placed and for how long, which are
-// retried, and which runs go on without their call or fail.
+// Admission control for the calls of runs to the shared dependency. Decides which calls are placed, their
+// time limits and retries, and which runs skip their call or fail.
 //
-// Calls in flight stay below this server's quota of what the dependency survives, at any moment and in the
-// mean over its period. Within that quota the mean follows a cap: it grows while calls come back in about the
-// best time and others wait, and is cut when round trips grow. That guards against a dependency that slows
-// long before it falls, and against servers that spend their quota at once and then wait for the period
-// together. A call that the dependency may still work on after it was abandoned counts as in flight for a
-// while.
+// This server has a quota of the concurrent calls that the dependency can sustain. Calls in flight stay
+// within the quota at every moment, and their mean stays within it over the averaging period. Below the quota
+// the mean follows an adaptive cap. The cap grows while round trips are near the best round trip and other
+// calls wait, and it is cut when round trips grow. The cap protects a dependency that slows down long before
+// it fails. It also keeps servers from using up their quotas at the same time and then waiting together for
+// the end of the period. An abandoned call still counts as in flight for a while, because the dependency may
+// still work on it.
 #pragma once
 
 #include <deque>
@@ -20,81 +21,84 @@
 
 enum class call_decision { wait, skip, fail };
 
-// What the decision on a waiting call depends on, beside the state of the calls.
+// The inputs of the decision on one waiting call.
 struct waiting_call {
   const request& run;
   const class_settings& its_class;
-  double calls_ahead = 0;    // placed before it
-  bool only_one = false;     // no other call waits
-  duration remaining_run{};  // time on the core after the call
+  double calls_ahead = 0;          // calls that are placed before it
+  bool only_waiting_call = false;  // no other call waits
+  duration remaining_run{};        // core time that the run needs after the call
 };
 
 class dependency_call_admission {
  public:
-  explicit dependency_call_admission(const settings& given);
+  explicit dependency_call_admission(const settings& policy_settings);
 
-  // Counts the time from `since` to `now`, in which so many calls were in flight.
-  void account(unsigned in_flight, time_point since, time_point now);
+  // Records that `in_flight` calls were in flight between `since` and `now`.
+  void record_usage(unsigned in_flight, time_point since, time_point now);
 
-  // A run of this class ended well having made so many calls.
+  // Records that a run of this class succeeded and made `calls_made` calls.
   void note_run_end(unsigned request_class, unsigned calls_made);
-  // Calls that the run is still expected to make, going by its class.
+  // Number of further calls expected from the run, from the mean of its class.
   double expected_calls(const request& run) const;
 
-  // A call came back, while others wait for their turn or not.
-  void call_ended(const call_ended& ended, bool others_wait, time_point now);
-  // The run of a call in flight ended, or the call was abandoned.
-  void abandoned(time_point now);
+  // Records the end of a call and adjusts the cap. `other_calls_waiting`: whether other calls wait to be
+  // placed.
+  void note_call_end(const call_ended& ended, bool other_calls_waiting, time_point now);
+  // Records that a call in flight was abandoned or its run ended.
+  void note_abandoned_call(time_point now);
 
   bool may_place(unsigned in_flight) const;
-  // How long the call of this run may take, from now, when so many others are in flight: it is given up when
-  // it would use up the quota alone, or when the run could not go on in time without it.
+  // The time limit, from now, for placing the call of this run while `in_flight` other calls are in flight.
+  // The limit keeps one call from using up the quota, and leaves a run that may skip its call enough time to
+  // continue without it.
   duration time_limit(const waiting_call& call, unsigned in_flight, time_point now) const;
 
-  // What is to become of a call that waits. What cannot come in time goes on without the call where that
-  // keeps weight, otherwise it fails at once and makes room; while calls are slow, what can go without never
-  // waits.
+  // Decides on a waiting call. A run whose call cannot return in time skips the call if its class keeps
+  // weight without it; otherwise the run fails at once and frees its resources. While the dependency is
+  // congested, a run that may skip its call does not wait for it.
   call_decision decide(const waiting_call& call, unsigned in_flight, time_point now) const;
 
-  // Delay before the next attempt of a call that failed so often: a dependency that fails is asked again
-  // later and later.
+  // Delay before the next attempt of a call after `failures` failed attempts. The delay grows exponentially,
+  // to limit the load on a failing dependency.
   duration retry_delay(unsigned failures) const;
 
-  // Seconds until a call may be placed that has so many before it.
+  // Expected seconds until a call is placed that has `calls_ahead` calls before it.
   double wait_seconds(double calls_ahead, unsigned in_flight) const;
-  // Mean seconds of the round trips of late; 0 = none seen.
+  // Moving average of the round trip times in seconds; 0 = no call has returned.
   double round_trip_seconds() const { return round_trip_s_; }
-  // Whether round trips are far longer than the best.
+  // Whether round trips take much longer than the best round trip.
   bool congested() const;
-  // Whether this server's quota of calls is stated.
+  // Whether a quota of calls is configured for this server.
   bool limited() const { return fair_calls_ > 0; }
 
  private:
+  // Usage between two events. Call seconds are calls in flight multiplied by seconds.
   struct usage_span {
     time_point end{};
-    double call_seconds = 0;  // calls in flight x seconds
+    double call_seconds = 0;
   };
 
-  double occupied(unsigned in_flight) const;
+  double effective_in_flight(unsigned in_flight) const;
   double call_quota() const;
   double period_budget() const;
-  void update_round_trip(const admission_policy::call_ended& ended, time_point now);
+  void update_round_trip(const call_ended& ended, time_point now);
 
-  double fair_calls_;  // this server's quota of calls in flight; 0 = not stated
+  double fair_calls_;  // this server's quota of calls in flight; 0 = not configured
   duration period_;
   duration abandoned_duration_;
   duration tick_;
   std::multiset<time_point> abandoned_until_;
-  std::deque<usage_span> spans_;  // of the period
-  double used_ = 0;               // calls in flight x seconds over the period
-  double cap_;                    // mean of the calls in flight that is meant
-  double credit_;                 // calls in flight x seconds that may be used at once
-  double round_trip_s_ = 0;       // mean of late; 0 = none seen
+  std::deque<usage_span> usage_spans_;  // within the averaging period
+  double used_call_seconds_ = 0;        // sum over usage_spans_
+  double cap_;                          // target for the mean number of calls in flight
+  double credit_call_seconds_;          // unused call seconds; negative after overuse
+  double round_trip_s_ = 0;             // moving average; 0 = no call has returned
   double best_round_trip_s_ = 0;
-  unsigned ended_since_cut_ = 0;
-  unsigned ended_ = 0;
-  time_point last_end_{};
-  std::vector<double> calls_per_run_;  // by class, of late
+  unsigned calls_since_cut_ = 0;
+  unsigned calls_measured_ = 0;
+  time_point last_call_end_{};
+  std::vector<double> calls_per_run_;  // by class, moving average
 };
 
 }  // namespace admission_policy
--- a/src/admission_policy/drain_state.hpp
+++ b/src/admission_policy/drain_state.hpp
@@ -1,4 +1,4 @@
-// What a shutdown notice means for requests: when the process stops, and what is too late to run.
+// The effect of shutdown notices: when the process stops and which requests arrive too late to run.
 #pragma once
 
 #include <algorithm>
@@ -12,32 +12,32 @@
  public:
   explicit drain_state(duration grace) : grace_(grace) {}
 
-  // Takes a notice that the process stops after `time_left`; of several the earliest stop counts. True for
-  // the first notice.
+  // Processes a notice that the process stops after `time_left`. The earliest stop of all notices applies.
+  // Returns true for the first notice.
   bool begin(duration time_left, time_point now) {
-    const bool first = !active_;
-    if (first) noticed_at_ = now;
+    const bool first_notice = !active_;
+    if (first_notice) first_notice_time_ = now;
     active_ = true;
-    stops_at_ = std::min(stops_at_, now + time_left);
-    return first;
+    stop_time_ = std::min(stop_time_, now + time_left);
+    return first_notice;
   }
 
   bool active() const { return active_; }
 
-  // The last moment for an answer.
-  time_point answer_by() const { return stops_at_ - answer_before_stop; }
+  // Latest time for an answer.
+  time_point answer_by() const { return stop_time_ - answer_margin_before_stop; }
 
-  // What reached the machine then is not run any more.
-  bool too_late_to_run(time_point arrived) const { return active_ && arrived > noticed_at_ + grace_; }
+  // Whether a request that reached the machine at `arrived` must not run.
+  bool too_late_to_run(time_point arrived) const { return active_ && arrived > first_notice_time_ + grace_; }
 
  private:
-  // Answers go out this long before the stop: the process may stall in its last moment.
-  static constexpr duration answer_before_stop = std::chrono::milliseconds(700);
+  // Answers leave this long before the stop, because the process may stall shortly before it stops.
+  static constexpr duration answer_margin_before_stop = std::chrono::milliseconds(700);
 
   duration grace_;
   bool active_ = false;
-  time_point noticed_at_{};
-  time_point stops_at_{duration::max()};
+  time_point first_notice_time_{};
+  time_point stop_time_{duration::max()};
 };
 
 }  // namespace admission_policy
--- a/src/admission_policy/idempotency_keys.hpp
+++ b/src/admission_policy/idempotency_keys.hpp
@@ -1,4 +1,4 @@
-// The keys that the host was told to retain, until they expire.
+// Expiry times of the idempotency keys that the host retains.
 #pragma once
 
 #include <cstddef>
@@ -14,18 +14,18 @@
  public:
   std::size_t size() const { return by_expiry_.size(); }
 
-  // Notes that the key of this request is retained until then.
-  void retain(request_id id, time_point until);
+  // Records that the host retains the key of this request until `expiry`.
+  void retain(request_id id, time_point expiry);
 
-  // Forgets the key of a request that never ran. False where none was retained.
+  // Removes the key of a request that never ran. Returns false if no key is retained for the request.
   bool forget(request_id id);
 
-  // Drops the key that expired first. False where none has expired by now.
+  // Removes the key with the earliest expiry if it has expired. Returns false if no key has expired.
   bool expire_one(time_point now);
 
  private:
   std::set<std::pair<time_point, request_id>> by_expiry_;
-  std::map<request_id, time_point> expiry_;
+  std::map<request_id, time_point> expiry_by_id_;
 };
 
 }  // namespace admission_policy
--- a/src/admission_policy/idle_connection_advisor.cpp
+++ b/src/admission_policy/idle_connection_advisor.cpp
@@ -5,20 +5,21 @@
 
 using namespace std::chrono_literals;
 
-// A caller returns when it comes back within this.
+// A caller counts as returning if its next arrival is within this time.
 constexpr duration return_window = 5s;
-// Idle connections are closed after this where callers do not return; an immediate retry still finds its own.
+// Idle time after which connections are closed where callers do not return. Long enough for an immediate
+// retry to reuse its connection.
 constexpr duration close_after = 200ms;
-// The fraction of returning callers is averaged over so many arrivals.
+// Number of arrivals over which the fraction of returning callers is averaged.
 constexpr double arrivals_averaged = 50;
-// Idle connections are kept while at least this fraction of callers returns.
+// Idle connections are kept open while at least this fraction of arrivals is from returning callers.
 constexpr double min_returning_fraction = 0.5;
 
 }  // namespace
 
 void idle_connection_advisor::note_arrival(unsigned caller, time_point now) {
-  const auto [seen, first] = last_seen_.try_emplace(caller, now - return_window);
-  const bool returned = !first && now - seen->second < return_window;
+  const auto [seen, first_arrival] = last_seen_.try_emplace(caller, now - return_window);
+  const bool returned = !first_arrival && now - seen->second < return_window;
   returning_fraction_ += ((returned ? 1 : 0) - returning_fraction_) / arrivals_averaged;
   seen->second = now;
 }
--- a/src/admission_policy/idle_connection_advisor.hpp
+++ b/src/admission_policy/idle_connection_advisor.hpp
@@ -1,5 +1,5 @@
-// Advises when to close idle connections: soon where callers seldom come back soon, so that a table of
-// connections does not fill with those of many callers of little traffic each.
+// Advises the host when to close idle connections. Where callers rarely return, idle connections are closed
+// early, so that the connection table does not fill up with connections of many low-traffic callers.
 #pragma once
 
 #include <map>
@@ -14,13 +14,14 @@
   // Counts an arrival from this caller.
   void note_arrival(unsigned caller, time_point now);
 
-  // The new advice if it has changed since the last one; at first connections are kept. Also forgets callers
-  // not seen of late, so that the table stays small where callers come with ever new numbers.
+  // Returns the advice if it differs from the previous one. Initially connections are kept open. Also removes
+  // callers that have not been seen within the return window, to bound the table when caller numbers are
+  // never reused.
   std::optional<close_idle> evaluate(time_point now);
 
  private:
   std::map<unsigned, time_point> last_seen_;  // by caller
-  double returning_fraction_ = 1;             // of recent arrivals
+  double returning_fraction_ = 1;             // of recent arrivals, moving average
   bool keeps_open_ = true;
 };
 
--- a/src/admission_policy/latency_objective.cpp
+++ b/src/admission_policy/latency_objective.cpp
@@ -4,14 +4,15 @@
 
 namespace admission_policy {
 
-duration objective_of(const class_settings& of) {
-  return of.latency_objective > duration::zero() ? of.latency_objective : of.deadline;
+duration objective_of(const class_settings& its_class) {
+  return its_class.latency_objective > duration::zero() ? its_class.latency_objective : its_class.deadline;
 }
 
-duration tightest_objective(const settings& given) {
-  duration tightest = duration::max();
-  for (const class_settings& one : given.classes) tightest = std::min(tightest, objective_of(one));
-  return tightest;
+duration shortest_objective(const settings& policy_settings) {
+  duration shortest = duration::max();
+  for (const class_settings& its_class : policy_settings.classes)
+    shortest = std::min(shortest, objective_of(its_class));
+  return shortest;
 }
 
 }  // namespace admission_policy
--- a/src/admission_policy/load_shedder.cpp
+++ b/src/admission_policy/load_shedder.cpp
@@ -9,7 +9,7 @@
 namespace admission_policy {
 namespace {
 
-// This server is slow when a unit of work takes more than this many times its best time.
+// This server appears slow when a unit of work takes more than this many times its best time.
 constexpr double locally_slow_factor = 1.6;
 
 }  // namespace
@@ -23,13 +23,13 @@
                                const dependency_call_admission& calls, time_point now)
     : load_(load),
       calls_(calls),
-      calls_in_flight_(requests.in_call()),
+      calls_in_flight_(requests.in_call_count()),
       now_(now),
       calls_ahead_(static_cast<double>(requests.awaiting_call().size())),
       unconditional_starts_(unconditional_starts(load, requests.running().size())) {
-  for (const auto& running : requests.running()) {
-    calls_ahead_ += calls.expected_calls(*running.entry);
-    work_ahead_s_ += remaining_seconds(*running.entry, now, load.time_per_unit);
+  for (const auto& run : requests.running()) {
+    calls_ahead_ += calls.expected_calls(*run.entry);
+    work_ahead_s_ += remaining_seconds(*run.entry, now, load.time_per_unit);
   }
   const double free_slots = std::max(0.0, load.slots - static_cast<double>(requests.running().size()));
   work_ahead_s_ -= load.time_per_unit * free_slots;
@@ -52,9 +52,10 @@
   return false;
 }
 
-duration advised_retry_after(double queued_work, double time_per_unit, double limit, duration most) {
+duration advised_retry_after(double queued_work, double time_per_unit, double limit,
+                             duration max_retry_after) {
   const double wait_s = queued_work * time_per_unit / limit;
-  return std::min(most, std::max(control_window, from_seconds(wait_s / 2)));
+  return std::min(max_retry_after, std::max(control_window, from_seconds(wait_s / 2)));
 }
 
 }  // namespace admission_policy
--- a/src/admission_policy/load_shedder.hpp
+++ b/src/admission_policy/load_shedder.hpp
@@ -1,5 +1,5 @@
-// Finds the queued requests that cannot make their objective, so that they are rejected while their callers
-// can still go elsewhere.
+// Finds queued requests that will miss their latency objective. They are rejected early, while their callers
+// can still try another server.
 #pragma once
 
 #include "admission_policy/dependency_call_admission.hpp"
@@ -10,21 +10,21 @@
 
 struct server_load {
   unsigned cores = 1;
-  double slots = 1;               // runs at once
-  double time_per_unit = 0;       // s of core time for a unit of work, now
-  double best_time_per_unit = 0;  // s, at the best pace known
+  double slots = 1;               // maximum number of concurrent runs
+  double time_per_unit = 0;       // current core seconds per unit of work
+  double best_time_per_unit = 0;  // lowest core seconds per unit of work
 };
 
-// One walk over the queue in the order in which it will run. Requests of tenants beyond their arrival curves
-// come last and so are shed first.
+// Predicts, in one pass over the queue in run order, which requests miss their objective. Requests that
+// exceed the arrival curve of their tenant are last in the queue and are therefore shed first.
 class queue_forecast {
  public:
-  // Starts with the requests that are on the cores and at calls now.
+  // Starts with the work and the calls of the requests that have already started.
   queue_forecast(const server_load& load, const request_table& requests,
                  const dependency_call_admission& calls, time_point now);
 
-  // Whether the next request of the queue is expected to miss its objective. If not, it counts as work ahead
-  // of those behind it.
+  // Whether the next request of the queue is expected to miss its objective. A request that is not expected
+  // to miss it counts as work ahead of the requests behind it.
   bool misses_objective(const request& next, const class_settings& its_class);
 
  private:
@@ -37,12 +37,14 @@
   double unconditional_starts_;
 };
 
-// How many queued requests start at once whatever their estimate says: as many as cores are free, or one on
-// an idle server that looks slow. Guards against rejecting everywhere what is merely large, and against an
-// estimate that cannot recover because nothing runs any more.
+// Number of queued requests that start at once regardless of their estimates: the number of free cores, or
+// one on an idle server that appears slow. This keeps servers from all rejecting a request that is merely
+// large, and lets the estimate recover when no requests run.
 double unconditional_starts(const server_load& load, std::size_t running);
 
-// What a rejected caller is advised to wait: half the time that the queued work will take, within bounds.
-duration advised_retry_after(double queued_work, double time_per_unit, double limit, duration most);
+// The retry-after for a rejected request: half of the time that the queued work takes, at least one control
+// window and at most `max_retry_after`.
+duration advised_retry_after(double queued_work, double time_per_unit, double limit,
+                             duration max_retry_after);
 
 }  // namespace admission_policy
--- a/src/admission_policy/load_signal.hpp
+++ b/src/admission_policy/load_signal.hpp
@@ -1,5 +1,5 @@
-// The value that this server advertises to callers, so that less is sent of what would be rejected: it
-// follows whether work is shed here or waits long to be read.
+// The value that this server advertises to its callers, so that they send fewer requests that would be
+// rejected. The value follows load shedding and long read delays.
 #pragma once
 
 #include <optional>
@@ -10,29 +10,30 @@
 
 class load_signal {
  public:
-  explicit load_signal(const settings& given);
+  explicit load_signal(const settings& policy_settings);
 
-  // A request was shed; an attempt waited so long to be read.
+  // A request was shed.
   void note_shed() { shed_in_window_ = true; }
+  // A request was read after this delay.
   void note_read_delay(duration delay);
 
-  // Fraction of the usual traffic that this server takes, 0 to 1.
+  // Fraction of the usual traffic that this server accepts, 0 to 1.
   double accepted_fraction() const { return accepted_fraction_; }
 
-  // Once in a control window: the new value where it has changed and callers read one. `limit`: runs at once;
-  // `run_seconds`: time of a run.
+  // Called at the end of each control window. Returns the new value if it has changed and callers use one.
+  // `limit`: maximum number of concurrent runs; `run_seconds`: duration of a run.
   std::optional<advertise> evaluate(double limit, double run_seconds, bool draining);
 
  private:
-  double value(double limit, double run_seconds, bool draining) const;
+  double value_to_advertise(double limit, double run_seconds, bool draining) const;
 
   signal_kind kind_;
   unsigned callers_;
-  duration tightest_objective_;
+  duration shortest_objective_;
   double accepted_fraction_ = 1;
-  double advertised_ = -1;  // none yet
+  double advertised_ = -1;  // -1: nothing has been advertised
   bool shed_in_window_ = false;
-  duration longest_read_delay_{};  // in this window
+  duration longest_read_delay_{};  // in the current control window
 };
 
 }  // namespace admission_policy
--- a/src/admission_policy/memory_guard.cpp
+++ b/src/admission_policy/memory_guard.cpp
@@ -3,19 +3,19 @@
 namespace admission_policy {
 namespace {
 
-// Fraction of the memory beyond which queued requests are rejected, so that unread arrivals find room.
+// Queued requests are rejected above this fraction of the memory; the rest is for arrivals not yet read.
 constexpr double queue_limit_fraction = 0.85;
-// Fraction of the memory up to which runs start, so that arrivals can be queued beside them.
+// Runs start only up to this fraction of the memory; the rest is for queued requests.
 constexpr double run_limit_fraction = 0.75;
-// Fraction of the memory up to which keys are retained; the rest is for requests.
+// Keys are retained only up to this fraction of the memory; the rest is for requests.
 constexpr double key_limit_fraction = 0.5;
 
 }  // namespace
 
-memory_guard::memory_guard(const settings& given)
-    : limit_kb_(given.memory_kb),
-      running_factor_(given.running_memory_factor),
-      key_kb_(given.idempotency_key_kb) {}
+memory_guard::memory_guard(const settings& policy_settings)
+    : limit_kb_(policy_settings.memory_kb),
+      running_factor_(policy_settings.running_memory_factor),
+      key_kb_(policy_settings.idempotency_key_kb) {}
 
 bool memory_guard::fits_as_run(double reserved_kb) const {
   return !limited() || total_kb_ + reserved_kb * (running_factor_ - 1) <= run_limit_fraction * limit_kb_;
--- a/src/admission_policy/memory_guard.hpp
+++ b/src/admission_policy/memory_guard.hpp
@@ -1,5 +1,5 @@
-// Counts the reserved memory of requests and retained keys, in KB, and keeps runs and keys below their
-// limits. A start multiplies the memory of a request and cannot be taken back everywhere.
+// Tracks the memory reserved by requests and retained keys, in KB, and decides whether runs and keys fit
+// within their limits. A start multiplies the memory of a request and cannot always be undone.
 #pragma once
 
 #include <cstddef>
@@ -10,9 +10,9 @@
 
 class memory_guard {
  public:
-  explicit memory_guard(const settings& given);
+  explicit memory_guard(const settings& policy_settings);
 
-  // Memory of a request that reserved so much when it arrived.
+  // Memory of a request that reserved `reserved_kb` on arrival.
   double request_kb(double reserved_kb, bool started) const {
     return reserved_kb * (started ? running_factor_ : 1);
   }
@@ -23,15 +23,15 @@
 
   // Whether a queued request may start.
   bool fits_as_run(double reserved_kb) const;
-  // Whether a key may be retained beside so many others.
+  // Whether another key may be retained in addition to `retained` keys.
   bool fits_another_key(std::size_t retained) const;
-  // Whether queued requests are to be rejected until less is reserved.
+  // Whether queued requests must be rejected to free memory.
   bool exceeded() const;
 
  private:
   bool limited() const { return limit_kb_ > 0; }
 
-  double limit_kb_;  // 0 = no limit is stated
+  double limit_kb_;  // 0 = not configured
   double running_factor_;
   double key_kb_;
   double total_kb_ = 0;
--- a/src/admission_policy/overload_detector.cpp
+++ b/src/admission_policy/overload_detector.cpp
@@ -8,17 +8,19 @@
 namespace admission_policy {
 namespace {
 
-// Reads are averaged over so many seconds.
+// Seconds over which the read rate is averaged.
 constexpr double read_averaging_s = 2;
-// Where no quotas are stated, accepting less than this fraction of the traffic means overload.
+// Without quotas, an accepted fraction below this value indicates overload everywhere.
 constexpr double low_accepted_fraction = 0.5;
-// Reads beyond this many times the quota of this server mean overload everywhere.
+// A read rate above this multiple of this server's quota indicates overload everywhere.
 constexpr double over_quota_factor = 1.1;
-// Excess over the quota, as a fraction of it, from which on every rejected request is told so.
+// Excess over the quota, as a fraction of the quota, from which on every rejected request counts as rejected
+// everywhere.
 constexpr double certain_excess = 1.2;
-// From this many times the quota on, the reads themselves explain that runs are slow.
+// From this multiple of the quota on, the cost of the reads explains why runs are slow.
 constexpr double flood_factor = 2;
-// This server is slow when a unit of work takes more than this many times what its runs at once explain.
+// This server is slow when a unit of work takes more than this many times the time that its number of
+// concurrent runs explains.
 constexpr double far_slower_factor = 2.5;
 
 }  // namespace
@@ -32,17 +34,18 @@
   retries_marked_ = retries_marked_ || marked_retry;
 }
 
-// More is read than this server's quota: then it is everywhere. Where less comes in and is still too much,
-// the trouble is here, as it is where this server is slow although it reads no flood.
-bool overload_detector::overloaded_everywhere(bool slow_here, double accepted_fraction) {
-  if (total_quota_ <= 0) return !slow_here && accepted_fraction < low_accepted_fraction;
-  if (slow_here && reads_per_second_ < flood_factor * total_quota_) return false;
+// A read rate above this server's quota means that all servers are overloaded. If the read rate is lower, or
+// if this server is slow without a flood of reads, the cause is local.
+bool overload_detector::overloaded_everywhere(bool locally_slow, double accepted_fraction) {
+  if (total_quota_ <= 0) return !locally_slow && accepted_fraction < low_accepted_fraction;
+  if (locally_slow && reads_per_second_ < flood_factor * total_quota_) return false;
   if (!retries_marked_) return reads_per_second_ > over_quota_factor * total_quota_;
-  // Marked retries past their objective end by themselves, and a walk costs less. On a small server a few
-  // reads more are chance, and others have room.
-  excess_ += std::clamp((reads_per_second_ / total_quota_ - 1) / certain_excess, 0.0, 1.0);
-  if (excess_ < 1) return false;
-  excess_ -= 1;
+  // Marked retries are rejected once their objective has passed, so a request that is retried at several
+  // servers costs less. On a small server a small excess of reads may be random, and other servers may have
+  // capacity. Only a fraction of the rejected requests is therefore reported as rejected everywhere.
+  accumulated_excess_ += std::clamp((reads_per_second_ / total_quota_ - 1) / certain_excess, 0.0, 1.0);
+  if (accumulated_excess_ < 1) return false;
+  accumulated_excess_ -= 1;
   return true;
 }
 
--- a/src/admission_policy/overload_detector.hpp
+++ b/src/admission_policy/overload_detector.hpp
@@ -1,5 +1,5 @@
-// Tells whether a rejected request would find no better place at another server. Guards against rejected work
-// that is tried at every server where none has capacity.
+// Estimates whether other servers are overloaded too. A rejected request is then not retried at other
+// servers, where it would only add load.
 #pragma once
 
 #include "admission_policy/policy.hpp"
@@ -8,30 +8,30 @@
 
 class overload_detector {
  public:
-  // `total_quota`: requests a second to which all tenants are entitled at this server; 0 = not stated.
+  // `total_quota`: sum of the tenants' quotas at this server in requests per second; 0 = not configured.
   explicit overload_detector(double total_quota) : total_quota_(total_quota) {}
 
-  // Time passes.
+  // Decays the measured read rate by the elapsed time.
   void advance(duration elapsed);
-  // An attempt was read.
+  // A request was read.
   void note_read(bool marked_retry);
-  // Whether a retry came with its mark so far.
+  // Whether any request so far was marked as a retry.
   bool retries_marked() const { return retries_marked_; }
 
-  // Whether other servers can be expected to be no better off. `slow_here`: this server does far less than it
-  // could; `accepted_fraction`: of the usual traffic, see load_signal. Where retries are marked, the answer
-  // is yes for a part of the calls that grows with the excess: call it once for a rejected request.
-  bool overloaded_everywhere(bool slow_here, double accepted_fraction);
+  // Whether other servers are expected to be overloaded too. `locally_slow`: this server works far below its
+  // best speed; `accepted_fraction`: see load_signal. Where retries are marked, only a fraction of the calls
+  // returns true, in proportion to the excess over the quota; call it once per rejected request.
+  bool overloaded_everywhere(bool locally_slow, double accepted_fraction);
 
  private:
   double total_quota_;
   double reads_per_second_ = 0;
   bool retries_marked_ = false;
-  double excess_ = 0;  // fractions of a rejection 'everywhere' that were not given yet
+  double accumulated_excess_ = 0;  // the next call that raises it to 1 returns true and takes 1 off
 };
 
-// Whether this server does far less a core than it could: whatever the cause, others are likely better off.
-// `running` runs at once on `cores`; times are seconds for a unit of work.
+// Whether this server works far below its best speed per core. Whatever the cause, other servers are probably
+// faster. `running`: concurrent runs on `cores`; times are core seconds per unit of work.
 bool is_slow(double time_per_unit, double best_time_per_unit, double running, unsigned cores);
 
 }  // namespace admission_policy
--- a/src/admission_policy/policy_impl.hpp
+++ b/src/admission_policy/policy_impl.hpp
@@ -1,9 +1,12 @@
-// The policy behind policy.hpp: applies events in order to its units, then makes the decisions that are due.
+// The implementation of the policy declared in policy.hpp. It passes events to its units in order and then
+// makes the decisions that follow from them.
 //
-// The ordinary path of a request: an arrival is tagged from its tenant's arrival curve and queued, the queue
-// is shed of what cannot make its objective, and the smallest finish tag starts while the concurrency limit
-// allows. policy.cpp applies the events, decisions.cpp makes the decisions after each batch, answers.cpp ends
-// requests and keeps the books.
+// The usual path of a request: its arrival gets tags from the arrival curve of its tenant and enters the
+// queue. Queued requests that cannot meet their latency objective are shed. The request with the smallest
+// finish tag starts while the concurrency limit allows another run.
+//
+// policy.cpp handles the events, request_scheduling.cpp makes the decisions after each batch of events and at
+// the end of each control window, and request_completion.cpp answers requests and changes their states.
 #pragma once
 
 #include <span>
@@ -31,15 +34,15 @@
 
 namespace admission_policy {
 
-// What the caller of a rejected request is told beyond the usual.
-struct rejection {
+// Requirements of one rejection, in addition to the advice that every rejection carries.
+struct rejection_advice {
   bool no_retry_elsewhere = false;
   duration min_retry_after{};
 };
 
 class policy::impl {
  public:
-  impl(settings given, time_point now);
+  impl(settings policy_settings, time_point now);
   const std::vector<action>& handle(time_point now, std::span<const event> events);
 
  private:
@@ -52,56 +55,58 @@
   void on(const shutdown_notice& notice);
   void on(const timer_fired& timer);
   void on(const quota_update& update);
-  request request_for(const arrival& attempt);
-  request& enqueue(request added);
+  request make_request(const arrival& attempt);
+  request& enqueue(request new_request);
   void admit(request& queued, const arrival& attempt, bool unlinked_duplicate);
-  void retry_call(request& failed, outcome result);
-  void account(time_point now);
+  void retry_call(request& run, outcome result);
+  void account_elapsed_time(time_point now);
 
   // Decisions after each batch of events.
   void shed_for_memory();
   void answer_due_requests();
   void decide_waiting_calls();
-  void shed_hopeless_requests();
+  void shed_requests_missing_objective();
   void reject_without_run_quota();
   void place_calls();
   void start_queued_requests();
   void set_next_timer();
 
-  // Decisions once in a control window.
+  // Decisions at the end of each control window.
   void end_control_window(const timer_fired& timer);
   void update_health();
   void repeat_stops();
 
-  // Answers and books.
-  void reject_request(request& rejected, rejection why = {});
+  // Answers and state changes.
+  void reject_request(request& rejected, rejection_advice advice = {});
   void fail_request(request& failed);
-  void release(request& unwanted);
-  void erase(request& ended);
-  void move(request& moved, request_state to);
+  void discard_or_stop(request& answered);
+  void remove_request(request& ended);
+  void change_state(request& target, request_state new_state);
   void retain_key_of(request& queued);
-  void set_deadline(request& of);
+  void set_deadline(request& target);
   template <typename Action>
-  void act(Action decided) {
-    actions_.emplace_back(std::move(decided));
+  void emit(Action emitted) {
+    actions_.emplace_back(std::move(emitted));
   }
 
-  const class_settings& class_of(const request& of) const { return settings_.classes[of.request_class]; }
+  const class_settings& class_of(const request& target) const {
+    return settings_.classes[target.request_class];
+  }
   bool can_stop_runs() const { return settings_.halt != halt_mode::none; }
   double speed() const { return slow_start_.speed(now_); }
   double ceiling() const { return limiter_.ceiling(speed()); }
   double time_per_unit() const { return service_times_.time_per_unit(requests_, now_); }
   double cpu_busy(const timer_fired& timer) const;
   bool has_start_slot() const;
-  bool slow_here() const;
-  duration retry_advice() const;
+  bool locally_slow() const;
+  duration retry_after_advice() const;
 
   settings settings_;
   time_point now_;
-  time_point accounted_;  // up to here time has been counted
+  time_point accounted_until_;  // elapsed time is accounted for up to here
   time_point window_end_;
-  time_point timer_at_{duration::max()};  // max: none is set
-  bool handled_before_ = false;           // the actions of the constructor went out
+  time_point timer_due_{duration::max()};  // max: no timer is set
+  bool handled_before_ = false;            // the actions of the constructor have been returned
   std::vector<action> actions_;
 
   request_table requests_;
--- a/src/admission_policy/progress_watchdog.cpp
+++ b/src/admission_policy/progress_watchdog.cpp
@@ -3,7 +3,7 @@
 namespace admission_policy {
 namespace {
 
-// Run ends that must be missing before work counts as stuck; a few long runs explain fewer.
+// Number of missed run ends from which on work counts as stuck. A few long runs can explain fewer.
 constexpr double missed_run_ends_when_stuck = 20;
 
 }  // namespace
@@ -15,9 +15,9 @@
 
 std::optional<health> progress_watchdog::evaluate(bool cores_empty, bool draining, time_point now) {
   if (cores_empty) note_progress(now);
-  const bool progresses =
+  const bool makes_progress =
       now - last_progress_ <= max_time_without_progress_ || missed_run_ends_ < missed_run_ends_when_stuck;
-  const health current = !draining && progresses ? health::good : health::bad;
+  const health current = !draining && makes_progress ? health::good : health::bad;
   if (current == reported_) return std::nullopt;
   reported_ = current;
   return current;
--- a/src/admission_policy/progress_watchdog.hpp
+++ b/src/admission_policy/progress_watchdog.hpp
@@ -1,6 +1,6 @@
-// Finds that work is stuck: runs are on the cores, none has ended well for a whole objective, and far more
-// should have ended than chance explains. Whatever the cause, what comes in then can only time out. One run
-// that ends well, or empty cores, make the server healthy again.
+// Detects stuck work: runs are on the cores, no run has succeeded for a whole latency objective, and many
+// more runs should have ended than can be explained by chance. Whatever the cause, new requests would only
+// time out. The server is healthy again after one successful run or when the cores are empty.
 #pragma once
 
 #include <optional>
@@ -13,27 +13,28 @@
 
 class progress_watchdog {
  public:
-  explicit progress_watchdog(duration tightest_objective) : max_time_without_progress_(tightest_objective) {}
+  explicit progress_watchdog(duration shortest_objective) : max_time_without_progress_(shortest_objective) {}
 
-  // A run ended well, or the first one went to empty cores.
+  // A run succeeded, or a run started on empty cores.
   void note_progress(time_point now);
 
-  // Counts the part of a run that was to end meanwhile, going by the best run time known.
+  // Adds a number of run ends, which may be a fraction, that the best known run time predicts for the elapsed
+  // time.
   void expect_run_ends(double runs) { missed_run_ends_ += runs; }
 
-  // Time in which this process itself stood still does not count.
+  // Excludes time during which this process was stalled.
   void skip(duration stalled) { last_progress_ += stalled; }
 
-  // The server has been told to shut down and is reported as unhealthy from here on.
+  // The server got a shutdown notice and is reported as unhealthy from now on.
   void shut_down() { reported_ = health::bad; }
 
-  // The health to report if it has changed since the last report.
+  // Returns the health if it differs from the last reported one.
   std::optional<health> evaluate(bool cores_empty, bool draining, time_point now);
 
  private:
   duration max_time_without_progress_;
   time_point last_progress_{};
-  double missed_run_ends_ = 0;  // runs that should have ended since then
+  double missed_run_ends_ = 0;  // runs that should have ended since last_progress_
   health reported_ = health::good;
 };
 
--- a/src/admission_policy/rate_quota_buckets.cpp
+++ b/src/admission_policy/rate_quota_buckets.cpp
@@ -7,7 +7,7 @@
 namespace admission_policy {
 namespace {
 
-// So many seconds of a rate may be used at once, as arrivals are not evenly spaced.
+// Burst of a bucket in seconds of its rate, because arrivals are not evenly spaced.
 constexpr double burst_s = 0.1;
 
 double burst_of(const rate_quota& quota) {
@@ -22,17 +22,17 @@
 }
 
 void rate_quota_buckets::bucket::fill(time_point now) {
-  tokens = std::min(burst_of(quota), tokens + quota.per_second * to_seconds(now - filled));
-  filled = now;
+  tokens = std::min(burst_of(quota), tokens + quota.per_second * to_seconds(now - last_fill));
+  last_fill = now;
 }
 
 void rate_quota_buckets::update(const std::vector<rate_quota>& quotas, time_point now) {
   std::vector<bucket> updated;
   for (const rate_quota& quota : quotas) {
-    const auto known = std::find_if(buckets_.begin(), buckets_.end(), [&](const bucket& one) {
-      return one.quota.tenant == quota.tenant && one.quota.request_class == quota.request_class;
+    const auto existing = std::find_if(buckets_.begin(), buckets_.end(), [&](const bucket& candidate) {
+      return candidate.quota.tenant == quota.tenant && candidate.quota.request_class == quota.request_class;
     });
-    bucket next = known == buckets_.end() ? bucket{quota, 1, now} : *known;
+    bucket next = existing == buckets_.end() ? bucket{quota, 1, now} : *existing;
     next.quota = quota;
     next.tokens = std::min(next.tokens, burst_of(quota));
     updated.push_back(next);
@@ -42,17 +42,19 @@
 
 rate_decision rate_quota_buckets::take(unsigned tenant, unsigned request_class, duration next_quota_in,
                                        time_point now) {
-  duration wait{};
-  for (bucket& one : buckets_) {
-    if (!one.covers(tenant, request_class)) continue;
-    one.fill(now);
-    if (one.tokens >= 1) continue;
-    const bool refills = one.quota.per_second > 0;
-    wait = std::max(wait, refills ? from_seconds((1 - one.tokens) / one.quota.per_second) : next_quota_in);
+  duration retry_after{};
+  for (bucket& candidate : buckets_) {
+    if (!candidate.covers(tenant, request_class)) continue;
+    candidate.fill(now);
+    if (candidate.tokens >= 1) continue;
+    const bool refills = candidate.quota.per_second > 0;
+    retry_after =
+        std::max(retry_after,
+                 refills ? from_seconds((1 - candidate.tokens) / candidate.quota.per_second) : next_quota_in);
   }
-  if (wait > duration::zero()) return {false, wait};
-  for (bucket& one : buckets_) {
-    if (one.covers(tenant, request_class)) one.tokens -= 1;
+  if (retry_after > duration::zero()) return {false, retry_after};
+  for (bucket& candidate : buckets_) {
+    if (candidate.covers(tenant, request_class)) candidate.tokens -= 1;
   }
   return {};
 }
--- a/src/admission_policy/rate_quota_buckets.hpp
+++ b/src/admission_policy/rate_quota_buckets.hpp
@@ -1,5 +1,5 @@
-// Token buckets for the shares of rate limits that are divided among servers: each server keeps to its part,
-// so that the limit holds over all of them.
+// Token buckets for this server's shares of rate limits that are divided among servers. The limit holds in
+// total because each server stays within its share.
 #pragma once
 
 #include <vector>
@@ -10,23 +10,23 @@
 
 struct rate_decision {
   bool admitted = true;
-  duration retry_after{};  // where not admitted: when a token may be there
+  duration retry_after{};  // for a request that is not admitted: time until a token may be available
 };
 
 class rate_quota_buckets {
  public:
-  // Replaces all quotas. A bucket whose tenant and class stay keeps its tokens, up to its new burst.
+  // Replaces all quotas. A bucket for the same tenant and class keeps its tokens, up to its new burst.
   void update(const std::vector<rate_quota>& quotas, time_point now);
 
-  // Takes a token from every bucket that a request falls under, or from none. `next_quota_in` is the advice
-  // of a bucket without a rate.
+  // Takes a token from every bucket that covers the request, or from none if any of them is empty.
+  // `next_quota_in`: the retry-after of a bucket whose rate is 0.
   rate_decision take(unsigned tenant, unsigned request_class, duration next_quota_in, time_point now);
 
  private:
   struct bucket {
     rate_quota quota;
     double tokens = 1;
-    time_point filled{};
+    time_point last_fill{};
 
     bool covers(unsigned tenant, unsigned request_class) const;
     void fill(time_point now);
--- a/src/admission_policy/decisions.cpp
+++ b/src/admission_policy/request_scheduling.cpp
@@ -1,4 +1,4 @@
-// The decisions of policy::impl after each batch of events, and once in a control window.
+// The decisions of policy::impl after each batch of events and at the end of each control window.
 #include <algorithm>
 
 #include "admission_policy/control_window.hpp"
@@ -10,14 +10,14 @@
 
 using namespace std::chrono_literals;
 
-// Waiting calls are looked at again after this, which is shorter than most round trips.
+// Interval between two decisions on waiting calls; shorter than most round trips.
 constexpr duration waiting_call_interval = 20ms;
-// The gauge of the fraction of the cores that is busy.
+// Name of the gauge for the busy fraction of the cores.
 constexpr const char* cpu_busy_gauge = "cpu_busy";
 
 }  // namespace
 
-// The largest finish tags go first.
+// Rejects queued requests, the largest finish tag first, until memory is within its limit.
 void policy::impl::shed_for_memory() {
   while (memory_.exceeded() && !requests_.queue().empty()) {
     load_signal_.note_shed();
@@ -25,7 +25,7 @@
   }
 }
 
-// Every request gets its answer before it is due, whatever it is at: guards against lost requests.
+// Answers every request that is due, in whatever state it is, so that no request is lost.
 void policy::impl::answer_due_requests() {
   while (request* const due = requests_.next_due(now_)) {
     if (due->ran) {
@@ -43,23 +43,23 @@
   double calls_ahead = 0;
   for (auto next = waiting.begin(); next != waiting.end();) {
     request& run = *(next++)->entry;
-    const duration remaining = from_seconds(remaining_seconds(run, run.left_core, per_unit));
-    const waiting_call call{run, class_of(run), calls_ahead, waiting.size() == 1, remaining};
-    switch (calls_.decide(call, requests_.in_call(), now_)) {
+    const duration remaining_run = from_seconds(remaining_seconds(run, run.left_core, per_unit));
+    const waiting_call call{run, class_of(run), calls_ahead, waiting.size() == 1, remaining_run};
+    switch (calls_.decide(call, requests_.in_call_count(), now_)) {
       case call_decision::wait: calls_ahead += 1; break;
       case call_decision::skip:
-        act(skip_call{run.id});
+        emit(skip_call{run.id});
         run.running_since += now_ - run.left_core;
-        move(run, request_state::running);
+        change_state(run, request_state::running);
         break;
       case call_decision::fail: fail_request(run); break;
     }
   }
 }
 
-// What cannot make its objective is rejected while its caller can still go elsewhere. Where the dependency is
-// congested, no other server would do better.
-void policy::impl::shed_hopeless_requests() {
+// Rejects requests that will miss their objective while their callers can still try another server. If a
+// request needs a call and the dependency is congested, other servers would reject the request too.
+void policy::impl::shed_requests_missing_objective() {
   reject_without_run_quota();
   const request_table::index& queue = requests_.queue();
   if (queue.empty()) return;
@@ -81,10 +81,10 @@
   }
 }
 
-// Without a quota of runs nothing that is queued will start: it is rejected at once.
+// Rejects all queued requests if this server has no quota of runs, because none of them can start.
 void policy::impl::reject_without_run_quota() {
-  const bool none = quota_.max_concurrent_runs >= 0 && quota_.max_concurrent_runs < 1;
-  if (!none) return;
+  const bool no_quota = quota_.max_concurrent_runs >= 0 && quota_.max_concurrent_runs < 1;
+  if (!no_quota) return;
   while (!requests_.queue().empty()) {
     request& first = *requests_.queue().begin()->entry;
     reject_request(first, {.min_retry_after = quota_.next_quota_in});
@@ -94,18 +94,18 @@
 void policy::impl::place_calls() {
   const request_table::index& waiting = requests_.awaiting_call();
   for (auto next = waiting.begin(); next != waiting.end();) {
-    const unsigned in_flight = requests_.in_call();
+    const unsigned in_flight = requests_.in_call_count();
     if (!calls_.may_place(in_flight)) return;
     request& run = *(next++)->entry;
     if (run.next_call_after > now_) continue;
-    const duration remaining = from_seconds(remaining_seconds(run, run.left_core, time_per_unit()));
-    const duration limit = calls_.time_limit({run, class_of(run), 0, false, remaining}, in_flight, now_);
-    move(run, request_state::in_call);
-    act(place_call{run.id, limit});
+    const duration remaining_run = from_seconds(remaining_seconds(run, run.left_core, time_per_unit()));
+    const duration limit = calls_.time_limit({run, class_of(run), 0, false, remaining_run}, in_flight, now_);
+    change_state(run, request_state::in_call);
+    emit(place_call{run.id, limit});
   }
 }
 
-// The smallest finish tag starts.
+// Starts requests, the smallest finish tag first, while start slots and memory are available.
 void policy::impl::start_queued_requests() {
   while (!requests_.queue().empty() && has_start_slot()) {
     request& next = *requests_.queue().begin()->entry;
@@ -114,32 +114,33 @@
     next.ran = true;
     next.running_since = now_;
     if (requests_.running().empty()) watchdog_.note_progress(now_);
-    move(next, request_state::running);
-    act(start{next.id});
+    change_state(next, request_state::running);
+    emit(start{next.id});
     set_deadline(next);
   }
 }
 
-// A quota of runs counts every one that was started until its end, also at a call, stopped or cancelled.
+// Whether another run may start. A run counts against the quota from its start to its end, also while it is
+// at a call or after it was stopped or cancelled.
 bool policy::impl::has_start_slot() const {
-  const double most = ceiling();
+  const double max_runs = ceiling();
   const auto running = static_cast<double>(requests_.running().size());
-  if (running >= std::min(limiter_.limit(), most)) return false;
-  const std::size_t at_calls = requests_.awaiting_call().size() + requests_.in_call();
-  if (running + static_cast<double>(at_calls) >= most) return false;
+  if (running >= std::min(limiter_.limit(), max_runs)) return false;
+  const std::size_t at_calls = requests_.awaiting_call().size() + requests_.in_call_count();
+  if (running + static_cast<double>(at_calls) >= max_runs) return false;
   const double quota = quota_.max_concurrent_runs;
-  return quota < 0 || quota - static_cast<double>(requests_.started()) >= 1;
+  return quota < 0 || quota - static_cast<double>(requests_.started_count()) >= 1;
 }
 
-// One timer, for what is due first.
+// Sets a timer for the earliest event that is due, unless an earlier timer is set.
 void policy::impl::set_next_timer() {
   time_point next = window_end_;
   next = std::min(next, requests_.next_deadline().value_or(next));
   if (!requests_.awaiting_call().empty()) next = std::min(next, now_ + waiting_call_interval);
   next = std::max(next, now_ + settings_.tick);
-  if (next >= timer_at_) return;
-  timer_at_ = next;
-  act(set_timer{next - now_});
+  if (next >= timer_due_) return;
+  timer_due_ = next;
+  emit(set_timer{next - now_});
 }
 
 void policy::impl::end_control_window(const timer_fired& timer) {
@@ -148,9 +149,9 @@
   limiter_.adjust({cpu_busy(timer), per_unit, service_times_.best_time_per_unit(), speed()}, now_);
   const double run_seconds = per_unit * to_seconds(assumed_run_time);
   const auto signal = load_signal_.evaluate(limiter_.limit(), run_seconds, drain_.active());
-  if (signal) act(*signal);
+  if (signal) emit(*signal);
   update_health();
-  if (const auto advice = idle_connections_.evaluate(now_)) act(*advice);
+  if (const auto advice = idle_connections_.evaluate(now_)) emit(*advice);
   repeat_stops();
   window_end_ = now_ + control_window;
 }
@@ -167,15 +168,15 @@
   const auto changed = watchdog_.evaluate(requests_.running().empty(), drain_.active(), now_);
   if (!changed) return;
   const bool good = *changed == health::good;
-  act(set_health{good, true});
-  act(log_line{good ? "health: runs end again" : "health: no run has ended for a whole aim"});
+  emit(set_health{good, true});
+  emit(log_line{good ? "health: runs end again" : "health: no run has ended for a whole aim"});
 }
 
-// A stop that fell on frozen cores had no effect.
+// Repeats stops, because a stop has no effect while the cores are frozen.
 void policy::impl::repeat_stops() {
   if (!can_stop_runs()) return;
   for (const auto& run : requests_.running()) {
-    if (run.entry->answered) act(stop_run{run.id});
+    if (run.entry->answered) emit(stop_run{run.id});
   }
 }
 
--- a/src/admission_policy/retry_age_estimator.hpp
+++ b/src/admission_policy/retry_age_estimator.hpp
@@ -1,5 +1,5 @@
-// Estimates how long ago the first attempt of a marked retry was sent, so that no work is done for retries
-// whose objective passed elsewhere.
+// Estimates how long ago the first attempt of a marked retry was sent. Requests whose objective has already
+// passed at other servers are then not run.
 #pragma once
 
 #include <map>
@@ -11,9 +11,10 @@
 
 class retry_age_estimator {
  public:
-  // Learns from the attempt's client timeout and returns the age of its first attempt: what the timeout
-  // missing_required of the longest one seen from this caller for this class. 0 for attempts that carry no
-  // retry mark, as first attempts come with differing timeouts too, and for those without a timeout.
+  // Records the attempt's client timeout and returns the estimated age of its first attempt: the longest
+  // timeout seen from this caller for this class, less the timeout of this attempt. Returns 0 for attempts
+  // without a timeout and for attempts that are not marked as retries, because the timeouts of first attempts
+  // differ too.
   duration age_of(const arrival& attempt);
 
  private:
--- a/src/admission_policy/service_time_estimator.hpp
+++ b/src/admission_policy/service_time_estimator.hpp
@@ -1,5 +1,5 @@
-// Estimates the core time that a unit of work takes. A unit is a second of expected work on a standard core
-// once requests state theirs, until then one request.
+// Estimates the core time per unit of work. Once a request states its expected work, a unit is one second of
+// expected work on a standard core. Until then a unit is one request.
 #pragma once
 
 #include <chrono>
@@ -9,43 +9,43 @@
 
 namespace admission_policy {
 
-// Time of a run where neither its expected work nor earlier runs tell it.
+// Assumed run time without expected work and without measurements of earlier runs.
 inline constexpr duration assumed_run_time = std::chrono::milliseconds(300);
 
 class service_time_estimator {
  public:
-  // `speed` is the fraction of full speed that the server has, here and below.
+  // `speed`, here and below: the current fraction of the server's full speed.
   service_time_estimator(unsigned cores, double speed);
 
-  // Units of work of a request that states this expected work (0 = none). The first one that does changes the
-  // unit and drops what was known.
+  // Units of work of a request with this expected work (0 = not stated). The first request that states its
+  // expected work changes the unit and resets the estimates.
   double work_of(duration expected_work, double speed);
 
-  // Runs had so much time on the cores; older evidence counts less.
+  // Adds core time used by runs. Older measurements lose weight.
   void add_core_time(double seconds);
 
-  // A run of so many units ended well.
+  // A run with this many units of work succeeded.
   void run_ended(double work, double speed);
 
-  // Seconds of core time for a unit: time spent over work done. Runs in progress count as partly done, by the
-  // time they have had, so that a server whose runs stop ending looks slow at once.
+  // Core seconds per unit: core time used divided by work done. Runs in progress count as partly done in
+  // proportion to their elapsed time, so that the server appears slow at once when runs stop ending.
   double time_per_unit(const request_table& requests, time_point now) const;
 
-  // Once in a control window, at full speed: follows the best time known.
+  // Updates the best time per unit; called at the end of each control window at full speed.
   void update_best(double time_per_unit);
-  // Seconds of core time for a unit at the best pace known.
-  double best_time_per_unit() const { return best_s_; }
+  // Lowest core seconds per unit.
+  double best_time_per_unit() const { return best_time_per_unit_s_; }
 
  private:
   unsigned cores_;
-  double core_seconds_;    // decayed: time of runs on the cores ...
-  double units_done_ = 1;  // ... and the work that they finished
-  double best_s_;          // for a unit
+  double core_seconds_;    // core time used by runs, exponentially decayed
+  double units_done_ = 1;  // work done in core_seconds_, decayed alike
+  double best_time_per_unit_s_;
   unsigned full_speed_runs_ = 0;
   bool work_is_stated_ = false;
 };
 
-// Seconds of core time that a run has left, having been on the core until then.
-double remaining_seconds(const request& run, time_point until, double time_per_unit);
+// Core seconds that a run still needs if it was on the core until `on_core_until`.
+double remaining_seconds(const request& run, time_point on_core_until, double time_per_unit);
 
 }  // namespace admission_policy
--- a/src/admission_policy/slow_start.cpp
+++ b/src/admission_policy/slow_start.cpp
@@ -6,10 +6,10 @@
 
 namespace admission_policy {
 
-slow_start::slow_start(const settings& given, time_point started)
-    : cold_start_(given.cold_start),
-      initial_speed_(given.cold_start_capacity),
-      warm_after_(given.slow_start_duration),
+slow_start::slow_start(const settings& policy_settings, time_point started)
+    : cold_start_(policy_settings.cold_start),
+      initial_speed_(policy_settings.cold_start_capacity),
+      warm_after_(policy_settings.slow_start_duration),
       started_(started) {}
 
 double slow_start::speed(time_point now) const {
--- a/src/admission_policy/slow_start.hpp
+++ b/src/admission_policy/slow_start.hpp
@@ -1,4 +1,4 @@
-// Slow start: a server whose process has just started takes less, rising to full speed.
+// Slow start: a process that has just started has a reduced speed, which rises to full speed.
 #pragma once
 
 #include "admission_policy/policy.hpp"
@@ -7,9 +7,9 @@
 
 class slow_start {
  public:
-  slow_start(const settings& given, time_point started);
+  slow_start(const settings& policy_settings, time_point started);
 
-  // Fraction of full speed, at most 1, that the server has reached at least.
+  // Lower bound of the server's current speed, as a fraction of full speed; at most 1.
   double speed(time_point now) const;
 
  private:
--- a/src/admission_policy/time_conversion.hpp
+++ b/src/admission_policy/time_conversion.hpp
@@ -1,4 +1,4 @@
-// Conversion between durations and seconds as floating point, in which rates and means are kept.
+// Conversion between durations and seconds as floating-point numbers, used for rates and means.
 #pragma once
 
 #include <algorithm>
@@ -13,7 +13,8 @@
   return std::chrono::duration<double>(span).count();
 }
 
-// Bounded to about three years either way, so that a division by a small rate stays representable.
+// Clamps to about three years in either direction, so that the result of a division by a small rate stays
+// representable.
 inline duration from_seconds(double seconds) {
   constexpr double bound_s = 1e8;
   constexpr double nanoseconds_per_second = 1e9;
--- a/src/admission_policy/unlinked_duplicate_detector.cpp
+++ b/src/admission_policy/unlinked_duplicate_detector.cpp
@@ -8,7 +8,7 @@
 namespace admission_policy {
 namespace {
 
-// A caller waits at least this fraction of the objective before it sends another attempt.
+// Minimum time, as a fraction of the objective, before a caller sends another attempt.
 constexpr double min_wait_fraction = 0.5;
 
 }  // namespace
@@ -18,14 +18,14 @@
   const duration min_wait = from_seconds(to_seconds(objective_of(its_class)) * min_wait_fraction);
   while (!delayed_attempts_.empty() && delayed_attempts_.front().read + its_class.idempotency_window < now)
     delayed_attempts_.pop_front();
-  const bool found =
+  const bool found_original =
       std::any_of(delayed_attempts_.begin(), delayed_attempts_.end(), [&](const delayed_attempt& earlier) {
         const bool same_origin = attempt.retry || (!retries_marked && earlier.caller == attempt.caller);
-        const time_point reached = earlier.read - earlier.read_delay;
-        return same_origin && earlier.read >= arrived && reached + min_wait <= arrived;
+        const time_point earlier_arrived = earlier.read - earlier.read_delay;
+        return same_origin && earlier.read >= arrived && earlier_arrived + min_wait <= arrived;
       });
   if (attempt.read_delay >= min_wait) delayed_attempts_.push_back({now, attempt.read_delay, attempt.caller});
-  return found && attempt.duplicate_of == 0;
+  return found_original && attempt.duplicate_of == 0;
 }
 
 }  // namespace admission_policy
--- a/src/admission_policy/unlinked_duplicate_detector.hpp
+++ b/src/admission_policy/unlinked_duplicate_detector.hpp
@@ -1,6 +1,7 @@
-// Finds keyed attempts that may duplicate one which stood here unread when they were sent: no key can link
-// the two then, and both might run. Guards against two effects after a stall, a full intake or slow reads; it
-// also finds some attempts that are other requests.
+// Finds keyed attempts that may duplicate an earlier attempt which had not been read when they were sent. The
+// earlier attempt's key was not yet retained, so no key links the two, and both could run. This guards
+// against a second effect after a stall, a full accept queue or slow reads. It also reports some attempts
+// that are not duplicates.
 #pragma once
 
 #include <deque>
@@ -11,9 +12,10 @@
 
 class unlinked_duplicate_detector {
  public:
-  // Whether a keyed attempt, which reached the machine at `arrived` and is read now, may be such a duplicate.
-  // Where retries carry marks (`retries_marked`) a duplicate is known by its own, otherwise by its caller.
-  // Attempts that waited long to be read are remembered for the idempotency window of the class.
+  // Whether a keyed attempt that reached the machine at `arrived` and is read now may be such a duplicate.
+  // Where retries are marked (`retries_marked`), only a marked attempt can be one; otherwise only an attempt
+  // of the same caller. Attempts with a long read delay are remembered for the idempotency window of the
+  // class.
   bool check(const arrival& attempt, const class_settings& its_class, time_point arrived, bool retries_marked,
              time_point now);
 
@@ -24,7 +26,7 @@
     unsigned caller = 0;
   };
 
-  std::deque<delayed_attempt> delayed_attempts_;  // by time of read
+  std::deque<delayed_attempt> delayed_attempts_;  // by read time
 };
 
 }  // namespace admission_policy
--- a/tests/admission_policy/arrival_curve_test.cpp
+++ b/tests/admission_policy/arrival_curve_test.cpp
@@ -20,7 +20,7 @@
   const request_tags tags = curves.tag(0, 1s, 100ms);
   EXPECT_EQ(tags.start, 100ms);
   EXPECT_EQ(tags.finish, 1100ms);
-  EXPECT_FALSE(tags.spaced);
+  EXPECT_FALSE(tags.exceeds_curve);
 }
 
 TEST(ArrivalCurve, SpacesRequestsBeyondTheBurstByTheRate) {
@@ -29,7 +29,7 @@
   curves.tag(0, 1s, 0ns);
   const request_tags third = curves.tag(0, 1s, 0ns);
   const request_tags fourth = curves.tag(0, 1s, 0ns);
-  EXPECT_TRUE(third.spaced);
+  EXPECT_TRUE(third.exceeds_curve);
   EXPECT_EQ(third.start, 0ns);
   EXPECT_EQ(fourth.start, 500ms);
 }
@@ -44,7 +44,7 @@
 
 TEST(ArrivalCurve, NeverSpacesATenantWithoutAQuota) {
   arrival_curves curves = two_tenants();
-  for (int i = 0; i < 10; ++i) EXPECT_FALSE(curves.tag(1, 1s, 0ns).spaced);
+  for (int i = 0; i < 10; ++i) EXPECT_FALSE(curves.tag(1, 1s, 0ns).exceeds_curve);
 }
 
 TEST(ArrivalCurve, ShiftsBackTagsThatRanAheadWhileOthersWereIdle) {
--- a/tests/admission_policy/dependency_call_admission_test.cpp
+++ b/tests/admission_policy/dependency_call_admission_test.cpp
@@ -37,32 +37,32 @@
   dependency_call_admission calls(with_fair_calls(0.5));  // 0.8 call seconds in 2 s
   EXPECT_TRUE(calls.may_place(0));
   EXPECT_FALSE(calls.may_place(1));
-  calls.account(1, 0ns, 700ms);
+  calls.record_usage(1, 0ns, 700ms);
   EXPECT_FALSE(calls.may_place(0));
-  calls.account(0, 700ms, 2800ms);
+  calls.record_usage(0, 700ms, 2800ms);
   EXPECT_TRUE(calls.may_place(0));
 }
 
 TEST(DependencyCallAdmission, CountsAnAbandonedCallForAWhile) {
   dependency_call_admission calls(with_fair_calls(1));
-  calls.abandoned(0ns);
+  calls.note_abandoned_call(0ns);
   EXPECT_FALSE(calls.may_place(0));
-  calls.account(0, 0ns, 200ms);
+  calls.record_usage(0, 0ns, 200ms);
   EXPECT_TRUE(calls.may_place(0));
 }
 
 TEST(DependencyCallAdmission, IsJammedWhenRoundTripsGrowFarBeyondTheBest) {
   dependency_call_admission calls(with_fair_calls(10));
-  for (int i = 0; i < 10; ++i) calls.call_ended(succeeded(10ms), false, 10ms * i);
+  for (int i = 0; i < 10; ++i) calls.note_call_end(succeeded(10ms), false, 10ms * i);
   EXPECT_FALSE(calls.congested());
-  for (int i = 0; i < 10; ++i) calls.call_ended(succeeded(100ms), false, 1s + 10ms * i);
+  for (int i = 0; i < 10; ++i) calls.note_call_end(succeeded(100ms), false, 1s + 10ms * i);
   EXPECT_TRUE(calls.congested());
 }
 
 TEST(DependencyCallAdmission, TakesAboutTwoSecondsOfTheCapAsDebt) {
   dependency_call_admission calls(with_fair_calls(4));  // a cap of 1 call in the mean
-  calls.call_ended(succeeded(100ms), false, 0ns);
-  calls.account(3, 0ns, 5s);  // debt: 10 call seconds, of which 2 count
+  calls.note_call_end(succeeded(100ms), false, 0ns);
+  calls.record_usage(3, 0ns, 5s);  // debt: 10 call seconds, of which 2 count
   EXPECT_NEAR(calls.wait_seconds(0, 0), 2, 1e-9);
 }
 
@@ -78,7 +78,7 @@
 
 TEST(DependencyCallAdmission, SkipsACallThatCannotComeInTimeWhereThatKeepsWeight) {
   dependency_call_admission calls(with_fair_calls(4));
-  calls.call_ended(succeeded(500ms), false, 0ns);
+  calls.note_call_end(succeeded(500ms), false, 0ns);
   class_settings skippable = plain_settings().classes[0];
   const request run = run_until(400ms);
   EXPECT_EQ(calls.decide({run, skippable, 0, false, 10ms}, 0, 0ns), call_decision::fail);
@@ -97,7 +97,7 @@
 
 TEST(DependencyCallAdmission, DoublesTheDelayBetweenAttempts) {
   dependency_call_admission calls(with_fair_calls(4));
-  calls.call_ended(succeeded(100ms), false, 0ns);
+  calls.note_call_end(succeeded(100ms), false, 0ns);
   EXPECT_EQ(calls.retry_delay(1), 100ms);
   EXPECT_EQ(calls.retry_delay(3), 400ms);
   EXPECT_EQ(calls.retry_delay(20), calls.retry_delay(8));
--- a/tests/admission_policy/load_shedder_test.cpp
+++ b/tests/admission_policy/load_shedder_test.cpp
@@ -23,7 +23,7 @@
     request made;
     made.id = id;
     made.work = 1;
-    table.move(table.enqueue(made), request_state::running);
+    table.change_state(table.enqueue(made), request_state::running);
   }
   return table;
 }
--- a/tests/admission_policy/request_table_test.cpp
+++ b/tests/admission_policy/request_table_test.cpp
@@ -27,27 +27,27 @@
 TEST(RequestTable, KeepsARequestInTheIndexOfItsStateOnly) {
   request_table table;
   request& moved = table.enqueue(queued_request(1, 0ns));
-  table.move(moved, request_state::running);
+  table.change_state(moved, request_state::running);
   EXPECT_TRUE(table.queue().empty());
   EXPECT_EQ(table.running().size(), 1u);
-  table.move(moved, request_state::awaiting_call);
+  table.change_state(moved, request_state::awaiting_call);
   EXPECT_TRUE(table.running().empty());
   EXPECT_EQ(table.awaiting_call().size(), 1u);
-  table.move(moved, request_state::in_call);
+  table.change_state(moved, request_state::in_call);
   EXPECT_TRUE(table.awaiting_call().empty());
-  EXPECT_EQ(table.in_call(), 1u);
-  table.move(moved, request_state::ending);
-  EXPECT_EQ(table.in_call(), 0u);
-  EXPECT_EQ(table.started(), 1u);
+  EXPECT_EQ(table.in_call_count(), 1u);
+  table.change_state(moved, request_state::ending);
+  EXPECT_EQ(table.in_call_count(), 0u);
+  EXPECT_EQ(table.started_count(), 1u);
 }
 
 TEST(RequestTable, CountsAsStartedWhatIsNeitherQueuedNorSharing) {
   request_table table;
   table.enqueue(queued_request(1, 0ns));
-  table.move(table.enqueue(queued_request(2, 0ns)), request_state::sharing_result);
-  table.move(table.enqueue(queued_request(3, 0ns)), request_state::running);
-  table.move(table.enqueue(queued_request(4, 0ns)), request_state::in_call);
-  EXPECT_EQ(table.started(), 2u);
+  table.change_state(table.enqueue(queued_request(2, 0ns)), request_state::sharing_result);
+  table.change_state(table.enqueue(queued_request(3, 0ns)), request_state::running);
+  table.change_state(table.enqueue(queued_request(4, 0ns)), request_state::in_call);
+  EXPECT_EQ(table.started_count(), 2u);
 }
 
 TEST(RequestTable, ReturnsRequestsInTheOrderOfTheirDeadlines) {
@@ -66,7 +66,7 @@
   request_table table;
   request& ended = table.enqueue(queued_request(1, 0ns));
   table.set_deadline(ended, 10ms);
-  table.move(ended, request_state::sharing_result);
+  table.change_state(ended, request_state::sharing_result);
   table.remove(ended);
   EXPECT_EQ(table.find(1), nullptr);
   EXPECT_FALSE(table.next_deadline().has_value());
--- a/tests/admission_policy/service_time_estimator_test.cpp
+++ b/tests/admission_policy/service_time_estimator_test.cpp
@@ -16,7 +16,7 @@
   made.id = 1;
   made.work = work;
   made.running_since = since;
-  table.move(table.enqueue(made), request_state::running);
+  table.change_state(table.enqueue(made), request_state::running);
   return table;
 }
 
