--- a/src/policy_settings/settings_reader.hpp
+++ b/src/policy_settings/settings_reader.hpp
@@ -1,5 +1,5 @@
-// The one table from the operators' setting names to the module's settings. The adapter fills the paths from
-// the lines of the simulator's wire, the price node from its JSON configuration.
+// Maps the operators' setting names to the settings of the admission policy. The simulator adapter takes the
+// names and values from the simulator's wire, the price node from its JSON configuration.
 #pragma once
 
 #include <functional>
@@ -10,11 +10,11 @@
 
 namespace admission_policy {
 
-// `Classes.0.Name` -> value; a list of objects has its length under `.count`, plain lists are joined by
-// commas.
+// Setting paths, such as `Classes.0.Name`, with their values. The length of a list of objects is stored under
+// `.count`; the values of a plain list are joined by commas.
 using setting_paths = std::map<std::string, std::string, std::less<>>;
 
-// Throws std::invalid_argument naming the key that cannot be used; keys that are absent have defaults.
+// Throws std::invalid_argument with the key if a value is invalid. Missing keys have defaults.
 settings settings_from(const setting_paths& paths);
 
 }  // namespace admission_policy
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,4 +1,5 @@
-// Hosts one policy for each instance on the simulator's wire: standard input to standard output.
+// Runs one admission policy per simulated instance. Reads event batches from standard input and writes the
+// actions to standard output in the simulator's wire protocol.
 #include <algorithm>
 #include <cstdio>
 #include <exception>
@@ -15,100 +16,101 @@
 
 using namespace admission_policy;
 
-// All instances of one simulation, by their numbers on the wire.
-class host {
+// The policies of all instances of one simulation.
+class policy_host {
  public:
-  // Answers one batch; the reply has no header yet.
-  std::string answer(time_point now, const std::vector<wire::record>& records) {
+  // Processes one batch and returns the reply without its header.
+  std::string process_batch(time_point now, const std::vector<wire::record>& records) {
     std::string reply;
-    for (const wire::record& record : records) take(reply, record, now);
-    for (const wire::instance_id id : touched_) {
-      instance& touched = instances_[id];
-      if (!touched.decider) continue;
-      for (const action& decided : touched.decider->handle(now, touched.pending))
+    for (const wire::record& record : records) process_record(reply, record, now);
+    for (const wire::instance_id id : addressed_ids_) {
+      instance& addressed = instances_[id];
+      if (!addressed.admission) continue;
+      for (const action& decided : addressed.admission->handle(now, addressed.pending_events))
         wire::encode(reply, id, decided);
-      touched.pending.clear();
+      addressed.pending_events.clear();
     }
-    touched_.clear();
+    addressed_ids_.clear();
     return reply;
   }
 
  private:
   struct instance {
-    std::unique_ptr<policy> decider;  // null until the instance is opened
-    std::vector<event> pending;       // of the present batch
-    bool faulty = false;              // its settings could not be used: its events are dropped
+    std::unique_ptr<policy> admission;  // null until the instance is opened
+    std::vector<event> pending_events;  // of the current batch
+    bool faulty = false;                // the settings were invalid; events of the instance are ignored
   };
 
-  void take(std::string& reply, const wire::record& record, time_point now) {
+  void process_record(std::string& reply, const wire::record& record, time_point now) {
     instance& addressed = instances_[record.instance];
-    if (const auto* opened = std::get_if<wire::opened>(&record.content)) {
+    if (const auto* opened = std::get_if<wire::instance_opened>(&record.content)) {
       open(reply, record.instance, addressed, *opened, now);
-    } else if (std::holds_alternative<wire::crashed>(record.content)) {
+    } else if (std::holds_alternative<wire::instance_crashed>(record.content)) {
       addressed = instance{};
-    } else if (const auto* unknown = std::get_if<wire::unknown>(&record.content)) {
-      const bool first = reported_.insert(unknown->code).second;
-      if (first) std::cerr << "unknown event code " << unknown->code << " skipped\n";
+    } else if (const auto* unknown = std::get_if<wire::unknown_record>(&record.content)) {
+      const bool first_report = reported_codes_.insert(unknown->code).second;
+      if (first_report)
+        std::cerr << "simulator_adapter: skipping records with unknown event code " << unknown->code << '\n';
     } else if (!addressed.faulty) {
-      if (!addressed.decider) {
+      if (!addressed.admission) {
         throw wire::bad_frame("event for instance " + std::to_string(record.instance) +
-                              ", which is not open");
+                              ", but the instance has not been opened");
       }
-      addressed.pending.push_back(std::get<event>(record.content));
-      touched_.insert(record.instance);
+      addressed.pending_events.push_back(std::get<event>(record.content));
+      addressed_ids_.insert(record.instance);
     }
   }
 
-  void open(std::string& reply, wire::instance_id id, instance& opening, const wire::opened& request,
-            time_point now) {
-    opening = instance{};
+  void open(std::string& reply, wire::instance_id id, instance& opened,
+            const wire::instance_opened& parameters, time_point now) {
+    opened = instance{};
     try {
-      opening.decider =
-          std::make_unique<policy>(wire::parse_settings(request.environment), request.seed, now);
-      touched_.insert(id);
+      opened.admission =
+          std::make_unique<policy>(wire::parse_settings(parameters.environment), parameters.seed, now);
+      addressed_ids_.insert(id);
     } catch (const std::invalid_argument& error) {
-      opening.faulty = true;
+      opened.faulty = true;
       wire::encode_fault(reply, id, error.what());
     }
   }
 
   std::map<wire::instance_id, instance> instances_;
-  std::set<wire::instance_id> touched_;
-  std::set<unsigned> reported_;  // unknown codes, each reported once
+  std::set<wire::instance_id> addressed_ids_;  // instances with events in the current batch
+  std::set<unsigned> reported_codes_;          // unknown event codes that have been reported
 };
 
-// Reads up to `size` bytes, less only at the end of input. Memory grows with what arrives, not with what a
-// header promises.
+// Reads `size` bytes, or fewer at the end of the input. Memory is allocated in chunks as bytes arrive, so
+// that a wrong size in a header cannot cause a huge allocation.
 std::string read_bytes(std::size_t size) {
-  constexpr std::size_t chunk = std::size_t{1} << 20;
+  constexpr std::size_t chunk_size = std::size_t{1} << 20;
   std::string bytes;
   while (bytes.size() < size) {
-    const std::size_t had = bytes.size();
-    const std::size_t wanted = std::min(chunk, size - had);
-    bytes.resize(had + wanted);
-    const std::size_t got = std::fread(bytes.data() + had, 1, wanted, stdin);
-    bytes.resize(had + got);
+    const std::size_t bytes_read = bytes.size();
+    const std::size_t wanted = std::min(chunk_size, size - bytes_read);
+    bytes.resize(bytes_read + wanted);
+    const std::size_t got = std::fread(bytes.data() + bytes_read, 1, wanted, stdin);
+    bytes.resize(bytes_read + got);
     if (got < wanted) break;
   }
   return bytes;
 }
 
 void serve() {
-  host simulated;
+  policy_host host;
   while (true) {
     const std::string head = read_bytes(wire::batch_header_size);
     if (head.empty()) return;
     const auto [size, now] = wire::decode_header(head);
     const std::string body = read_bytes(size);
     if (body.size() < size) {
-      throw wire::bad_frame("batch cut short: " + std::to_string(body.size()) + " of " +
+      throw wire::bad_frame("input ended within a batch: got " + std::to_string(body.size()) + " of " +
                             std::to_string(size) + " bytes");
     }
-    const std::string reply = simulated.answer(now, wire::decode_batch(body));
+    const std::string reply = host.process_batch(now, wire::decode_batch(body));
     const std::string header = wire::reply_header(reply.size());
     std::fwrite(header.data(), 1, header.size(), stdout);
     std::fwrite(reply.data(), 1, reply.size(), stdout);
-    if (std::fflush(stdout) != 0) throw std::runtime_error("standard output is closed");
+    if (std::fflush(stdout) != 0) throw std::runtime_error("writing to standard output failed");
   }
 }
 
@@ -118,8 +120,8 @@
   try {
     serve();
     return 0;
-  } catch (const std::exception& e) {
-    std::cerr << "simulator_adapter: " << e.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "simulator_adapter: " << error.what() << '\n';
     return 1;
   }
 }
--- a/src/simulator_adapter/wire.hpp
+++ b/src/simulator_adapter/wire.hpp
@@ -1,4 +1,5 @@
-// The simulator's wire: frames in, frames out. No decisions here.
+// Decoding and encoding of the simulator's wire protocol. The simulator sends batches of records with events;
+// the reply to each batch is a sequence of records with actions.
 #pragma once
 
 #include <cstdint>
@@ -15,45 +16,46 @@
 
 using instance_id = std::uint16_t;
 
-// Input that breaks the protocol; the text says what, where and for which instance.
+// Thrown for input that violates the protocol. The text names the record, its byte offset and its instance.
 struct bad_frame : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// An instance starts, with its settings as lines of path=value.
-struct opened {
+// A new instance of a server process starts. Its settings are lines of path=value.
+struct instance_opened {
   std::uint64_t seed{};
   std::string environment;
 };
-// An instance ends without notice.
-struct crashed {};
-// A record whose code this program does not know.
-struct unknown {
+// An instance ends without a shutdown notice.
+struct instance_crashed {};
+// A record with an unknown event code.
+struct unknown_record {
   unsigned code{};
 };
 struct record {
   instance_id instance{};
-  std::variant<event, opened, crashed, unknown> content;
+  std::variant<event, instance_opened, instance_crashed, unknown_record> content;
 };
 
 inline constexpr std::size_t batch_header_size = 12;  // bytes
 
 struct batch_header {
-  std::uint32_t size{};  // bytes of the batch behind it
+  std::uint32_t size{};  // of the batch that follows the header, in bytes
   time_point now{};
 };
 
-// Both throw bad_frame.
+// Throw bad_frame for invalid input.
 batch_header decode_header(std::string_view bytes);
 std::vector<record> decode_batch(std::string_view body);
 
-// Append to the reply; its header, which is sent before it, tells its size.
-void encode(std::string& reply, instance_id instance, const action& what);
+// Append a record to the reply.
+void encode(std::string& reply, instance_id instance, const action& encoded);
 void encode_fault(std::string& reply, instance_id instance, std::string_view text);
+// The header that is sent before the reply. It contains the size of the reply.
 std::string reply_header(std::size_t body_size);
 
-// Reads the path=value lines of the settings. Throws std::invalid_argument naming the key that cannot be
-// used.
+// Parses the settings, which are lines of path=value. Throws std::invalid_argument with the key if a value is
+// invalid.
 settings parse_settings(std::string_view environment);
 
 }  // namespace admission_policy::wire
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -84,7 +84,7 @@
   const auto records = decode_batch(from_hex("12 08000000 0500 192b6f0e aabb  63 04000000 0300 0102"));
   ASSERT_EQ(records.size(), 2u);
   EXPECT_EQ(std::get<client_cancelled>(std::get<event>(records[0].content)).id, 0x0e6f2b19u);
-  EXPECT_EQ(std::get<unknown>(records[1].content).code, 0x63u);
+  EXPECT_EQ(std::get<unknown_record>(records[1].content).code, 0x63u);
 }
 
 TEST(Settings, AbsentOnesHaveDefaults) {
