--- a/tests/admission_policy/arrival_curve_test.cpp
+++ b/tests/admission_policy/arrival_curve_test.cpp
@@ -7,15 +7,15 @@
 namespace admission_policy::testing {
 namespace {
 
-// Two tenants on one server; the objective of 1 s makes a burst of two for the rate of two a second.
+// Two tenants on one server. A rate of 2 requests per second and an objective of 1 s give a burst of 2.
 arrival_curves two_tenants() {
-  settings given = plain_settings();
-  given.servers = 1;
-  given.tenants = {{"limited", 2}, {"unlimited", 0}};
-  return arrival_curves(given, 0ns);
+  settings policy_settings = plain_settings();
+  policy_settings.servers = 1;
+  policy_settings.tenants = {{"limited", 2}, {"unlimited", 0}};
+  return arrival_curves(policy_settings, 0ns);
 }
 
-TEST(ArrivalCurve, TagsARequestInsideTheCurveAtItsArrival) {
+TEST(ArrivalCurve, TagsARequestWithinTheCurveWithItsArrivalTime) {
   arrival_curves curves = two_tenants();
   const request_tags tags = curves.tag(0, 1s, 100ms);
   EXPECT_EQ(tags.start, 100ms);
@@ -23,7 +23,7 @@
   EXPECT_FALSE(tags.exceeds_curve);
 }
 
-TEST(ArrivalCurve, SpacesRequestsBeyondTheBurstByTheRate) {
+TEST(ArrivalCurve, SpacesRequestsThatExceedTheCurveByTheRate) {
   arrival_curves curves = two_tenants();
   curves.tag(0, 1s, 0ns);
   curves.tag(0, 1s, 0ns);
@@ -34,7 +34,7 @@
   EXPECT_EQ(fourth.start, 500ms);
 }
 
-TEST(ArrivalCurve, RefundGivesBackTheTokenAndThePlace) {
+TEST(ArrivalCurve, RefundReturnsTheTokenAndTheInterval) {
   arrival_curves curves = two_tenants();
   for (int i = 0; i < 3; ++i) curves.tag(0, 1s, 0ns);
   EXPECT_EQ(curves.tag(0, 1s, 0ns).start, 500ms);
@@ -47,28 +47,28 @@
   for (int i = 0; i < 10; ++i) EXPECT_FALSE(curves.tag(1, 1s, 0ns).exceeds_curve);
 }
 
-TEST(ArrivalCurve, ShiftsBackTagsThatRanAheadWhileOthersWereIdle) {
+TEST(ArrivalCurve, ShiftsFutureTagsBackWhileOtherTenantsAreIdle) {
   arrival_curves curves = two_tenants();
   for (int i = 0; i < 4; ++i) {
     curves.tag(0, 1s, 0ns);
     curves.enqueued(0);
   }
-  curves.started(0, 500ms);  // the tenant's last run was 500 ms ahead of now
+  curves.started(0, 500ms);  // the start tag of the last run is 500 ms in the future
   const request_tags tags = curves.tag(0, 1s, 0ns);
-  EXPECT_EQ(tags.start, 1s);  // 500 ms in real time, and the shift of 500 ms
+  EXPECT_EQ(tags.start, 1s);  // 500 ms in real time plus a shift of 500 ms
 }
 
-TEST(ArrivalCurve, TakesTenantNumbersBeyondTheLastAsTheLast) {
+TEST(ArrivalCurve, MapsUnknownTenantNumbersToTheLastTenant) {
   const arrival_curves curves = two_tenants();
   EXPECT_EQ(curves.tenant_of(0), 0u);
   EXPECT_EQ(curves.tenant_of(7), 1u);
 }
 
 TEST(ArrivalCurve, SumsTheQuotasOfThisServer) {
-  settings given = plain_settings();
-  given.servers = 4;
-  given.tenants = {{"first", 8}, {"second", 4}};
-  EXPECT_EQ(arrival_curves(given, 0ns).total_quota(), 3);
+  settings policy_settings = plain_settings();
+  policy_settings.servers = 4;
+  policy_settings.tenants = {{"first", 8}, {"second", 4}};
+  EXPECT_EQ(arrival_curves(policy_settings, 0ns).total_quota(), 3);
 }
 
 }  // namespace
--- a/tests/admission_policy/drain_state_test.cpp
+++ b/tests/admission_policy/drain_state_test.cpp
@@ -7,7 +7,7 @@
 namespace admission_policy::testing {
 namespace {
 
-TEST(DrainState, TakesAnswersUntilShortlyBeforeTheStop) {
+TEST(DrainState, AllowsAnswersUntilShortlyBeforeTheStop) {
   drain_state drain(1s);
   EXPECT_FALSE(drain.active());
   EXPECT_TRUE(drain.begin(3s, 10s));
@@ -15,7 +15,7 @@
   EXPECT_EQ(drain.answer_by(), 12300ms);
 }
 
-TEST(DrainState, KeepsTheEarliestStopOfSeveralNotices) {
+TEST(DrainState, AppliesTheEarliestStopOfSeveralNotices) {
   drain_state drain(1s);
   drain.begin(3s, 10s);
   EXPECT_FALSE(drain.begin(5s, 11s));
@@ -24,7 +24,7 @@
   EXPECT_EQ(drain.answer_by(), 11300ms);
 }
 
-TEST(DrainState, RunsWhatArrivedWithinTheGraceOfTheFirstNotice) {
+TEST(DrainState, AllowsRunsOfArrivalsWithinTheGracePeriodOfTheFirstNotice) {
   drain_state drain(1s);
   EXPECT_FALSE(drain.too_late_to_run(100s));
   drain.begin(9s, 10s);
--- a/tests/admission_policy/golden_record.cpp
+++ b/tests/admission_policy/golden_record.cpp
@@ -1,5 +1,5 @@
-// Writes the expectations of the golden test, a file for each scenario, into the folder that is named. To be
-// run only when decisions are meant to change; the change of the files then shows in review.
+// Writes the expected output of the golden test into a folder, one file per scenario. Run it only for an
+// intended change of the decisions, so that the changed files show up in review.
 #include <cstdio>
 #include <fstream>
 
--- a/tests/admission_policy/golden_test.cpp
+++ b/tests/admission_policy/golden_test.cpp
@@ -1,4 +1,5 @@
-// The same events give the same decisions as were recorded in tests/data/golden, byte for byte.
+// Guards against unintended changes of decisions: the same events must give the actions recorded in
+// tests/data/golden, byte for byte.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -8,14 +9,14 @@
 
 namespace admission_policy::testing {
 
-// Keeps the names of the tests readable.
+// Prints the name of the scenario instead of its bytes in test names and failures.
 void PrintTo(const golden_scenario& scenario, std::ostream* out) {
   *out << scenario.name;
 }
 
 namespace {
 
-std::string recorded(const std::string& scenario) {
+std::string read_record(const std::string& scenario) {
   std::ifstream file(std::string(GOLDEN_FOLDER) + "/" + scenario + ".txt");
   std::ostringstream text;
   text << file.rdbuf();
@@ -24,8 +25,8 @@
 
 class Golden : public ::testing::TestWithParam<golden_scenario> {};
 
-TEST_P(Golden, DecisionsAreThoseRecorded) {
-  const std::string expected = recorded(GetParam().name);
+TEST_P(Golden, DecisionsEqualTheRecord) {
+  const std::string expected = read_record(GetParam().name);
   ASSERT_FALSE(expected.empty()) << "no record of " << GetParam().name;
   EXPECT_EQ(summary_of(GetParam()), expected);
 }
--- a/tests/admission_policy/harness.hpp
+++ b/tests/admission_policy/harness.hpp
@@ -1,4 +1,4 @@
-// Drives one policy with hand-made events in fake time.
+// Test harness that passes events to one policy in simulated time, and helpers that make settings and events.
 #pragma once
 
 #include <algorithm>
@@ -12,56 +12,59 @@
 using namespace std::chrono_literals;
 
 inline settings plain_settings() {
-  settings s;
-  s.classes.push_back({.name = "read", .latency_objective = 1s, .deadline = 4s});
-  s.servers = 2;
-  s.callers = 2;
-  s.cores = 2;
-  s.concurrency_ceiling_per_core = 5;
-  s.concurrency_ceiling_period = 2s;
-  s.memory_kb = 100000;
-  s.running_memory_factor = 4;
-  s.tick = 1ms;
-  s.halt = halt_mode::drop;
-  s.gauges = {"cpu_busy"};
-  s.drain_grace = 1s;
-  s.max_retry_after = 1s;
-  s.answer_slack = 50ms;
-  return s;
+  settings policy_settings;
+  policy_settings.classes.push_back({.name = "read", .latency_objective = 1s, .deadline = 4s});
+  policy_settings.servers = 2;
+  policy_settings.callers = 2;
+  policy_settings.cores = 2;
+  policy_settings.concurrency_ceiling_per_core = 5;
+  policy_settings.concurrency_ceiling_period = 2s;
+  policy_settings.memory_kb = 100000;
+  policy_settings.running_memory_factor = 4;
+  policy_settings.tick = 1ms;
+  policy_settings.halt = halt_mode::drop;
+  policy_settings.gauges = {"cpu_busy"};
+  policy_settings.drain_grace = 1s;
+  policy_settings.max_retry_after = 1s;
+  policy_settings.answer_slack = 50ms;
+  return policy_settings;
 }
 
-class rig {
+class policy_harness {
  public:
-  explicit rig(settings s) : policy_(std::move(s), 1, now), actions(policy_.handle(now, {})) {}
+  explicit policy_harness(settings policy_settings)
+      : policy_(std::move(policy_settings), 1, now), actions(policy_.handle(now, {})) {}
 
+  // Passes events to the policy and stores the resulting actions in `actions`.
   const std::vector<action>& send(std::vector<event> events) { return actions = policy_.handle(now, events); }
-  const std::vector<action>& at(duration t, std::vector<event> events) {
-    now = start_of_time + t;
+  const std::vector<action>& send_at(duration since_origin, std::vector<event> events) {
+    now = origin + since_origin;
     return send(std::move(events));
   }
 
+  // The last actions of one type, the ids of their requests, and whether one refers to this request.
   template <typename T>
-  std::vector<T> all() const {
+  std::vector<T> actions_of() const {
     std::vector<T> found;
-    for (const action& a : actions) {
-      if (const T* t = std::get_if<T>(&a)) found.push_back(*t);
+    for (const action& candidate : actions) {
+      if (const T* matching = std::get_if<T>(&candidate)) found.push_back(*matching);
     }
     return found;
   }
   template <typename T>
-  std::vector<request_id> ids() const {
+  std::vector<request_id> ids_of() const {
     std::vector<request_id> found;
-    for (const T& t : all<T>()) found.push_back(t.id);
+    for (const T& matching : actions_of<T>()) found.push_back(matching.id);
     return found;
   }
   template <typename T>
   bool has(request_id id) const {
-    const auto found = ids<T>();
+    const auto found = ids_of<T>();
     return std::find(found.begin(), found.end(), id) != found.end();
   }
 
-  static constexpr time_point start_of_time = 1000s;
-  time_point now = start_of_time;
+  static constexpr time_point origin = 1000s;
+  time_point now = origin;
 
  private:
   policy policy_;
@@ -70,19 +73,19 @@
   std::vector<action> actions;
 };
 
-inline arrival request_of(request_id id, unsigned tenant = 0, unsigned request_class = 0) {
-  arrival a;
-  a.id = id;
-  a.tenant = tenant;
-  a.request_class = request_class;
-  a.reserved_kb = 10;
-  return a;
+inline arrival make_arrival(request_id id, unsigned tenant = 0, unsigned request_class = 0) {
+  arrival created;
+  created.id = id;
+  created.tenant = tenant;
+  created.request_class = request_class;
+  created.reserved_kb = 10;
+  return created;
 }
 
-inline completion done(request_id id, duration elapsed = 100ms) {
+inline completion successful_completion(request_id id, duration elapsed = 100ms) {
   return {id, outcome::ok, elapsed};
 }
-inline timer_fired tick_with(double cpu_busy) {
+inline timer_fired timer_with_cpu_busy(double cpu_busy) {
   return timer_fired{{cpu_busy}};
 }
 
--- a/tests/admission_policy/idempotency_keys_test.cpp
+++ b/tests/admission_policy/idempotency_keys_test.cpp
@@ -7,7 +7,7 @@
 namespace admission_policy::testing {
 namespace {
 
-TEST(IdempotencyKeys, ExpireOneByOneInTheOrderOfTheirEnds) {
+TEST(IdempotencyKeys, ExpireOneByOneInOrderOfExpiry) {
   idempotency_keys keys;
   keys.retain(1, 20ms);
   keys.retain(2, 10ms);
--- a/tests/admission_policy/idle_connection_advisor_test.cpp
+++ b/tests/admission_policy/idle_connection_advisor_test.cpp
@@ -7,7 +7,7 @@
 namespace admission_policy::testing {
 namespace {
 
-TEST(IdleConnectionAdvisor, KeepsConnectionsOfCallersThatReturn) {
+TEST(IdleConnectionAdvisor, KeepsConnectionsOpenIfCallersReturn) {
   idle_connection_advisor advisor;
   for (int i = 0; i < 200; ++i) {
     advisor.note_arrival(static_cast<unsigned>(i % 10), i * 10ms);
@@ -15,35 +15,35 @@
   }
 }
 
-TEST(IdleConnectionAdvisor, ClosesSoonWhereCallersDoNotReturnAndKeepsAgainWhenTheyDo) {
+TEST(IdleConnectionAdvisor, ClosesEarlyIfCallersDoNotReturnAndKeepsOpenIfTheyDo) {
   idle_connection_advisor advisor;
   for (unsigned caller = 0; caller < 100; ++caller) advisor.note_arrival(caller, 1ms * caller);
   const auto closing = advisor.evaluate(100ms);
   ASSERT_TRUE(closing.has_value());
   EXPECT_EQ(closing->after, 200ms);
-  EXPECT_FALSE(advisor.evaluate(100ms).has_value());  // only a change is advised
+  EXPECT_FALSE(advisor.evaluate(100ms).has_value());  // the advice has not changed
   for (unsigned i = 0; i < 100; ++i) advisor.note_arrival(1, 200ms);
   const auto keeping = advisor.evaluate(200ms);
   ASSERT_TRUE(keeping.has_value());
   EXPECT_EQ(keeping->after, 0ns);
 }
 
-TEST(IdleConnectionAdvisor, CountsACallerThatComesBackAfterFiveSecondsAsNew) {
-  idle_connection_advisor soon;
-  idle_connection_advisor late;
+TEST(IdleConnectionAdvisor, CountsACallerThatReturnsAfterFiveSecondsAsNew) {
+  idle_connection_advisor within_window;
+  idle_connection_advisor after_window;
   for (int i = 0; i < 100; ++i) {
-    soon.note_arrival(1, i * 4999ms);
-    late.note_arrival(1, i * 5000ms);
+    within_window.note_arrival(1, i * 4999ms);
+    after_window.note_arrival(1, i * 5000ms);
   }
-  EXPECT_FALSE(soon.evaluate(500s).has_value());
-  EXPECT_TRUE(late.evaluate(500s).has_value());
+  EXPECT_FALSE(within_window.evaluate(500s).has_value());
+  EXPECT_TRUE(after_window.evaluate(500s).has_value());
 }
 
-TEST(IdleConnectionAdvisor, KeepsConnectionsWhileHalfOfTheCallersReturn) {
+TEST(IdleConnectionAdvisor, KeepsConnectionsOpenWhileHalfOfTheArrivalsReturn) {
   idle_connection_advisor advisor;
   unsigned new_caller = 0;
   while (!advisor.evaluate(0ns)) advisor.note_arrival(++new_caller, 0ns);
-  EXPECT_EQ(new_caller, 35u);  // 0.98 to the 35th is the first power below one half
+  EXPECT_EQ(new_caller, 35u);  // 0.98^35 is the first power below 0.5
 }
 
 }  // namespace
--- a/tests/admission_policy/memory_guard_test.cpp
+++ b/tests/admission_policy/memory_guard_test.cpp
@@ -7,24 +7,24 @@
 namespace admission_policy::testing {
 namespace {
 
-// 1000 KB; a run takes four times what it reserved; a key takes 10 KB.
+// A run uses four times the memory that its request reserved; a key uses 10 KB.
 memory_guard guard_of(double memory_kb) {
-  settings given = plain_settings();
-  given.memory_kb = memory_kb;
-  given.running_memory_factor = 4;
-  given.idempotency_key_kb = 10;
-  return memory_guard(given);
+  settings policy_settings = plain_settings();
+  policy_settings.memory_kb = memory_kb;
+  policy_settings.running_memory_factor = 4;
+  policy_settings.idempotency_key_kb = 10;
+  return memory_guard(policy_settings);
 }
 
 TEST(MemoryGuard, StartsRunsUpToThreeQuartersOfTheMemory) {
   memory_guard memory = guard_of(1000);
   memory.reserve(450);
-  EXPECT_TRUE(memory.fits_as_run(100));  // three times 100 KB come on top
+  EXPECT_TRUE(memory.fits_as_run(100));  // the start adds three times 100 KB
   memory.reserve(1);
   EXPECT_FALSE(memory.fits_as_run(100));
 }
 
-TEST(MemoryGuard, IsExceededAboveItsShareAndNotAfterRelease) {
+TEST(MemoryGuard, IsExceededAboveTheQueueLimitUntilMemoryIsReleased) {
   memory_guard memory = guard_of(1000);
   memory.reserve(850);
   EXPECT_FALSE(memory.exceeded());
@@ -40,7 +40,7 @@
   EXPECT_FALSE(memory.fits_another_key(50));
 }
 
-TEST(MemoryGuard, LimitsNothingWhereNoMemoryIsStated) {
+TEST(MemoryGuard, HasNoLimitIfNoMemoryIsConfigured) {
   memory_guard memory = guard_of(0);
   memory.reserve(1e9);
   EXPECT_TRUE(memory.fits_as_run(1e9));
--- a/tests/admission_policy/rate_quota_buckets_test.cpp
+++ b/tests/admission_policy/rate_quota_buckets_test.cpp
@@ -9,13 +9,13 @@
 
 constexpr int all_classes = -1;
 
-TEST(RateQuotaBuckets, AdmitWhatNoQuotaCovers) {
+TEST(RateQuotaBuckets, AdmitRequestsThatNoQuotaCovers) {
   rate_quota_buckets buckets;
   buckets.update({{0, all_classes, 10}}, 0ns);
   for (int i = 0; i < 5; ++i) EXPECT_TRUE(buckets.take(1, 0, 1s, 0ns).admitted);
 }
 
-TEST(RateQuotaBuckets, AdmitOneAtOnceAndSayWhenTheNextMayCome) {
+TEST(RateQuotaBuckets, AdmitOneRequestAndAdviseWhenTheNextTokenIsAvailable) {
   rate_quota_buckets buckets;
   buckets.update({{0, all_classes, 10}}, 0ns);
   EXPECT_TRUE(buckets.take(0, 0, 1s, 0ns).admitted);
@@ -25,15 +25,15 @@
   EXPECT_TRUE(buckets.take(0, 0, 1s, 100ms).admitted);
 }
 
-TEST(RateQuotaBuckets, TakeFromEveryBucketThatCoversARequestOrFromNone) {
+TEST(RateQuotaBuckets, TakeATokenFromEveryCoveringBucketOrFromNone) {
   rate_quota_buckets buckets;
   buckets.update({{0, all_classes, 10}, {0, 1, 0.5}}, 0ns);
   EXPECT_TRUE(buckets.take(0, 1, 1s, 0ns).admitted);
-  EXPECT_FALSE(buckets.take(0, 1, 1s, 100ms).admitted);  // its class has none left
-  EXPECT_TRUE(buckets.take(0, 0, 1s, 100ms).admitted);   // and the tenant's token was not taken
+  EXPECT_FALSE(buckets.take(0, 1, 1s, 100ms).admitted);  // the bucket of its class is empty
+  EXPECT_TRUE(buckets.take(0, 0, 1s, 100ms).admitted);   // the tenant's token was not taken
 }
 
-TEST(RateQuotaBuckets, WithoutARateAdviseWhenTheNextQuotaComes) {
+TEST(RateQuotaBuckets, AdviseTheNextQuotaIfTheRateIsZero) {
   rate_quota_buckets buckets;
   buckets.update({{0, all_classes, 10}}, 0ns);
   buckets.take(0, 0, 700ms, 0ns);
@@ -41,7 +41,7 @@
   EXPECT_EQ(buckets.take(0, 0, 700ms, 10ms).retry_after, 700ms);
 }
 
-TEST(RateQuotaBuckets, KeepTheTokensOfAQuotaThatIsRenewed) {
+TEST(RateQuotaBuckets, KeepTheTokensOfAnUpdatedQuota) {
   rate_quota_buckets buckets;
   buckets.update({{0, all_classes, 10}}, 0ns);
   buckets.take(0, 0, 1s, 0ns);
--- a/tests/admission_policy/request_table_test.cpp
+++ b/tests/admission_policy/request_table_test.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 request queued_request(request_id id, time_point finish_tag) {
-  request made;
-  made.id = id;
-  made.finish_tag = finish_tag;
-  return made;
+  request created;
+  created.id = id;
+  created.finish_tag = finish_tag;
+  return created;
 }
 
 TEST(RequestTable, OrdersTheQueueByFinishTagAndTiesByArrival) {
@@ -26,22 +26,22 @@
 
 TEST(RequestTable, KeepsARequestInTheIndexOfItsStateOnly) {
   request_table table;
-  request& moved = table.enqueue(queued_request(1, 0ns));
-  table.change_state(moved, request_state::running);
+  request& tracked = table.enqueue(queued_request(1, 0ns));
+  table.change_state(tracked, request_state::running);
   EXPECT_TRUE(table.queue().empty());
   EXPECT_EQ(table.running().size(), 1u);
-  table.change_state(moved, request_state::awaiting_call);
+  table.change_state(tracked, request_state::awaiting_call);
   EXPECT_TRUE(table.running().empty());
   EXPECT_EQ(table.awaiting_call().size(), 1u);
-  table.change_state(moved, request_state::in_call);
+  table.change_state(tracked, request_state::in_call);
   EXPECT_TRUE(table.awaiting_call().empty());
   EXPECT_EQ(table.in_call_count(), 1u);
-  table.change_state(moved, request_state::ending);
+  table.change_state(tracked, request_state::ending);
   EXPECT_EQ(table.in_call_count(), 0u);
   EXPECT_EQ(table.started_count(), 1u);
 }
 
-TEST(RequestTable, CountsAsStartedWhatIsNeitherQueuedNorSharing) {
+TEST(RequestTable, CountsRequestsThatAreNeitherQueuedNorSharingAsStarted) {
   request_table table;
   table.enqueue(queued_request(1, 0ns));
   table.change_state(table.enqueue(queued_request(2, 0ns)), request_state::sharing_result);
@@ -50,11 +50,11 @@
   EXPECT_EQ(table.started_count(), 2u);
 }
 
-TEST(RequestTable, ReturnsRequestsInTheOrderOfTheirDeadlines) {
+TEST(RequestTable, ReturnsDueRequestsInOrderOfDeadline) {
   request_table table;
   table.set_deadline(table.enqueue(queued_request(1, 0ns)), 30ms);
   table.set_deadline(table.enqueue(queued_request(2, 0ns)), 20ms);
-  table.set_deadline(*table.find(1), 10ms);  // replaces the one before
+  table.set_deadline(*table.find(1), 10ms);  // replaces the deadline of 30 ms
   EXPECT_EQ(table.next_deadline(), 10ms);
   EXPECT_EQ(table.next_due(9ms), nullptr);
   EXPECT_EQ(table.next_due(10ms)->id, 1u);
@@ -62,7 +62,7 @@
   EXPECT_EQ(table.next_due(30ms)->id, 2u);
 }
 
-TEST(RequestTable, ForgetsARemovedRequestAndItsDeadline) {
+TEST(RequestTable, RemovesARequestAndItsDeadline) {
   request_table table;
   request& ended = table.enqueue(queued_request(1, 0ns));
   table.set_deadline(ended, 10ms);
--- a/tests/admission_policy/retry_age_estimator_test.cpp
+++ b/tests/admission_policy/retry_age_estimator_test.cpp
@@ -8,20 +8,20 @@
 namespace {
 
 arrival attempt(duration client_timeout, bool retry, unsigned caller = 0) {
-  arrival made = request_of(1);
-  made.client_timeout = client_timeout;
-  made.retry = retry;
-  made.caller = caller;
-  return made;
+  arrival created = make_arrival(1);
+  created.client_timeout = client_timeout;
+  created.retry = retry;
+  created.caller = caller;
+  return created;
 }
 
-TEST(RetryAgeEstimator, TakesWhatTheTimeoutOfARetryLacksAsItsAge) {
+TEST(RetryAgeEstimator, DerivesTheAgeOfARetryFromItsShorterTimeout) {
   retry_age_estimator ages;
   EXPECT_EQ(ages.age_of(attempt(2s, false)), 0ns);
   EXPECT_EQ(ages.age_of(attempt(1500ms, true)), 500ms);
 }
 
-TEST(RetryAgeEstimator, CountsTheReadDelayToTheTimeout) {
+TEST(RetryAgeEstimator, AddsTheReadDelayToTheTimeout) {
   retry_age_estimator ages;
   ages.age_of(attempt(2s, false));
   arrival late = attempt(1500ms, true);
@@ -29,7 +29,7 @@
   EXPECT_EQ(ages.age_of(late), 100ms);
 }
 
-TEST(RetryAgeEstimator, KnowsNothingOfUnmarkedAttemptsOtherCallersAndMissingTimeouts) {
+TEST(RetryAgeEstimator, ReturnsZeroForUnmarkedAttemptsOtherCallersAndMissingTimeouts) {
   retry_age_estimator ages;
   ages.age_of(attempt(2s, false));
   EXPECT_EQ(ages.age_of(attempt(1s, false)), 0ns);
--- a/tests/admission_policy/transcript.cpp
+++ b/tests/admission_policy/transcript.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::uint64_t fnv_prime = 0x100000001b3;
-constexpr std::size_t lines_kept = 20;
+constexpr std::size_t max_first_lines = 20;
 
 std::string as_text(std::uint32_t number) {
   return std::to_string(number);
@@ -33,51 +33,51 @@
 }
 
 template <std::size_t Index>
-std::string one_field(const action& what) {
-  const auto& [field] = std::get<Index>(what);
+std::string one_field(const action& recorded) {
+  const auto& [field] = std::get<Index>(recorded);
   return joined(field);
 }
 template <std::size_t Index>
-std::string two_fields(const action& what) {
-  const auto& [first, second] = std::get<Index>(what);
+std::string two_fields(const action& recorded) {
+  const auto& [first, second] = std::get<Index>(recorded);
   return joined(first, second);
 }
 template <std::size_t Index>
-std::string three_fields(const action& what) {
-  const auto& [first, second, third] = std::get<Index>(what);
+std::string three_fields(const action& recorded) {
+  const auto& [first, second, third] = std::get<Index>(recorded);
   return joined(first, second, third);
 }
 
-std::string fields_of(const action& what) {
-  switch (what.index()) {
-    case 0: return one_field<0>(what);
-    case 1: return one_field<1>(what);
-    case 2: return three_fields<2>(what);
-    case 3: return two_fields<3>(what);
-    case 4: return two_fields<4>(what);
-    case 5: return one_field<5>(what);
-    case 6: return two_fields<6>(what);
-    case 7: return one_field<7>(what);
-    case 8: return one_field<8>(what);
-    case 9: return two_fields<9>(what);
-    case 10: return one_field<10>(what);
-    case 11: return one_field<11>(what);
-    case 12: return one_field<12>(what);
-    default: return one_field<13>(what);
+std::string fields_of(const action& recorded) {
+  switch (recorded.index()) {
+    case 0: return one_field<0>(recorded);
+    case 1: return one_field<1>(recorded);
+    case 2: return three_fields<2>(recorded);
+    case 3: return two_fields<3>(recorded);
+    case 4: return two_fields<4>(recorded);
+    case 5: return one_field<5>(recorded);
+    case 6: return two_fields<6>(recorded);
+    case 7: return one_field<7>(recorded);
+    case 8: return one_field<8>(recorded);
+    case 9: return two_fields<9>(recorded);
+    case 10: return one_field<10>(recorded);
+    case 11: return one_field<11>(recorded);
+    case 12: return one_field<12>(recorded);
+    default: return one_field<13>(recorded);
   }
 }
 
 }  // namespace
 
-void transcript::add(duration since_start, const action& what) {
+void transcript::add(duration since_start, const action& recorded) {
   const std::string line =
-      std::to_string(since_start.count()) + " " + std::to_string(what.index()) + fields_of(what);
+      std::to_string(since_start.count()) + " " + std::to_string(recorded.index()) + fields_of(recorded);
   for (const char character : line + "\n") {
     digest_ ^= static_cast<unsigned char>(character);
     digest_ *= fnv_prime;
   }
   ++actions_;
-  if (first_lines_.size() < lines_kept) first_lines_.push_back(line);
+  if (first_lines_.size() < max_first_lines) first_lines_.push_back(line);
 }
 
 }  // namespace admission_policy::testing
--- a/tests/admission_policy/transcript.hpp
+++ b/tests/admission_policy/transcript.hpp
@@ -1,4 +1,4 @@
-// The actions of a policy as lines of neutral numbers, with a digest of all of them.
+// A transcript of a policy's actions as lines of numbers, with a digest of all lines.
 #pragma once
 
 #include <cstdint>
@@ -9,12 +9,12 @@
 
 namespace admission_policy::testing {
 
-// Keeps the digest of every line but only the first lines themselves, so that an expectation stays small. The
-// text depends on the order of the variant's alternatives and of their fields, never on their names.
+// Stores the digest of all lines but only the first lines, so that recorded files stay small. The text
+// depends on the order of the variant's alternatives and of their fields, but not on their names.
 class transcript {
  public:
-  // Adds one line: nanoseconds since the start, the action's index in the variant, its fields.
-  void add(duration since_start, const action& what);
+  // Adds one line: nanoseconds since the start, the index of the action in the variant, and its fields.
+  void add(duration since_start, const action& recorded);
 
   std::uint64_t actions() const { return actions_; }
   std::uint64_t digest() const { return digest_; }
--- a/tests/admission_policy/unlinked_duplicate_detector_test.cpp
+++ b/tests/admission_policy/unlinked_duplicate_detector_test.cpp
@@ -7,11 +7,12 @@
 namespace admission_policy::testing {
 namespace {
 
-constexpr time_point first_reached = 10s;
+constexpr time_point first_arrived = 10s;
 constexpr time_point first_read = 11s;
 constexpr unsigned first_caller = 3;
 
-// A class with an objective of 1 s: no caller gives an attempt up before 500 ms.
+// A keyed class with an objective of 1 s: no caller retries before 500 ms. The first attempt arrives at 10 s
+// and is read at 11 s.
 class UnlinkedDuplicateDetector : public ::testing::Test {
  protected:
   UnlinkedDuplicateDetector() {
@@ -20,11 +21,11 @@
     keyed_.deadline = 4s;
     keyed_.effect = request_effect::keyed;
     keyed_.idempotency_window = 5s;
-    check(first_caller, false, first_reached, first_read);
+    check(first_caller, false, first_arrived, first_read);
   }
 
   bool check(unsigned caller, bool retry, time_point arrived, time_point read, bool retries_marked = false) {
-    arrival attempt = request_of(1);
+    arrival attempt = make_arrival(1);
     attempt.caller = caller;
     attempt.retry = retry;
     attempt.read_delay = read - arrived;
@@ -35,34 +36,34 @@
   unlinked_duplicate_detector detector_;
 };
 
-TEST_F(UnlinkedDuplicateDetector, FindsARetryOfTheSameCallerSentWhileTheFirstStoodUnread) {
-  EXPECT_TRUE(check(first_caller, false, first_reached + 500ms, first_read));
+TEST_F(UnlinkedDuplicateDetector, FindsARetryOfTheSameCallerSentBeforeTheFirstWasRead) {
+  EXPECT_TRUE(check(first_caller, false, first_arrived + 500ms, first_read));
 }
 
-TEST_F(UnlinkedDuplicateDetector, PassesWhatCameTooSoonOrAfterTheFirstWasRead) {
-  EXPECT_FALSE(check(first_caller, false, first_reached + 499ms, first_read));
+TEST_F(UnlinkedDuplicateDetector, IgnoresAttemptsSentTooEarlyOrAfterTheFirstWasRead) {
+  EXPECT_FALSE(check(first_caller, false, first_arrived + 499ms, first_read));
   EXPECT_FALSE(check(first_caller, false, first_read + 1ms, first_read + 2ms));
 }
 
-TEST_F(UnlinkedDuplicateDetector, GoesByTheMarkWhereRetriesCarryOne) {
-  EXPECT_FALSE(check(first_caller, false, first_reached + 600ms, first_read, true));
-  EXPECT_TRUE(check(first_caller + 1, true, first_reached + 600ms, first_read, true));
+TEST_F(UnlinkedDuplicateDetector, UsesTheRetryMarkIfRetriesAreMarked) {
+  EXPECT_FALSE(check(first_caller, false, first_arrived + 600ms, first_read, true));
+  EXPECT_TRUE(check(first_caller + 1, true, first_arrived + 600ms, first_read, true));
 }
 
-TEST_F(UnlinkedDuplicateDetector, PassesOtherCallers) {
-  EXPECT_FALSE(check(first_caller + 1, false, first_reached + 600ms, first_read));
+TEST_F(UnlinkedDuplicateDetector, IgnoresOtherCallers) {
+  EXPECT_FALSE(check(first_caller + 1, false, first_arrived + 600ms, first_read));
 }
 
-TEST_F(UnlinkedDuplicateDetector, PassesAnAttemptThatAKeyLinks) {
-  arrival attempt = request_of(2);
+TEST_F(UnlinkedDuplicateDetector, IgnoresAnAttemptThatAKeyLinks) {
+  arrival attempt = make_arrival(2);
   attempt.caller = first_caller;
   attempt.duplicate_of = 1;
-  EXPECT_FALSE(detector_.check(attempt, keyed_, first_reached + 600ms, false, first_read));
+  EXPECT_FALSE(detector_.check(attempt, keyed_, first_arrived + 600ms, false, first_read));
 }
 
-TEST_F(UnlinkedDuplicateDetector, ForgetsAfterTheIdempotencyWindow) {
-  EXPECT_TRUE(check(first_caller, false, first_reached + 600ms, first_read + 5s));
-  EXPECT_FALSE(check(first_caller, false, first_reached + 600ms, first_read + 5s + 1ms));
+TEST_F(UnlinkedDuplicateDetector, ForgetsDelayedAttemptsAfterTheIdempotencyWindow) {
+  EXPECT_TRUE(check(first_caller, false, first_arrived + 600ms, first_read + 5s));
+  EXPECT_FALSE(check(first_caller, false, first_arrived + 600ms, first_read + 5s + 1ms));
 }
 
 }  // namespace
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -1,3 +1,5 @@
+// Tests of the simulator's wire protocol: decoding of events, encoding of actions, and rejection of truncated
+// or corrupted input.
 #include "simulator_adapter/wire.hpp"
 
 #include <gtest/gtest.h>
@@ -21,31 +23,32 @@
   return bytes;
 }
 
+// A batch with an arrival, a timer_fired and a client_cancelled record.
 const std::string example = from_hex(
     "10 39000000 0300 c4913a5d 192b6f0e 640ad2557c3bf091 0000c441 001c4e0e00000000 001bb70000000000 "
     "903a1c0000000000 0000 01 0000 0000203f 1100"
     "16 1b000000 0300 4d00000000000000 04 52b81e3f0000404085ebd13e0000f042"
     "12 06000000 0500 192b6f0e");
 
-TEST(Decode, TheExampleBatch) {
+TEST(Decode, ReadsTheExampleBatch) {
   const auto records = decode_batch(example);
   ASSERT_EQ(records.size(), 3u);
   EXPECT_EQ(records[0].instance, 3);
-  const auto& a = std::get<arrival>(std::get<event>(records[0].content));
-  EXPECT_EQ(a.id, 0x5d3a91c4u);
-  EXPECT_EQ(a.duplicate_of, 0x0e6f2b19u);
-  EXPECT_DOUBLE_EQ(a.reserved_kb, 24.5);
-  EXPECT_EQ(a.client_timeout.count(), 240000000);
-  EXPECT_EQ(a.expected_work.count(), 12000000);
-  EXPECT_EQ(a.read_delay.count(), 1850000);
-  EXPECT_EQ(a.rank, 0.625);
-  EXPECT_EQ(a.caller, 17u);
+  const auto& decoded = std::get<arrival>(std::get<event>(records[0].content));
+  EXPECT_EQ(decoded.id, 0x5d3a91c4u);
+  EXPECT_EQ(decoded.duplicate_of, 0x0e6f2b19u);
+  EXPECT_DOUBLE_EQ(decoded.reserved_kb, 24.5);
+  EXPECT_EQ(decoded.client_timeout.count(), 240000000);
+  EXPECT_EQ(decoded.expected_work.count(), 12000000);
+  EXPECT_EQ(decoded.read_delay.count(), 1850000);
+  EXPECT_EQ(decoded.rank, 0.625);
+  EXPECT_EQ(decoded.caller, 17u);
   EXPECT_EQ(std::get<timer_fired>(std::get<event>(records[1].content)).gauges.size(), 4u);
   EXPECT_EQ(records[2].instance, 5);
   EXPECT_EQ(std::get<client_cancelled>(std::get<event>(records[2].content)).id, 0x0e6f2b19u);
 }
 
-TEST(Decode, EveryCutFrameIsRefused) {
+TEST(Decode, TruncatedBatchIsRejected) {
   for (std::size_t size = 1; size < example.size(); ++size) {
     const bool between_records = size == 62 || size == 94;
     if (between_records) {
@@ -56,7 +59,7 @@
   }
 }
 
-TEST(Encode, TheExampleActions) {
+TEST(Encode, WritesTheExampleActions) {
   std::string out;
   encode(out, 3, start{0x5d3a91c4});
   EXPECT_EQ(out, from_hex("15 06000000 0300 c4913a5d"));
@@ -65,49 +68,50 @@
   EXPECT_EQ(out, from_hex("10 0f000000 0300 192b6f0e 80b2e60e00000000 01"));
 }
 
-// Every byte of the example in turn takes a few hostile values: a decode either works or says what is wrong.
-TEST(Decode, CorruptedFramesAreDecodedOrRefused) {
-  for (std::size_t at = 0; at < example.size(); ++at) {
+// Corrupted input must not crash the decoder: each byte of the example is replaced by a few values, and the
+// batch is either decoded or rejected with the position of the error.
+TEST(Decode, CorruptedBatchIsDecodedOrRejected) {
+  for (std::size_t offset = 0; offset < example.size(); ++offset) {
     for (const int value : {0, 1, 0x7f, 0x80, 0xff}) {
       std::string bytes = example;
-      bytes[at] = static_cast<char>(value);
+      bytes[offset] = static_cast<char>(value);
       try {
         EXPECT_LE(decode_batch(bytes).size(), 20u);
-      } catch (const bad_frame& e) {
-        EXPECT_NE(std::string(e.what()).find("at byte"), std::string::npos);
+      } catch (const bad_frame& error) {
+        EXPECT_NE(std::string(error.what()).find("at byte"), std::string::npos);
       }
     }
   }
 }
 
-TEST(Decode, ExtraBytesAndUnknownCodesAreSkipped) {
+TEST(Decode, ExtraBytesAreSkippedAndUnknownCodesReported) {
   const auto records = decode_batch(from_hex("12 08000000 0500 192b6f0e aabb  63 04000000 0300 0102"));
   ASSERT_EQ(records.size(), 2u);
   EXPECT_EQ(std::get<client_cancelled>(std::get<event>(records[0].content)).id, 0x0e6f2b19u);
   EXPECT_EQ(std::get<unknown_record>(records[1].content).code, 0x63u);
 }
 
-TEST(Settings, AbsentOnesHaveDefaults) {
-  const settings s =
+TEST(WireSettings, MissingKeysHaveDefaults) {
+  const settings parsed =
       parse_settings("Extra.NCores=4\nClasses.count=1\nClasses.0.Deadline=1000000000\nNew.Key=x\n");
-  EXPECT_EQ(s.cores, 4u);
-  EXPECT_EQ(s.signal, signal_kind::none);
-  EXPECT_EQ(s.halt, halt_mode::none);
-  EXPECT_TRUE(s.tenants.empty());
-  EXPECT_NO_THROW(policy(s, 1, duration{0}));
+  EXPECT_EQ(parsed.cores, 4u);
+  EXPECT_EQ(parsed.signal, signal_kind::none);
+  EXPECT_EQ(parsed.halt, halt_mode::none);
+  EXPECT_TRUE(parsed.tenants.empty());
+  EXPECT_NO_THROW(policy(parsed, 1, duration{0}));
 }
 
-TEST(Settings, ListsOfDifferingLengthsAreNamed) {
+TEST(WireSettings, ListOfWrongLengthIsRejected) {
   EXPECT_THROW(parse_settings("Classes.count=1\nClasses.0.Deadline=1\nExtra.ClassCalls=true,false\n"),
                std::invalid_argument);
 }
 
-TEST(Settings, AnUnreadableNumberIsNamed) {
+TEST(WireSettings, InvalidNumberIsNamedInTheException) {
   try {
     parse_settings("Classes.count=1\nClasses.0.Deadline=soon\n");
     FAIL();
-  } catch (const std::invalid_argument& e) {
-    EXPECT_NE(std::string(e.what()).find("Classes.0.Deadline"), std::string::npos);
+  } catch (const std::invalid_argument& error) {
+    EXPECT_NE(std::string(error.what()).find("Classes.0.Deadline"), std::string::npos);
   }
 }
 
