--- a/src/cluster/quota_client.cpp
+++ b/src/cluster/quota_client.cpp
@@ -203,7 +203,7 @@
 
 void quota_client::send_messages() {
   for (const quota::envelope& outgoing : coordinator_.take_outbox())
-    agent_.send(outgoing.to, quota::encode(cluster_name_, outgoing.content));
+    agent_.send(outgoing.recipient, quota::encode(cluster_name_, outgoing.content));
 }
 
 std::string quota_client::show_quotas() const {
--- a/src/quota/allocator.cpp
+++ b/src/quota/allocator.cpp
@@ -13,7 +13,8 @@
 
 std::vector<double> max_min_shares(double pool, const std::vector<double>& demands,
                                    const std::vector<double>& weights) {
-  // Filled in the order of demand for the weight: whoever is satisfied first leaves the rest to the others.
+  // In ascending order of demand relative to weight: what a satisfied participant does not use is divided
+  // among the remaining ones.
   std::vector<std::size_t> order(demands.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
   std::sort(order.begin(), order.end(),
@@ -32,13 +33,14 @@
 }
 
 allocator::allocator(allocator_options options, std::vector<quota_definition> quotas,
-                     std::uint64_t config_digest, std::string self, std::uint64_t term, time_point now)
+                     std::uint64_t config_digest, std::string self_address, std::uint64_t term,
+                     time_point now)
     : options_(options),
       quotas_(std::move(quotas)),
       config_digest_(config_digest),
-      self_(std::move(self)),
+      self_address_(std::move(self_address)),
       term_(term),
-      earlier_leases_expired_(now + safe_expiry_wait(options.lease)) {}
+      earlier_leases_expiry_(now + safe_expiry_wait(options.lease)) {}
 
 double allocator::pool(std::size_t index) const {
   const quota_definition& quota = quotas_[index];
@@ -53,7 +55,7 @@
 double allocator::committed(std::size_t index, time_point now) const {
   double sum = 0;
   for (const auto& [id, session] : sessions_)
-    if (now < session.lease_surely_expired + quotas_[index].settling_time) sum += session.committed[index];
+    if (now < session.safe_lease_expiry + quotas_[index].settling_time) sum += session.committed[index];
   return sum;
 }
 
@@ -61,17 +63,16 @@
   duration longest_settling{};
   for (const quota_definition& quota : quotas_)
     longest_settling = std::max(longest_settling, quota.settling_time);
-  std::erase_if(sessions_, [=](const auto& entry) {
-    return now >= entry.second.lease_surely_expired + longest_settling;
-  });
+  std::erase_if(sessions_,
+                [=](const auto& entry) { return now >= entry.second.safe_lease_expiry + longest_settling; });
 }
 
 bool allocator::requested_within_lease(const session_state& session, time_point now) const {
   return now - session.requested < options_.lease.length;
 }
 
-// Divides among the sessions that asked within a lease: a silent one still counts as committed, but has no
-// demand.
+// Divides the pool among the sessions that sent a request within the last lease length. The commitment to any
+// other session still counts until it expires, but the demand of that session counts as zero.
 double allocator::fair_share(std::size_t index, const session_id& id, time_point now) const {
   std::vector<double> demands;
   std::vector<double> weights;
@@ -92,10 +93,10 @@
     return;
   }
   forget_expired_sessions(now);
-  const session_id id{request.from, request.session};
+  const session_id id{request.sender, request.session};
   if (!sessions_.contains(id) && sessions_.size() >= options_.max_sessions) return;
   session_state& session = sessions_[id];
-  // Overtaken by a later request: what it reports is out of date.
+  // A request that arrives after a later request of the same session reports outdated shares.
   if (request.sequence <= session.sequence) return;
   const bool is_new = session.sequence == 0;
   record_request(session, request, now, safe_expiry_wait(options_.lease));
@@ -111,10 +112,10 @@
 void allocator::record_request(session_state& session, const message& request, time_point now,
                                duration expiry_wait) {
   const std::size_t count = request.entries.size();
-  session.address = request.reply_to.empty() ? request.from : request.reply_to;
+  session.address = request.reply_to.empty() ? request.sender : request.reply_to;
   session.sequence = request.sequence;
   session.requested = now;
-  session.lease_surely_expired = now + expiry_wait;
+  session.safe_lease_expiry = now + expiry_wait;
   session.held.resize(count);
   session.demand.resize(count);
   session.committed.resize(count);
@@ -122,17 +123,18 @@
   for (std::size_t i = 0; i < count; ++i) {
     session.held[i] = std::max(0.0, request.entries[i].held);
     session.demand[i] = std::max(0.0, request.entries[i].demand);
-    session.committed[i] = session.held[i];  // no reply to an earlier request can take effect any more
+    session.committed[i] = session.held[i];  // the node ignores replies to earlier requests
   }
 }
 
-// Renewing what stands under a lease adds nothing to what is in force, so it is always allowed up to the fair
-// share. Units in flight beyond an expired lease count as committed but are no claim: others may have got
-// their share meanwhile. More is granted only once an earlier leader's unreported grants are over.
+// Renewing a valid lease does not increase the amount in force, so it is always allowed up to the fair share.
+// Units that are still in flight after their lease expired count as committed, but give no right to a
+// renewal: their share may have been granted to other nodes in the meantime. A share is increased only after
+// the unreported grants of earlier leaders have ended.
 double allocator::grant(std::size_t index, const session_id& id, const session_state& session, double leased,
                         bool is_new, time_point now) const {
   const double wanted = fair_share(index, id, now);
-  if (wanted <= leased || now < earlier_grants_over(index)) return std::min(wanted, leased);
+  if (wanted <= leased || now < earlier_grants_expiry(index)) return std::min(wanted, leased);
   const bool is_joining = is_new && session.held[index] <= rounding_tolerance;
   const double limit = is_joining ? pool(index) : divisible_pool(index);
   const double committed_to_others = committed(index, now) - session.committed[index];
@@ -143,7 +145,7 @@
 void allocator::send_grant(const session_id& id, const session_state& session) {
   message reply;
   reply.kind = message_kind::quota_grant;
-  reply.from = self_;
+  reply.sender = self_address_;
   reply.term = term_;
   reply.sequence = session.sequence;
   reply.session = id.session;
@@ -154,10 +156,10 @@
 
 void allocator::send_renew_hints(const session_id& except, time_point now) {
   for (const auto& [id, session] : sessions_) {
-    if (id == except || !requested_within_lease(session, now) || !may_have_more(id, session, now)) continue;
+    if (id == except || !requested_within_lease(session, now) || !can_grant_more(id, session, now)) continue;
     message hint;
     hint.kind = message_kind::renew_hint;
-    hint.from = self_;
+    hint.sender = self_address_;
     hint.term = term_;
     hint.session = id.session;
     hint.config_digest = config_digest_;
@@ -165,9 +167,9 @@
   }
 }
 
-bool allocator::may_have_more(const session_id& id, const session_state& session, time_point now) const {
+bool allocator::can_grant_more(const session_id& id, const session_state& session, time_point now) const {
   for (std::size_t i = 0; i < quotas_.size(); ++i) {
-    if (now < earlier_grants_over(i)) continue;
+    if (now < earlier_grants_expiry(i)) continue;
     const double available = divisible_pool(i) - committed(i, now);
     if (available <= rounding_tolerance * pool(i)) continue;
     if (session.granted[i] + rounding_tolerance < fair_share(i, id, now)) return true;
--- a/src/quota/allocator.hpp
+++ b/src/quota/allocator.hpp
@@ -1,9 +1,10 @@
-// The leader's division of the quotas: tracks what each node may have in force, and grants max-min fair
-// shares by demand and weight.
+// The leader's allocator: records the share of each quota that every node may have in force, and grants
+// shares by weighted max-min fairness according to the nodes' demands.
 //
-// Free of I/O: the clock and requests are handed in, replies are taken out. Not thread-safe: owned by one
-// thread. Created anew for each term. What the leader before it granted it learns from the nodes' requests,
-// or waits until that has surely expired.
+// Performs no I/O: the owner passes in the time and the received requests, and takes the messages to send.
+// Not thread-safe: owned by one thread. The leader creates a new allocator for each term. The allocator does
+// not know the grants of earlier leaders: it learns them from the nodes' requests, or waits until the leases
+// of these grants have certainly expired.
 #pragma once
 
 #include <cstdint>
@@ -20,48 +21,50 @@
 
 struct allocator_options {
   lease_options lease;
-  double joining_reserve = 0.05;  // fraction of the pool that only nodes without a share draw on
-  std::size_t member_count = 1;   // configured members: each has the guaranteed share
+  double joining_reserve = 0.05;  // fraction of the pool that only nodes joining without a share can get
+  std::size_t member_count = 1;   // number of configured members; each has the guaranteed share
   std::size_t max_sessions = 1024;
 };
 
-// Weighted max-min fair division: nobody gets more than its demand, and whoever gets less could only get more
-// from one that has no more for its weight. The shares, in the order of `demands`, add up to at most `pool`.
+// Weighted max-min fair division: no participant gets more than its demand, and the share of an unsatisfied
+// participant cannot grow without reducing a share that is no larger relative to its weight. The shares are
+// in the order of `demands` and add up to at most `pool`.
 std::vector<double> max_min_shares(double pool, const std::vector<double>& demands,
                                    const std::vector<double>& weights);
 
 class allocator {
  public:
   allocator(allocator_options options, std::vector<quota_definition> quotas, std::uint64_t config_digest,
-            std::string self, std::uint64_t term, time_point now);
+            std::string self_address, std::uint64_t term, time_point now);
 
-  // Replies to a quota request with a grant, and sends renew hints to nodes that may have more now. A request
-  // with another configuration's digest gets no reply and is counted.
+  // Replies to a quota request with a grant, and sends renew hints to nodes whose share could now be
+  // increased. A request with a different configuration digest gets no reply and is counted in
+  // mismatched_requests().
   void receive(time_point now, const message& request);
   std::vector<envelope> take_outbox() { return std::exchange(outbox_, {}); }
 
-  // What the nodes together may have in force of a quota, guaranteed shares excluded. At most pool() at any
-  // moment, but for units in flight beyond an expired lease.
+  // Upper bound of the sum of what all nodes have in force of a quota, guaranteed shares excluded. Never
+  // exceeds pool(), except for units that are still in flight after their lease expired.
   double committed(std::size_t index, time_point now) const;
-  // The global limit less all guaranteed shares.
+  // The global limit minus the guaranteed shares of all members.
   double pool(std::size_t index) const;
-  // The pool less the reserve for joining nodes: what the fair shares divide.
+  // The pool minus the reserve for joining nodes; this amount is divided into fair shares.
   double divisible_pool(std::size_t index) const;
   std::uint64_t mismatched_requests() const { return mismatched_requests_; }
 
  private:
-  // One process of a member, as of its latest request. Vectors are by quota.
+  // One process of a member, as described by its latest request. Vectors are indexed by quota.
   struct session_state {
-    std::string address;  // where replies and hints go
+    std::string address;  // destination of replies and hints
     std::uint64_t sequence = 0;
-    // The larger of what it holds and what it was last granted: an upper bound of what it has in force, until
-    // the next request tells or `lease_surely_expired` and the settling time have passed.
+    // The larger of `held` and `granted`: an upper bound of what the process has in force, valid until its
+    // next request, or until the settling time after `safe_lease_expiry` has passed.
     std::vector<double> committed;
     std::vector<double> held;
     std::vector<double> demand;
     std::vector<double> granted;
     time_point requested{};
-    time_point lease_surely_expired{};
+    time_point safe_lease_expiry{};
   };
   struct session_id {
     std::string member;
@@ -78,18 +81,19 @@
   double fair_share(std::size_t index, const session_id& id, time_point now) const;
   void send_grant(const session_id& id, const session_state& session);
   void send_renew_hints(const session_id& except, time_point now);
-  bool may_have_more(const session_id& id, const session_state& session, time_point now) const;
-  // From then on nothing is in force of this quota that an earlier leader granted and no node has reported.
-  time_point earlier_grants_over(std::size_t index) const {
-    return earlier_leases_expired_ + quotas_[index].settling_time;
+  bool can_grant_more(const session_id& id, const session_state& session, time_point now) const;
+  // The time after which no grant of an earlier leader is in force for this quota unless a node has reported
+  // the grant to this allocator.
+  time_point earlier_grants_expiry(std::size_t index) const {
+    return earlier_leases_expiry_ + quotas_[index].settling_time;
   }
 
   allocator_options options_;
   std::vector<quota_definition> quotas_;
   std::uint64_t config_digest_;
-  std::string self_;
+  std::string self_address_;
   std::uint64_t term_;
-  time_point earlier_leases_expired_;
+  time_point earlier_leases_expiry_;
   std::map<session_id, session_state> sessions_;
   std::uint64_t mismatched_requests_ = 0;
   std::vector<envelope> outbox_;
--- a/src/quota/demand.cpp
+++ b/src/quota/demand.cpp
@@ -16,7 +16,7 @@
   return options.headroom_factor * measured + options.headroom_units;
 }
 
-// Before the first measurement one time constant is taken to have passed: what came earlier is not known.
+// The first measurement assumes that one time constant has passed, because earlier arrivals are unknown.
 duration elapsed_since(const std::optional<time_point>& last_measured, time_point now,
                        const demand_options& options) {
   return last_measured ? now - *last_measured : options.time_constant;
@@ -27,9 +27,9 @@
 quota_usage rate_demand_estimator::measure(time_point now) {
   const duration elapsed = elapsed_since(last_measured_, now, options_);
   if (elapsed > duration{}) {
-    const double kept = decay(elapsed, options_.time_constant);
+    const double decay_factor = decay(elapsed, options_.time_constant);
     const double measured = static_cast<double>(arrivals_) / seconds(elapsed).count();
-    per_second_ = per_second_ * kept + (1 - kept) * measured;
+    per_second_ = per_second_ * decay_factor + (1 - decay_factor) * measured;
     arrivals_ = 0;
     last_measured_ = now;
   }
@@ -40,10 +40,10 @@
                                                 std::uint64_t rejected_total) {
   const duration elapsed = elapsed_since(last_measured_, now, options_);
   const double newly_rejected = static_cast<double>(rejected_total - rejected_total_);
-  rejected_lately_ = rejected_lately_ * decay(elapsed, options_.time_constant) + newly_rejected;
+  recent_rejections_ = recent_rejections_ * decay(elapsed, options_.time_constant) + newly_rejected;
   rejected_total_ = rejected_total;
   last_measured_ = now;
-  const double wanted = static_cast<double>(in_flight + waiting) + rejected_lately_;
+  const double wanted = static_cast<double>(in_flight + waiting) + recent_rejections_;
   return {static_cast<double>(in_flight), with_headroom(wanted, options_)};
 }
 
--- a/src/quota/demand.hpp
+++ b/src/quota/demand.hpp
@@ -1,7 +1,7 @@
-// Estimates of how much of a quota this node could use, from counts that the owner hands in.
+// Estimators of how much of a quota this node could use, computed from counts that the owner passes in.
 //
-// Free of I/O and clocks. Not thread-safe: owned by one thread. An estimate moves shares between nodes; it
-// never affects the bound on their sum.
+// Performs no I/O and reads no clock. Not thread-safe: owned by one thread. The estimates only influence how
+// shares are divided among nodes; the bound on the sum of the shares does not depend on them.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +13,11 @@
 
 struct demand_options {
   duration time_constant = std::chrono::seconds(1);  // of the exponential decay of past measurements
-  double headroom_factor = 1.1;                      // demand over what was measured, for growth
-  double headroom_units = 1;                         // ... and in units, so that an idle node can begin
+  double headroom_factor = 1.1;  // the measured demand is multiplied by it to allow for growth
+  double headroom_units = 1;     // added to the demand, so that an idle node can start work
 };
 
-// Of a rate quota: from the arrivals of late.
+// Demand for a rate quota: an exponentially decaying average of the arrival rate.
 class rate_demand_estimator {
  public:
   explicit rate_demand_estimator(demand_options options = {}) : options_(options) {}
@@ -28,23 +28,23 @@
  private:
   demand_options options_;
   double per_second_ = 0;
-  std::uint64_t arrivals_ = 0;  // since the last measurement
+  std::uint64_t arrivals_ = 0;  // since the previous measurement
   std::optional<time_point> last_measured_;
 };
 
-// Of an in-flight quota: from what is in flight, what waits, and what was lately rejected. Of runs,
-// rejections count whatever their cause, so that demand may be overstated; of calls, those for want of a
-// share.
+// Demand for an in-flight quota: the units in flight and waiting, plus recent rejections with exponential
+// decay. For runs, rejections of every cause count, so the demand may be overestimated; for calls, only
+// rejections caused by an exhausted share count.
 class in_flight_demand_estimator {
  public:
   explicit in_flight_demand_estimator(demand_options options = {}) : options_(options) {}
-  // `rejected_total`: since the start, never falling.
+  // `rejected_total`: number of rejections since the start of the process; never decreases.
   quota_usage measure(time_point now, std::size_t in_flight, std::size_t waiting,
                       std::uint64_t rejected_total);
 
  private:
   demand_options options_;
-  double rejected_lately_ = 0;
+  double recent_rejections_ = 0;  // with exponential decay
   std::uint64_t rejected_total_ = 0;
   std::optional<time_point> last_measured_;
 };
--- a/src/quota/lease_holder.cpp
+++ b/src/quota/lease_holder.cpp
@@ -5,10 +5,10 @@
 namespace marblewharf::quota {
 
 lease_holder::lease_holder(lease_holder_options options, std::vector<quota_definition> quotas,
-                           std::string self, std::uint64_t session, std::uint64_t config_digest)
+                           std::string self_address, std::uint64_t session, std::uint64_t config_digest)
     : options_(options),
       quotas_(std::move(quotas)),
-      self_(std::move(self)),
+      self_address_(std::move(self_address)),
       session_(session),
       config_digest_(config_digest),
       granted_(quotas_.size()),
@@ -29,7 +29,8 @@
   return guaranteed_share(index, now) + leased_share(index, now);
 }
 
-// A shortage that has just come up is worth a request of its own; one that is known waits for the renewal.
+// A new shortage triggers an early request; a shortage that already existed at the previous step waits for
+// the next renewal.
 void lease_holder::update_shortages(time_point now, const std::vector<quota_usage>& usage) {
   for (std::size_t i = 0; i < quotas_.size(); ++i) {
     const bool is_short = usage[i].demand > share(i, now);
@@ -43,7 +44,7 @@
   const time_point next_check = now + options_.min_request_interval;
   if (!leader) return next_check;
   update_shortages(now, usage);
-  if (*leader != requested_from_) request_early_ = true;
+  if (*leader != requested_leader_) request_early_ = true;
   const time_point earliest = request_sent_ + options_.min_request_interval;
   const time_point due = request_early_ ? std::min(next_renewal_, earliest) : next_renewal_;
   if (now < due) return std::min(due, next_check);
@@ -54,13 +55,13 @@
 void lease_holder::send_request(time_point now, const std::string& leader,
                                 const std::vector<quota_usage>& usage) {
   request_early_ = false;
-  requested_from_ = leader;
+  requested_leader_ = leader;
   request_sent_ = now;
   next_renewal_ = now + options_.renew_interval;
   answered_ = false;
   message request;
   request.kind = message_kind::quota_request;
-  request.from = self_;
+  request.sender = self_address_;
   request.sequence = ++sequence_;
   request.session = session_;
   request.config_digest = config_digest_;
@@ -72,7 +73,7 @@
 quota_entry lease_holder::request_entry(std::size_t index, time_point now, const quota_usage& usage) const {
   const double guaranteed = guaranteed_share(index, now);
   const double leased = leased_share(index, now);
-  // Units in flight beyond the share are in force all the same.
+  // Units in flight beyond the guaranteed share are in force even without a lease.
   const double in_flight_beyond = quotas_[index].limits_in_flight ? usage.in_flight - guaranteed : 0;
   const double held = std::max({leased, in_flight_beyond, 0.0});
   const double demand = std::max(0.0, usage.demand - guaranteed);
@@ -80,7 +81,7 @@
 }
 
 void lease_holder::receive(time_point now, const message& received) {
-  if (received.from != requested_from_) return;
+  if (received.sender != requested_leader_) return;
   if (received.kind == message_kind::renew_hint) {
     request_early_ = true;
     return;
@@ -96,9 +97,10 @@
 void lease_holder::apply_grant(time_point now, const message& grant) {
   answered_ = true;
   for (std::size_t i = 0; i < quotas_.size(); ++i) {
-    const double before = leased_share(i, now);
-    // A lowered share is free for others only once the allocator has read that this node gave it up.
-    if (grant.entries[i].held < before) request_early_ = true;
+    const double previous_share = leased_share(i, now);
+    // The allocator can grant a released share to other nodes only after the next request reports the
+    // release.
+    if (grant.entries[i].held < previous_share) request_early_ = true;
     granted_[i] = grant.entries[i].held;
   }
   lease_expiry_ = request_sent_ + options_.lease.length;
--- a/src/quota/lease_holder.hpp
+++ b/src/quota/lease_holder.hpp
@@ -1,7 +1,8 @@
-// A node's shares of the quotas: asks the leader to renew them, and holds them until their lease expires.
+// A node's shares of the quotas: requests and renews them at the leader, and keeps them until their lease
+// expires.
 //
-// Free of I/O: the clock and received messages are handed in, messages to send are taken out. Not
-// thread-safe: owned by one thread.
+// Performs no I/O: the owner passes in the time and the received messages, and takes the messages to send.
+// Not thread-safe: owned by one thread.
 #pragma once
 
 #include <cstdint>
@@ -24,29 +25,31 @@
 
 class lease_holder {
  public:
-  lease_holder(lease_holder_options options, std::vector<quota_definition> quotas, std::string self,
+  lease_holder(lease_holder_options options, std::vector<quota_definition> quotas, std::string self_address,
                std::uint64_t session, std::uint64_t config_digest);
 
-  // Sends `leader` a quota request where one is due: each renew interval, and earlier where the leader
-  // changed, a grant lowered a share, or demand has come to exceed a share. `usage`: by quota. Returns when
-  // to call again.
+  // Sends a quota request to `leader` when one is due: once per renew interval, and earlier if the leader
+  // changed, a grant lowered a share, or demand has started to exceed a share. `usage` is indexed by quota.
+  // Returns the time of the next call.
   time_point step(time_point now, const std::optional<std::string>& leader,
                   const std::vector<quota_usage>& usage);
   void receive(time_point now, const message& received);
   std::vector<envelope> take_outbox() { return std::exchange(outbox_, {}); }
 
-  // This process is the member from now on, and has its guaranteed shares; those of in-flight quotas only
-  // after their settling time, since the process before it may have left units in flight.
+  // From `now` on this process is the member and has the member's guaranteed shares. The guaranteed shares of
+  // in-flight quotas apply only after the settling time, because the previous process may have left units in
+  // flight.
   void become_member(time_point now) { member_since_ = now; }
-  // Where replies are to go while this process is not the member; empty: to the member's address.
+  // Destination of replies while this process is not the member; empty: the member's address.
   void set_reply_address(std::string address) { reply_address_ = std::move(address); }
 
   bool latest_request_answered() const { return answered_; }
   time_point latest_request_sent() const { return request_sent_; }
 
-  // What the node may use of quota `index`: its guaranteed share and, until lease_expiry(), what was granted.
+  // What the node may use of quota `index`: its guaranteed share plus, until lease_expiry(), the granted
+  // share.
   double share(std::size_t index, time_point now) const;
-  // In this node's clock; in the past: no lease stands.
+  // In this node's clock; a time in the past means that the node has no valid lease.
   time_point lease_expiry() const { return lease_expiry_; }
   const std::vector<quota_definition>& quotas() const { return quotas_; }
 
@@ -61,25 +64,25 @@
 
   lease_holder_options options_;
   std::vector<quota_definition> quotas_;
-  std::string self_;
+  std::string self_address_;
   std::uint64_t session_;
   std::uint64_t config_digest_;
   std::string reply_address_;
   std::optional<time_point> member_since_;
-  // Of the latest request. A grant to an earlier one changes nothing: the allocator has learned from the
-  // latest what this node holds.
-  std::string requested_from_;
+  // State of the latest request. A grant that answers an earlier request is ignored, because the allocator
+  // records what this node holds from the latest request.
+  std::string requested_leader_;
   std::uint64_t sequence_ = 0;
   bool answered_ = true;
   time_point request_sent_{};
 
   time_point next_renewal_{};
-  bool request_early_ = false;  // as soon as the minimum interval allows
-  // By quota: granted beyond the guaranteed share, in force until `lease_expiry_`, which counts from when the
-  // request was sent.
+  bool request_early_ = false;  // the next request is due as soon as the minimum interval has passed
+  // By quota: the share granted beyond the guaranteed share, in force until `lease_expiry_`. The lease starts
+  // when the request is sent.
   std::vector<double> granted_;
   time_point lease_expiry_{};
-  std::vector<bool> short_of_share_;  // by quota: demand exceeded the share at the last step
+  std::vector<bool> short_of_share_;  // by quota: demand exceeded the share at the previous step
   std::vector<envelope> outbox_;
 };
 
--- a/src/quota/quota_coordinator.cpp
+++ b/src/quota/quota_coordinator.cpp
@@ -8,13 +8,14 @@
 
 namespace {
 
-// Members tried within a renew interval while it is not known who leads.
+// Members tried within a renew interval while the leader is unknown.
 constexpr int tries_per_renew_interval = 4;
 
 constexpr std::uint64_t fnv_offset_basis = 0xcbf29ce484222325ull;
 constexpr std::uint64_t fnv_prime = 0x100000001b3ull;
 
-// FNV-1a: it has to tell configurations apart that people wrote, not to resist an attacker.
+// FNV-1a, which is not cryptographic: the digest only has to detect different configurations, not to resist
+// an attacker.
 void add_line(std::uint64_t& hash, const std::string& text) {
   for (const char c : text + '\n') hash = (hash ^ static_cast<unsigned char>(c)) * fnv_prime;
 }
@@ -34,22 +35,22 @@
 }
 
 quota_coordinator::quota_coordinator(quota_coordinator_options options, std::vector<quota_definition> quotas,
-                                     std::set<std::string> members, std::string self, std::uint64_t session,
-                                     time_point now)
+                                     std::set<std::string> members, std::string self_address,
+                                     std::uint64_t session, time_point now)
     : options_(options),
       members_(std::move(members)),
-      self_(std::move(self)),
+      self_address_(std::move(self_address)),
       session_(session),
       config_digest_(config_digest(quotas, members_)),
-      election_(options.lease, members_, self_, session, now),
+      election_(options.lease, members_, self_address_, session, now),
       lease_holder_({options.lease, options.renew_interval, options.min_request_interval}, std::move(quotas),
-                    self_, session, config_digest_),
+                    self_address_, session, config_digest_),
       recorded_shares_(lease_holder_.quotas().size(), -1) {}
 
 void quota_coordinator::become_member(time_point now) {
   if (std::exchange(is_member_, true)) return;
-  // As a voter it begins now: the votes of the process before it have to expire first.
-  election_ = leader_election(options_.lease, members_, self_, session_, now);
+  // The voter state starts anew, so that the votes of the previous process expire before this process votes.
+  election_ = leader_election(options_.lease, members_, self_address_, session_, now);
   lease_holder_.set_reply_address({});
   lease_holder_.become_member(now);
   record_share_changes(now);
@@ -60,8 +61,8 @@
   return next_member_to_try(now);
 }
 
-// A process that is not the member hears from no leader: it tries the members in turn, and stays with the one
-// that answered last.
+// A process that is not the member receives no vote requests and therefore does not know the leader: it tries
+// the members in turn and keeps using the member that answered most recently.
 std::string quota_coordinator::next_member_to_try(time_point now) {
   const bool answered = lease_holder_.latest_request_answered();
   const duration waited = now - lease_holder_.latest_request_sent();
@@ -82,8 +83,8 @@
   return mismatched_in_earlier_terms_ + (allocator_ ? allocator_->mismatched_requests() : 0);
 }
 
-// The allocator ends with its term: whoever leads next, this member too, does not know what is granted
-// meanwhile.
+// The allocator is discarded at the end of its term. A later leader, even if it is this member again, does
+// not know which shares were granted in between.
 void quota_coordinator::update_allocator(time_point now) {
   const bool leading = is_leader(now);
   if (allocator_ && (!leading || allocator_term_ != election_.term())) {
@@ -93,10 +94,11 @@
   if (allocator_ || !leading) return;
   allocator_term_ = election_.term();
   const allocator_options options{options_.lease, options_.joining_reserve, members_.size()};
-  allocator_.emplace(options, lease_holder_.quotas(), config_digest_, self_, allocator_term_, now);
+  allocator_.emplace(options, lease_holder_.quotas(), config_digest_, self_address_, allocator_term_, now);
 }
 
-time_point quota_coordinator::step_as(time_point now, const std::vector<quota_usage>& usage, bool eligible) {
+time_point quota_coordinator::step_with_eligibility(time_point now, const std::vector<quota_usage>& usage,
+                                                    bool eligible) {
   time_point due = is_member_ ? election_.step(now, eligible) : now + options_.renew_interval;
   update_allocator(now);
   due = std::min(due, lease_holder_.step(now, renewal_target(now), usage));
@@ -107,7 +109,7 @@
 }
 
 void quota_coordinator::receive(time_point now, const message& received) {
-  if (!members_.contains(received.from)) return;
+  if (!members_.contains(received.sender)) return;
   switch (received.kind) {
     case message_kind::vote_request:
     case message_kind::vote_granted:
@@ -115,7 +117,8 @@
       if (is_member_) election_.receive(now, received);
       break;
     case message_kind::quota_request:
-      // Only while this member surely leads: a grant a moment later could exceed the limit.
+      // Only while this member's leader lease is valid: a grant after its expiry could exceed the global
+      // limit, because another leader may be granting shares.
       if (allocator_ && is_leader(now) && allocator_term_ == election_.term())
         allocator_->receive(now, received);
       break;
@@ -144,13 +147,14 @@
   }
 }
 
-// Messages of this member to itself are delivered at once, and may bring further ones.
+// Delivers the messages of this member to itself immediately; the loop ends when they produce no further
+// ones.
 void quota_coordinator::route_messages(time_point now) {
   bool delivered = true;
   while (delivered) {
     delivered = false;
     for (envelope& outgoing : collect_messages()) {
-      if (is_member_ && outgoing.to == self_) {
+      if (is_member_ && outgoing.recipient == self_address_) {
         deliver_to_self(now, outgoing.content);
         delivered = true;
       } else {
--- a/src/quota/quota_coordinator.hpp
+++ b/src/quota/quota_coordinator.hpp
@@ -1,12 +1,12 @@
-// One member's part in the quotas of the cluster: its vote in the leader election, the shares that it holds,
-// and the division while it leads.
+// The quota protocol of one member: its vote in the leader election, the shares that it holds, and the
+// allocation of shares while it is the leader.
 //
-// Free of I/O: the clock, the members believed alive, usage and received messages are handed in; messages to
-// send and changes of shares are taken out. Not thread-safe: owned by one thread.
+// Performs no I/O: the owner passes in the time, the members believed alive, the usage and the received
+// messages, and takes the messages to send and the share changes. Not thread-safe: owned by one thread.
 //
-// While every clock's rate is within the drift, the shares that all members act on add up to at most the
-// global limit. This rests on leader_election (one leader), allocator (what it commits) and lease_holder
-// (what it acts on) together: docs/budgets.md.
+// As long as the rate error of every clock is at most max_clock_drift, the sum of the shares that all members
+// enforce never exceeds the global limit. This guarantee needs leader_election (at most one leader),
+// allocator (bounded commitments) and lease_holder (no share beyond its lease) together: docs/budgets.md.
 #pragma once
 
 #include <cstdint>
@@ -29,8 +29,8 @@
   double joining_reserve = 0.05;  // as in allocator_options
 };
 
-// What this member may use of a quota from now on, until the next change or the lease's expiry, after which
-// it is the guaranteed share.
+// The new share of a quota at this member. It applies until the next change or until the lease expires; after
+// the expiry only the guaranteed share remains.
 struct share_change {
   std::size_t quota_index = 0;
   double share = 0;
@@ -39,27 +39,30 @@
 
 class quota_coordinator {
  public:
-  // Begins as a process that is not the member yet: it asks for shares, and has neither a vote nor guaranteed
-  // shares until become_member(). `members`: configured, `self` among them (else std::invalid_argument).
-  // `session`: of this process, above those of earlier ones (its start in Unix ms).
+  // The process is not the member yet: it requests shares, but has neither a vote nor guaranteed shares until
+  // become_member(). `members`: the configured members; throws std::invalid_argument if `self_address` is not
+  // among them. `session`: identifies this process, higher than the value of any earlier process (the start
+  // time in Unix ms).
   quota_coordinator(quota_coordinator_options options, std::vector<quota_definition> quotas,
-                    std::set<std::string> members, std::string self, std::uint64_t session, time_point now);
-  // The member's address is this process's from now on; the process before it has released it.
+                    std::set<std::string> members, std::string self_address, std::uint64_t session,
+                    time_point now);
+  // This process has bound the member's address, which the previous process has released.
   void become_member(time_point now);
   bool is_member() const { return is_member_; }
-  // Where replies reach this process until it is the member.
+  // Destination of replies to this process until it is the member.
   void set_reply_address(std::string address) { lease_holder_.set_reply_address(std::move(address)); }
 
-  // `is_alive(address)`: whether this member believes another alive. It decides who stands for election,
-  // never who may win it. `usage`: by quota. Returns when to call again.
+  // `is_alive(address)`: whether this member believes another member to be alive. The belief decides which
+  // member becomes a candidate; votes do not depend on it. `usage` is indexed by quota. Returns the time of
+  // the next call.
   template <typename IsAlive>
   time_point step(time_point now, const std::vector<quota_usage>& usage, IsAlive&& is_alive) {
     bool is_first_alive = true;
     for (const std::string& member : members_) {
-      if (member == self_) break;
+      if (member == self_address_) break;
       if (is_alive(member)) is_first_alive = false;
     }
-    return step_as(now, usage, is_first_alive);
+    return step_with_eligibility(now, usage, is_first_alive);
   }
   void receive(time_point now, const message& received);
   std::vector<envelope> take_outbox() { return std::exchange(outbox_, {}); }
@@ -70,12 +73,12 @@
   bool is_leader(time_point now) const { return election_.is_leader(now); }
   std::optional<std::string> leader(time_point now) const { return election_.leader(now); }
   std::uint64_t term() const { return election_.term(); }
-  // What it has committed of a quota as the leader; none: it does not lead.
+  // The committed amount of a quota while this member is the leader; nullopt while it is not.
   std::optional<double> committed(std::size_t index, time_point now) const;
   std::uint64_t mismatched_requests() const;
 
  private:
-  time_point step_as(time_point now, const std::vector<quota_usage>& usage, bool eligible);
+  time_point step_with_eligibility(time_point now, const std::vector<quota_usage>& usage, bool eligible);
   void update_allocator(time_point now);
   void route_messages(time_point now);
   std::vector<envelope> collect_messages();
@@ -86,24 +89,24 @@
 
   quota_coordinator_options options_;
   std::set<std::string> members_;
-  std::string self_;
+  std::string self_address_;
   std::uint64_t session_;
   std::uint64_t config_digest_;
   bool is_member_ = false;
-  std::string last_tried_;  // before it is the member: whom it asked last
+  std::string last_tried_;  // while not the member: the member that the latest request was sent to
   leader_election election_;
   lease_holder lease_holder_;
-  // Exists only in a term that this member leads; a new term begins with a new one.
+  // Exists only while this member is the leader; each term has a new allocator.
   std::optional<allocator> allocator_;
   std::uint64_t allocator_term_ = 0;
-  std::vector<double> recorded_shares_;  // as last put out in changes_
+  std::vector<double> recorded_shares_;  // by quota: the share of the latest entry in changes_
   std::uint64_t mismatched_in_earlier_terms_ = 0;
   std::vector<envelope> outbox_;
   std::vector<share_change> changes_;
 };
 
-// Of what all members must have configured alike: names, limits, guaranteed shares, settling times and the
-// members.
+// Digest of the settings that must be equal at all members: names, limits, guaranteed shares and settling
+// times of the quotas, and the list of members.
 std::uint64_t config_digest(const std::vector<quota_definition>& quotas,
                             const std::set<std::string>& members);
 
--- a/src/quota/wire.cpp
+++ b/src/quota/wire.cpp
@@ -16,16 +16,17 @@
   std::string cluster_name;
   std::uint32_t version = 0;
   std::uint8_t kind = 0;
-  std::string from;
+  std::string sender;
   std::uint64_t term = 0, sequence = 0, session = 0, config_digest = 0;
   std::vector<wire_entry> entries;
   bool sender_is_leader = false;
   std::string reply_to;
-  MSGPACK_DEFINE(cluster_name, version, kind, from, term, sequence, session, config_digest, entries,
+  MSGPACK_DEFINE(cluster_name, version, kind, sender, term, sequence, session, config_digest, entries,
                  sender_is_leader, reply_to)
 };
 
-// Positions of the elements that are read before the message's shape is known, and the number of all.
+// Positions of the elements that are read before the structure of the message has been checked, and the total
+// number of elements.
 constexpr std::uint32_t cluster_name_element = 0;
 constexpr std::uint32_t version_element = 1;
 constexpr std::uint32_t kind_element = 2;
@@ -57,7 +58,8 @@
          kind.via.u64 >= static_cast<std::uint8_t>(message_kind::vote_request);
 }
 
-// A share that is no number or below zero would make room for others in the allocator's sums.
+// A share that is not finite or negative would reduce the allocator's sum of commitments, so that other nodes
+// could be granted too much.
 bool is_valid(const wire_entry& entry) {
   return std::isfinite(entry.held) && std::isfinite(entry.demand) && entry.held >= 0 && entry.demand >= 0 &&
          entry.leased >= 0 && entry.leased <= entry.held;
@@ -67,7 +69,7 @@
   if (!is_known_kind(wire.kind) || wire.entries.size() > max_quotas_per_message) return std::nullopt;
   message content;
   content.kind = static_cast<message_kind>(wire.kind);
-  content.from = wire.from;
+  content.sender = wire.sender;
   content.term = wire.term;
   content.sequence = wire.sequence;
   content.session = wire.session;
@@ -86,7 +88,7 @@
   wire.cluster_name = cluster_name;
   wire.version = wire_version;
   wire.kind = static_cast<std::uint8_t>(content.kind);
-  wire.from = content.from;
+  wire.sender = content.sender;
   wire.term = content.term;
   wire.sequence = content.sequence;
   wire.session = content.session;
@@ -102,7 +104,7 @@
   return {std::nullopt, fault};
 }
 
-// Throws what msgpack throws for elements of another type than expected.
+// Throws msgpack's exception if an element has an unexpected type.
 decoded decode_root(const std::string& cluster_name, const msgpack::object& root, bool has_trailing_bytes) {
   if (!is_quota_message(root)) return failed(wire_fault::other_kind);
   const msgpack::object* const elements = root.via.array.ptr;
@@ -130,7 +132,7 @@
         msgpack::unpack(datagram.data(), datagram.size(), parsed_bytes, nullptr, nullptr, unpack_limits);
     return decode_root(cluster_name, handle.get(), parsed_bytes != datagram.size());
   } catch (const std::exception&) {
-    return failed(wire_fault::other_kind);  // membership counts it where it cannot read it either
+    return failed(wire_fault::other_kind);  // membership counts the datagram if it cannot decode it either
   }
 }
 
--- a/src/quota/wire.hpp
+++ b/src/quota/wire.hpp
@@ -1,7 +1,8 @@
-// Encoding of quota messages as datagrams, in msgpack. They share the socket with membership, whose messages
-// begin with the same three elements (fleet, version, kind), so that each side recognises the other's.
+// Encoding of quota messages as msgpack datagrams. The membership protocol uses the same socket; the messages
+// of both protocols start with the same three elements (cluster name, version, kind), so that each decoder
+// recognises the messages of the other protocol.
 //
-// Free of I/O and state; any thread. A message is decoded whole or not at all.
+// Stateless and without I/O; may be called from any thread. A message is decoded completely or rejected.
 #pragma once
 
 #include <optional>
@@ -13,19 +14,19 @@
 namespace marblewharf::quota {
 
 inline constexpr std::uint32_t wire_version = 2;
-// As many entries fit into a datagram that is not fragmented.
+// The number of entries that fit into an unfragmented datagram.
 inline constexpr std::size_t max_quotas_per_message = 32;
 
 enum class wire_fault {
   none,
-  other_kind,     // no quota message: membership's, or not readable at all
-  other_cluster,  // of a cluster with another name
-  version,        // of another wire version
-  undecodable,    // a quota message with a shape or values that none may have
+  other_kind,     // not a quota message: a membership message, or not decodable as msgpack
+  other_cluster,  // sent by a cluster with a different name
+  version,        // uses a different wire version
+  undecodable,    // a quota message whose structure or values are invalid
 };
 
 struct decoded {
-  std::optional<message> content;  // set exactly where fault is none
+  std::optional<message> content;  // set if and only if fault is none
   wire_fault fault = wire_fault::none;
 };
 
--- a/tests/quota/wire_test.cpp
+++ b/tests/quota/wire_test.cpp
@@ -1,4 +1,5 @@
-// Quota messages as datagrams (ctest -L quota).
+// Encoding and decoding of quota messages (ctest -L quota). Datagrams arrive from an untrusted network: a
+// damaged datagram, or one of another protocol, cluster or version, must be rejected with the right fault.
 #include "quota/wire.hpp"
 
 #include <cmath>
@@ -20,39 +21,46 @@
 }  // namespace
 
 int main() {
-  const std::string whole = encode("kurse", sample());
-  const decoded d = decode("kurse", whole);
-  CHECK(d.fault == wire_fault::none && d.content && *d.content == sample());
-  CHECK(decode("renten", whole).fault == wire_fault::other_cluster);
-  std::string later = whole;
-  later[7] = static_cast<char>(wire_version + 1);  // fixarray, fixstr "kurse" (6 bytes), then the version
-  CHECK(decode("kurse", later).fault == wire_fault::version);
+  const std::string datagram = encode("kurse", sample());
+  const decoded result = decode("kurse", datagram);
+  CHECK(result.fault == wire_fault::none && result.content && *result.content == sample());
+  CHECK(decode("renten", datagram).fault == wire_fault::other_cluster);
+  std::string later_version = datagram;
+  // The version follows the fixarray header and the fixstr "kurse" (6 bytes).
+  later_version[7] = static_cast<char>(wire_version + 1);
+  CHECK(decode("kurse", later_version).fault == wire_fault::version);
   CHECK(decode("kurse", "GET / HTTP/1.0\r\n\r\n").fault == wire_fault::other_kind);
-  namespace mem = marblewharf::membership;
-  const std::string ping = mem::encode(
-      "kurse",
-      {mem::message_kind::ping, {"127.0.0.1:1", "z", "r", 1, mem::member_status::alive}, 1, "", {}, {}});
+  namespace membership = marblewharf::membership;
+  const std::string ping =
+      membership::encode("kurse", {membership::message_kind::ping,
+                                   {"127.0.0.1:1", "z", "r", 1, membership::member_status::alive},
+                                   1,
+                                   "",
+                                   {},
+                                   {}});
   CHECK(decode("kurse", ping).fault == wire_fault::other_kind);
-  CHECK(mem::decode("kurse", whole).fault != mem::wire_fault::none);
-  // Every cut and every changed bit: a whole message or a fault, and no share that is no number or below
-  // zero.
-  for (std::size_t cut = 0; cut < whole.size(); ++cut) CHECK(!decode("kurse", whole.substr(0, cut)).content);
-  for (std::size_t at = 0; at < whole.size(); ++at) {
+  CHECK(membership::decode("kurse", datagram).fault != membership::wire_fault::none);
+  // A datagram truncated at any byte is rejected. A datagram with any flipped bit yields either a message or
+  // a fault, and never a share that is not finite or negative.
+  for (std::size_t length = 0; length < datagram.size(); ++length)
+    CHECK(!decode("kurse", datagram.substr(0, length)).content);
+  for (std::size_t offset = 0; offset < datagram.size(); ++offset) {
     for (int bit = 0; bit < 8; ++bit) {
-      std::string changed = whole;
-      changed[at] = static_cast<char>(changed[at] ^ (1 << bit));
-      const decoded c = decode("kurse", changed);
-      CHECK((c.fault == wire_fault::none) == c.content.has_value());
-      if (!c.content) continue;
-      for (const quota_entry& e : c.content->entries)
-        CHECK(std::isfinite(e.held) && e.held >= 0 && std::isfinite(e.demand) && e.demand >= 0);
+      std::string damaged = datagram;
+      damaged[offset] = static_cast<char>(damaged[offset] ^ (1 << bit));
+      const decoded damaged_result = decode("kurse", damaged);
+      CHECK((damaged_result.fault == wire_fault::none) == damaged_result.content.has_value());
+      if (!damaged_result.content) continue;
+      for (const quota_entry& entry : damaged_result.content->entries)
+        CHECK(std::isfinite(entry.held) && entry.held >= 0 && std::isfinite(entry.demand) &&
+              entry.demand >= 0);
     }
   }
   for (const double bad :
        {-1.0, std::numeric_limits<double>::quiet_NaN(), std::numeric_limits<double>::infinity()}) {
-    message m = sample();
-    m.entries[0].held = bad;
-    CHECK(decode("kurse", encode("kurse", m)).fault == wire_fault::undecodable);
+    message invalid = sample();
+    invalid.entries[0].held = bad;
+    CHECK(decode("kurse", encode("kurse", invalid)).fault == wire_fault::undecodable);
   }
   std::printf("wire passed\n");
   return 0;
