--- a/src/cluster/agent.cpp
+++ b/src/cluster/agent.cpp
@@ -89,7 +89,7 @@
 
 void agent::send_messages() {
   for (const membership::envelope& outgoing : view_.take_outbox())
-    transport_.send(outgoing.to, membership::encode(settings_.name, outgoing.content));
+    transport_.send(outgoing.recipient, membership::encode(settings_.name, outgoing.content));
 }
 
 bool agent::routable(const std::string& place) const {
--- a/src/membership/dissemination.hpp
+++ b/src/membership/dissemination.hpp
@@ -1,7 +1,7 @@
-// Chooses the membership updates that go out with each message: changes, each a bounded number of times, and
-// the member table in turn.
+// Selects the membership updates that are piggybacked on each message: recent changes, each sent a bounded
+// number of times, and entries of the member table in round-robin order.
 //
-// Free of I/O and clocks. Not thread-safe: owned by one thread.
+// Performs no I/O and reads no clock. Not thread-safe: owned by one thread.
 #pragma once
 
 #include <cstddef>
@@ -15,21 +15,22 @@
 
 class dissemination {
  public:
-  // Each change is sent `retransmit_multiplier` times the logarithm of the member count, at least once.
+  // Each change is sent `retransmit_multiplier` times the logarithm of the member count, and at least once.
   explicit dissemination(unsigned retransmit_multiplier) : retransmit_multiplier_(retransmit_multiplier) {}
 
-  // The member at `address` changed, and what is believed of it is to be spread; again from the start where
-  // it is being spread already. `known_members`: this one not counted.
+  // Starts to disseminate the current entry of the member at `address`; restarts the transmission count if
+  // the dissemination is already in progress. `known_members`: number of known members without this one.
   void enqueue(const std::string& address, std::size_t known_members);
   bool is_pending(const std::string& address) const { return transmissions_left_.contains(address); }
 
-  // The changed members to name in the next message, at most `limit`; the least often sent first, so that a
-  // fresh change reaches the cluster before one that most members have received. Counts each as sent once.
+  // Returns the addresses of at most `limit` changed members for the next message and counts each as sent
+  // once. The change with the most remaining transmissions comes first, so that a new change spreads before a
+  // change that most members have already received.
   std::vector<std::string> take_pending(std::size_t limit);
 
-  // The next `limit` members of the table in turn, each once at the most. A change is sent a bounded number
-  // of times, so a member that missed all copies (it joined just then, or they were lost) would otherwise
-  // never learn of it.
+  // Returns the addresses of the next `limit` members in round-robin order, each at most once. Because a
+  // change is sent a bounded number of times, a member that received no copy (it joined later, or all copies
+  // were lost) would otherwise never learn of the change.
   std::vector<std::string> take_round_robin(const std::map<std::string, member_update>& members,
                                             std::size_t limit);
 
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-// Sequence of pings that no probe waits for.
+// Sequence number of pings that do not belong to a probe.
 constexpr std::uint64_t no_sequence = 0;
 
-bool overrides(const member_update& heard, const member_update& believed) {
-  if (heard.incarnation != believed.incarnation) return heard.incarnation > believed.incarnation;
-  return heard.status > believed.status;
+bool overrides(const member_update& received, const member_update& believed) {
+  if (received.incarnation != believed.incarnation) return received.incarnation > believed.incarnation;
+  return received.status > believed.status;
 }
 
 std::optional<time_point> find_time(const std::map<std::string, time_point>& times,
@@ -53,7 +53,8 @@
   return find_time(last_missed_, address);
 }
 
-// Lifeguard: each independent confirmation shortens the timeout, logarithmically, down to the shortest.
+// Lifeguard: each independent confirmation shortens the timeout, on a logarithmic scale, down to the shortest
+// timeout.
 duration swim::suspicion_timeout(std::size_t confirmations) const {
   const double live_members = static_cast<double>(live_member_count() + 1);
   const double shortest = options_.suspicion_min_rounds * std::max(1.0, std::log10(live_members)) *
@@ -66,8 +67,8 @@
   return duration(static_cast<std::int64_t>(std::max(shortest, timeout)));
 }
 
-void swim::worsen_local_health(unsigned by) {
-  local_health_ = std::min(options_.max_local_health, local_health_ + by);
+void swim::worsen_local_health(unsigned amount) {
+  local_health_ = std::min(options_.max_local_health, local_health_ + amount);
 }
 
 void swim::improve_local_health() {
@@ -82,11 +83,11 @@
 
 void swim::refute(std::uint64_t incarnation) {
   self_.incarnation = incarnation + 1;
-  worsen_local_health(1);  // Lifeguard: whoever is suspected may be the slow one
+  worsen_local_health(1);  // Lifeguard: a suspicion of this member may mean that this member is slow
   disseminate(self_);
 }
 
-bool swim::apply(time_point now, const member_update& update, const std::string& from) {
+bool swim::apply(time_point now, const member_update& update, const std::string& sender) {
   if (update.address.empty()) return false;
   if (update.address == self_.address) {
     if (update.status != member_status::alive && update.incarnation >= self_.incarnation)
@@ -96,7 +97,7 @@
   const auto found = members_.find(update.address);
   const bool is_new = found == members_.end();
   if (is_new && members_.size() >= options_.max_members) return false;
-  const std::string& suspected_by = update.suspected_by.empty() ? from : update.suspected_by;
+  const std::string& suspected_by = update.suspected_by.empty() ? sender : update.suspected_by;
   if (is_new || overrides(update, found->second)) {
     accept(now, update, suspected_by);
     return true;
@@ -110,11 +111,11 @@
 
 void swim::accept(time_point now, const member_update& update, const std::string& suspected_by) {
   member_update& believed = members_[update.address];
-  const member_update before = believed;
+  const member_update previous = believed;
   believed = update;
-  // Gossip of the status alone keeps what is known of the place.
-  if (believed.zone.empty()) believed.zone = before.zone;
-  if (believed.region.empty()) believed.region = before.region;
+  // An update without a zone or region does not erase the known zone and region.
+  if (believed.zone.empty()) believed.zone = previous.zone;
+  if (believed.region.empty()) believed.region = previous.region;
   if (update.status == member_status::suspect) {
     believed.suspected_by = suspected_by;
     suspicions_[update.address] = suspicion{now, {suspected_by}};
@@ -125,20 +126,23 @@
   disseminate(believed);
 }
 
-// Only independent suspicions shorten the timeout: one that many members pass on is one. A new one is passed
-// on itself, until enough are known.
+// Only independent suspicions shorten the timeout: a suspicion that many members forward counts once. A new
+// confirmation is disseminated as well, until the number of confirmations that shortens the timeout to its
+// minimum is reached.
 void swim::confirm_suspicion(member_update& believed, const std::string& suspected_by) {
-  std::vector<std::string>& known = suspicions_[believed.address].suspected_by;
-  if (known.size() > options_.suspicion_confirmations) return;
-  if (std::find(known.begin(), known.end(), suspected_by) != known.end()) return;
-  known.push_back(suspected_by);
+  std::vector<std::string>& suspecting_members = suspicions_[believed.address].suspected_by;
+  if (suspecting_members.size() > options_.suspicion_confirmations) return;
+  if (std::find(suspecting_members.begin(), suspecting_members.end(), suspected_by) !=
+      suspecting_members.end())
+    return;
+  suspecting_members.push_back(suspected_by);
   believed.suspected_by = suspected_by;
   disseminate(believed);
 }
 
 // ---- Messages ---------------------------------------------------------------------------------------------
 
-void swim::add_gossip(message& outgoing, const std::string& to) {
+void swim::add_gossip(message& outgoing, const std::string& recipient) {
   for (const std::string& address : dissemination_.take_pending(options_.gossip_per_message)) {
     if (address == self_.address) {
       outgoing.gossip.push_back(self_);
@@ -147,13 +151,14 @@
     }
   }
   for (const std::string& address : dissemination_.take_round_robin(members_, options_.refresh_per_message))
-    if (address != to) outgoing.gossip.push_back(members_.at(address));
+    if (address != recipient) outgoing.gossip.push_back(members_.at(address));
 }
 
-void swim::send(const std::string& to, message_kind kind, std::uint64_t sequence, const std::string& target) {
+void swim::send(const std::string& recipient, message_kind kind, std::uint64_t sequence,
+                const std::string& target) {
   message outgoing{kind, self_, sequence, target, {}, {}};
-  add_gossip(outgoing, to);
-  outbox_.push_back(envelope{to, std::move(outgoing)});
+  add_gossip(outgoing, recipient);
+  outbox_.push_back(envelope{recipient, std::move(outgoing)});
 }
 
 void swim::receive(time_point now, const message& received) {
@@ -161,8 +166,9 @@
   if (sender == self_.address) return;
   apply(now, received.sender, sender);
   for (const member_update& update : received.gossip) apply(now, update, sender);
-  // A member that sends while it is believed suspect or dead has not learned so (it may have been paused
-  // while that was spread). Told again from this reply on, it refutes.
+  // A member that sends messages while it is believed suspect or dead has not received that update (it may
+  // have been paused during the dissemination). Disseminating the update again, starting with this reply,
+  // lets the member refute.
   const auto believed = members_.find(sender);
   if (believed != members_.end() && believed->second.status != member_status::alive &&
       !dissemination_.is_pending(sender))
@@ -177,8 +183,8 @@
 
 void swim::on_ping_req(time_point now, const message& request) {
   if (relayed_probes_.size() >= options_.max_relayed_probes) return;
-  // Lifeguard: the nack goes out a little before the requester's own timeout.
-  const duration timeout = stretched(options_.probe_timeout);
+  // Lifeguard: the nack is sent at 4/5 of the probe timeout, before the requester's own timeout expires.
+  const duration timeout = scale_by_local_health(options_.probe_timeout);
   relayed_probe relayed;
   relayed.requester = request.sender.address;
   relayed.target = request.target;
@@ -198,10 +204,10 @@
     last_acknowledged_[probe_.target] = now;
     return;
   }
-  const auto answers = [&ack](const relayed_probe& relayed) {
+  const auto is_answered_by_ack = [&ack](const relayed_probe& relayed) {
     return relayed.own_sequence == ack.sequence && relayed.target == ack.sender.address;
   };
-  const auto relayed = std::find_if(relayed_probes_.begin(), relayed_probes_.end(), answers);
+  const auto relayed = std::find_if(relayed_probes_.begin(), relayed_probes_.end(), is_answered_by_ack);
   if (relayed == relayed_probes_.end()) return;
   send(relayed->requester, message_kind::ack, relayed->requester_sequence, relayed->target);
   relayed_probes_.erase(relayed);
@@ -225,7 +231,7 @@
   return next_due();
 }
 
-// A nack tells the requester that this helper did try.
+// A nack informs the requester that this helper is working and that the target did not answer it.
 void swim::step_relayed_probes(time_point now) {
   for (relayed_probe& relayed : relayed_probes_) {
     if (relayed.nacked || now < relayed.nack_due) continue;
@@ -252,7 +258,7 @@
 
 void swim::send_indirect_probes(time_point now, std::mt19937_64& random) {
   if (probe_.state != probe_state::direct) return;
-  if (now < probe_.sent + stretched(options_.probe_timeout)) return;
+  if (now < probe_.sent + scale_by_local_health(options_.probe_timeout)) return;
   probe_.state = probe_state::indirect;
   std::vector<std::string> helpers;
   for (const auto& [address, member] : members_)
@@ -264,9 +270,9 @@
     send(helper, message_kind::ping_req, probe_.sequence, probe_.target);
 }
 
-// Suspects the target of a probe that went unanswered. Lifeguard: a helper that sent nothing at all hints at
-// trouble of this member itself; where all helpers got no answer either the trouble is the target's. Without
-// helpers nothing tells the two apart.
+// Suspects the target of an unanswered probe. Lifeguard: a helper that sent neither an ack nor a nack
+// indicates a problem of this member itself; if all helpers sent a nack, the problem is at the target.
+// Without helpers the two cases cannot be distinguished, and the local health score is raised by 1.
 void swim::finish_probe(time_point now) {
   const probe finished = std::exchange(probe_, probe{});
   if (!finished.is_unanswered()) return;
@@ -290,10 +296,10 @@
     probe_.sent = now;
     send(target, message_kind::ping, probe_.sequence);
   }
-  next_probe_ = now + stretched(options_.probe_interval);
+  next_probe_ = now + scale_by_local_health(options_.probe_interval);
 }
 
-// Empty: there is nobody to probe.
+// Returns the address of the next member to probe, or an empty string if there is none.
 std::string swim::next_target(std::mt19937_64& random) {
   while (!probe_round_.empty()) {
     std::string target = std::move(probe_round_.back());
@@ -308,7 +314,8 @@
   return target;
 }
 
-// Every member that is not dead once, in random order: bounds the time until a failure is detected (SWIM).
+// Schedules one probe of every member that is not dead, in random order, which bounds the failure detection
+// time (SWIM).
 void swim::start_probe_round(std::mt19937_64& random) {
   for (const auto& [address, member] : members_)
     if (member.status != member_status::dead) probe_round_.push_back(address);
@@ -317,9 +324,9 @@
   std::shuffle(probe_round_.begin(), probe_round_.end(), random);
 }
 
-// After a partition in which both sides declared each other dead nobody probes across. A dead member that is
-// pinged learns that it is believed dead, and refutes if it lives. The interval is not stretched by the local
-// health: a member that was alone has the worst score.
+// After a partition, the two sides have declared each other dead and send no probes across the healed link. A
+// member that receives this ping learns that it is believed dead and refutes. The interval is not lengthened
+// by the local health score, because a member that was isolated has the worst score.
 void swim::ping_dead_member(time_point now, std::mt19937_64& random) {
   next_reconnect_ = now + options_.reconnect_intervals * options_.probe_interval;
   std::vector<std::string> dead;
@@ -336,7 +343,7 @@
   time_point due = next_probe_;
   if (options_.reconnect_intervals > 0) due = std::min(due, next_reconnect_);
   if (probe_.state == probe_state::direct)
-    due = std::min(due, probe_.sent + stretched(options_.probe_timeout));
+    due = std::min(due, probe_.sent + scale_by_local_health(options_.probe_timeout));
   for (const relayed_probe& relayed : relayed_probes_)
     due = std::min(due, relayed.nacked ? relayed.expiry : relayed.nack_due);
   for (const auto& [address, suspected] : suspicions_)
--- a/src/membership/wire.cpp
+++ b/src/membership/wire.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// The shapes on the wire; the protocol's own structs stay free of the codec.
+// The wire format of the message structs; the structs of the protocol do not depend on the codec.
 struct wire_update {
   std::string address, zone, region;
   std::uint64_t incarnation = 0;
@@ -36,7 +36,8 @@
   MSGPACK_DEFINE(cluster_name, version, kind, sender, sequence, target, gossip, votes)
 };
 
-// Positions of the elements that are read before the message's shape is known, and the number of all.
+// Positions of the elements that are read before the structure of the message has been checked, and the total
+// number of elements.
 constexpr std::uint32_t cluster_name_element = 0;
 constexpr std::uint32_t version_element = 1;
 constexpr std::uint32_t header_elements = 2;
@@ -103,8 +104,8 @@
   return {std::nullopt, fault};
 }
 
-// Reads cluster name and version first: a message of another cluster or version need not have this one's
-// shape. Throws what msgpack throws for elements of another type than expected.
+// Checks the cluster name and the version first, because a message of another cluster or version may have a
+// different structure. Throws msgpack's exception if an element has an unexpected type.
 decoded decode_root(const std::string& cluster_name, const msgpack::object& root) {
   if (root.type != msgpack::type::ARRAY || root.via.array.size < header_elements)
     return failed(wire_fault::undecodable);
@@ -125,7 +126,8 @@
   wire_message wire = to_wire(cluster_name, content);
   std::string bytes = pack(wire);
   while (bytes.size() > max_datagram_bytes && (!wire.gossip.empty() || !wire.votes.empty())) {
-    // The last of each will be sent again in any case: retransmitted votes, members of the table in turn.
+    // The entries at the end of both lists are sent again by later messages: they are retransmitted votes and
+    // round-robin entries of the member table.
     if (wire.votes.size() >= wire.gossip.size()) {
       wire.votes.pop_back();
     } else {
@@ -144,7 +146,7 @@
     const bool has_trailing_bytes = parsed_bytes != datagram.size();
     if (has_trailing_bytes) return failed(wire_fault::undecodable);
     return decode_root(cluster_name, handle.get());
-  } catch (const std::exception&) {  // of msgpack: malformed, other types, limits exceeded
+  } catch (const std::exception&) {  // from msgpack: malformed data, unexpected types or exceeded limits
     return failed(wire_fault::undecodable);
   }
 }
--- a/src/membership/wire.hpp
+++ b/src/membership/wire.hpp
@@ -1,8 +1,9 @@
-// Encoding of membership messages as datagrams, in msgpack: one array of cluster name, wire version and the
-// message.
+// Encoding of membership messages as msgpack datagrams: an array of the cluster name, the wire version and
+// the fields of the message.
 //
-// Free of I/O and state; any thread. A message is decoded whole or not at all; a datagram of another cluster
-// or another version is told apart from one that cannot be decoded, so that each is counted on its own.
+// Stateless and without I/O; may be called from any thread. A message is decoded completely or rejected.
+// Datagrams of another cluster, datagrams of another version and undecodable datagrams are reported as
+// different faults, so that they can be counted separately.
 #pragma once
 
 #include <cstdint>
@@ -15,23 +16,24 @@
 namespace marblewharf::membership {
 
 inline constexpr std::uint32_t wire_version = 2;
-// Below the usual path MTU, so that no datagram is fragmented.
+// Less than the usual path MTU, so that datagrams are not fragmented.
 inline constexpr std::size_t max_datagram_bytes = 1400;
 
 enum class wire_fault {
   none,
-  other_cluster,  // of a cluster with another name
-  version,        // of another wire version
+  other_cluster,  // sent by a cluster with a different name
+  version,        // uses a different wire version
   undecodable,
 };
 
 struct decoded {
-  std::optional<message> content;  // set exactly where fault is none
+  std::optional<message> content;  // set if and only if fault is none
   wire_fault fault = wire_fault::none;
 };
 
-// Votes or gossip, whichever is longer, is cut from its end until the datagram fits into max_datagram_bytes;
-// the rest always fits where addresses, zones and regions have less than 256 bytes each.
+// If the datagram exceeds max_datagram_bytes, entries are removed from the end of the longer of the votes and
+// gossip lists until it fits. Without votes and gossip, a message always fits if addresses, zones and regions
+// are shorter than 256 bytes each.
 std::string encode(const std::string& cluster_name, const message& content);
 decoded decode(const std::string& cluster_name, std::string_view datagram);
 
--- a/tests/membership/swim_test.cpp
+++ b/tests/membership/swim_test.cpp
@@ -1,4 +1,4 @@
-// The membership state machine over a network of the test's own, in one process (ctest -L membership).
+// The membership state machine over a simulated network in one process (ctest -L membership).
 #include "membership/swim.hpp"
 
 #include <cstdio>
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Nine members in three zones; messages arrive at the next tick, unless sender or receiver is cut off.
+// Nine members in three zones. A message arrives at the next tick, unless its sender or recipient is cut off.
 struct simulated_cluster {
   explicit simulated_cluster(std::uint64_t seed) : random(seed) {
     for (int i = 0; i < 9; ++i) {
@@ -24,29 +24,30 @@
       members.emplace(address, swim(swim_options{}, self, {"127.0.0.1:7000"}, now));
     }
   }
-  void run(duration d) {
-    const time_point until = now + d;
+  void run(duration length) {
+    const time_point until = now + length;
     while (now < until) {
       now += 10ms;
-      for (auto& [address, m] : members) {
+      for (auto& [address, member] : members) {
         if (paused.contains(address)) continue;
-        m.step(now, random);
-        for (envelope& e : m.take_outbox()) {
-          if (cut_off.contains(address) || cut_off.contains(e.to)) continue;  // both ways
-          in_flight.push_back(std::move(e));
+        member.step(now, random);
+        for (envelope& outgoing : member.take_outbox()) {
+          if (cut_off.contains(address) || cut_off.contains(outgoing.recipient)) continue;  // both directions
+          in_flight.push_back(std::move(outgoing));
         }
       }
       auto arriving = std::move(in_flight);
       in_flight.clear();
-      for (const envelope& e : arriving) {
-        const auto to = members.find(e.to);
-        if (to != members.end() && !paused.contains(e.to)) to->second.receive(now, e.content);
+      for (const envelope& arrived : arriving) {
+        const auto recipient = members.find(arrived.recipient);
+        if (recipient != members.end() && !paused.contains(arrived.recipient))
+          recipient->second.receive(now, arrived.content);
       }
     }
   }
-  member_status seen_by(const std::string& observer, const std::string& of) const {
+  member_status status_seen_by(const std::string& observer, const std::string& member) const {
     const auto& view = members.at(observer).members();
-    const auto found = view.find(of);
+    const auto found = view.find(member);
     return found == view.end() ? member_status::dead : found->second.status;
   }
   static std::string address(int i) { return "127.0.0.1:" + std::to_string(7000 + i); }
@@ -58,169 +59,182 @@
   std::vector<envelope> in_flight;
 };
 
-void converges(std::uint64_t seed) {
-  simulated_cluster f(seed);
-  f.run(10s);
+// Every member must learn of every other member, with its zone, through one seed address.
+void views_converge(std::uint64_t seed) {
+  simulated_cluster cluster(seed);
+  cluster.run(10s);
   for (int i = 0; i < 9; ++i)
     for (int j = 0; j < 9; ++j)
       if (i != j)
-        CHECK(f.seen_by(simulated_cluster::address(i), simulated_cluster::address(j)) ==
+        CHECK(cluster.status_seen_by(simulated_cluster::address(i), simulated_cluster::address(j)) ==
               member_status::alive);
-  CHECK(f.members.at(simulated_cluster::address(4)).members().at(simulated_cluster::address(8)).zone == "z2");
+  CHECK(cluster.members.at(simulated_cluster::address(4)).members().at(simulated_cluster::address(8)).zone ==
+        "z2");
 }
 
-void a_silent_member_is_declared_dead(std::uint64_t seed) {
-  simulated_cluster f(seed);
-  f.run(10s);
-  f.cut_off.insert(simulated_cluster::address(5));
-  f.run(30s);
+// A member that is cut off must be declared dead by all other members, and no other member may be.
+void cut_off_member_is_declared_dead(std::uint64_t seed) {
+  simulated_cluster cluster(seed);
+  cluster.run(10s);
+  cluster.cut_off.insert(simulated_cluster::address(5));
+  cluster.run(30s);
   for (int i = 0; i < 9; ++i) {
     if (i == 5) continue;
-    CHECK(f.seen_by(simulated_cluster::address(i), simulated_cluster::address(5)) == member_status::dead);
+    CHECK(cluster.status_seen_by(simulated_cluster::address(i), simulated_cluster::address(5)) ==
+          member_status::dead);
     for (int j = 0; j < 9; ++j)
       if (j != i && j != 5)
-        CHECK(f.seen_by(simulated_cluster::address(i), simulated_cluster::address(j)) ==
-              member_status::alive);  // nobody else
+        CHECK(cluster.status_seen_by(simulated_cluster::address(i), simulated_cluster::address(j)) ==
+              member_status::alive);  // all other members stay alive
   }
 }
 
-// Paused past its suspicion timeout, then resumed: it refutes with a higher incarnation and is alive again.
-void a_paused_member_refutes(std::uint64_t seed) {
-  simulated_cluster f(seed);
-  f.run(10s);
-  f.paused.insert(simulated_cluster::address(2));
-  f.run(3s);
-  CHECK(f.seen_by(simulated_cluster::address(0), simulated_cluster::address(2)) != member_status::alive);
-  f.paused.clear();
-  f.run(15s);
-  CHECK(f.members.at(simulated_cluster::address(2)).self().incarnation > 1);
+// A member that is paused for 3 s becomes suspect or dead in other views. After it resumes, it must refute
+// with a higher incarnation and be alive again in all views.
+void paused_member_refutes(std::uint64_t seed) {
+  simulated_cluster cluster(seed);
+  cluster.run(10s);
+  cluster.paused.insert(simulated_cluster::address(2));
+  cluster.run(3s);
+  CHECK(cluster.status_seen_by(simulated_cluster::address(0), simulated_cluster::address(2)) !=
+        member_status::alive);
+  cluster.paused.clear();
+  cluster.run(15s);
+  CHECK(cluster.members.at(simulated_cluster::address(2)).self().incarnation > 1);
   for (int i = 0; i < 9; ++i)
     if (i != 2)
-      CHECK(f.seen_by(simulated_cluster::address(i), simulated_cluster::address(2)) == member_status::alive);
+      CHECK(cluster.status_seen_by(simulated_cluster::address(i), simulated_cluster::address(2)) ==
+            member_status::alive);
 }
 
-// A partition that lasts until each side has declared the other dead, then heals at once: all are alive
-// again.
-void a_partition_heals(std::uint64_t seed) {
-  simulated_cluster f(seed);
-  f.run(10s);
+// During a partition each side declares the other side dead and stops probing it. After the partition heals,
+// all members must be alive again in all views.
+void views_recover_after_partition(std::uint64_t seed) {
+  simulated_cluster cluster(seed);
+  cluster.run(10s);
   const std::set<std::string> side = {simulated_cluster::address(6), simulated_cluster::address(7),
                                       simulated_cluster::address(8)};
-  f.cut_off = side;  // drops what these send or receive
-  f.run(30s);
-  CHECK(f.seen_by(simulated_cluster::address(0), simulated_cluster::address(7)) == member_status::dead);
-  f.cut_off.clear();
-  f.run(20s);
+  cluster.cut_off = side;  // drops all messages that these members send or receive
+  cluster.run(30s);
+  CHECK(cluster.status_seen_by(simulated_cluster::address(0), simulated_cluster::address(7)) ==
+        member_status::dead);
+  cluster.cut_off.clear();
+  cluster.run(20s);
   for (int i = 0; i < 9; ++i)
     for (int j = 0; j < 9; ++j)
       if (i != j)
-        CHECK(f.seen_by(simulated_cluster::address(i), simulated_cluster::address(j)) ==
+        CHECK(cluster.status_seen_by(simulated_cluster::address(i), simulated_cluster::address(j)) ==
               member_status::alive);
 }
 
-void suspicion_shrinks_with_confirmations() {
-  const swim s(swim_options{}, member_update{"a:1", "z", "r", 1, member_status::alive}, {}, {});
-  CHECK(s.suspicion_timeout(0) > s.suspicion_timeout(1));
-  CHECK(s.suspicion_timeout(1) > s.suspicion_timeout(2));
-  CHECK(s.suspicion_timeout(3) == s.suspicion_timeout(30));  // the least after K
+void confirmations_shorten_suspicion_timeout() {
+  const swim observer(swim_options{}, member_update{"a:1", "z", "r", 1, member_status::alive}, {}, {});
+  CHECK(observer.suspicion_timeout(0) > observer.suspicion_timeout(1));
+  CHECK(observer.suspicion_timeout(1) > observer.suspicion_timeout(2));
+  // Three confirmations (the default of suspicion_confirmations) reach the shortest timeout.
+  CHECK(observer.suspicion_timeout(3) == observer.suspicion_timeout(30));
 }
 
-// One suspicion that many members relay is one: only a member whose own probe failed confirms it.
-void relayed_suspicion_confirms_nothing() {
-  const auto speaker = [](int i) {
+// A suspicion that several members forward must count once: only a member whose own probe failed confirms it.
+// Otherwise gossip alone would shorten the suspicion timeout.
+void forwarded_suspicion_is_no_confirmation() {
+  const auto member = [](int i) {
     return member_update{simulated_cluster::address(i), "z0", "r0", 1, member_status::alive};
   };
-  const auto suspected_for = [&](bool independent) {
-    swim s(swim_options{}, speaker(0), {}, 0s);
+  const auto time_until_dead = [&](bool independent) {
+    swim observer(swim_options{}, member(0), {}, 0s);
     std::mt19937_64 random(1);
-    for (int i = 1; i < 9; ++i) s.receive(0s, message{message_kind::ack, speaker(i), 0, "", {}, {}});
+    for (int i = 1; i < 9; ++i) observer.receive(0s, message{message_kind::ack, member(i), 0, "", {}, {}});
     for (int i = 1; i < 6; ++i) {
-      member_update c = speaker(8);
-      c.status = member_status::suspect;
-      c.suspected_by = simulated_cluster::address(independent ? i : 1);
-      s.receive(0s, message{message_kind::ack, speaker(i), 0, "", {c}, {}});
+      member_update suspected = member(8);
+      suspected.status = member_status::suspect;
+      suspected.suspected_by = simulated_cluster::address(independent ? i : 1);
+      observer.receive(0s, message{message_kind::ack, member(i), 0, "", {suspected}, {}});
     }
     time_point now = 0s;
-    while (s.members().at(simulated_cluster::address(8)).status != member_status::dead)
-      s.step(now += 10ms, random);
+    while (observer.members().at(simulated_cluster::address(8)).status != member_status::dead)
+      observer.step(now += 10ms, random);
     return now;
   };
-  const swim s(swim_options{}, speaker(0), {}, 0s);
-  CHECK(suspected_for(false) >= s.suspicion_timeout(0) - 10ms);
-  CHECK(suspected_for(true) <= s.suspicion_timeout(3) + 10ms);
+  const swim observer(swim_options{}, member(0), {}, 0s);
+  CHECK(time_until_dead(false) >= observer.suspicion_timeout(0) - 10ms);
+  CHECK(time_until_dead(true) <= observer.suspicion_timeout(3) + 10ms);
 }
 
-// Two members that could not learn of each other by the gossip of changes when they joined: both do from the
-// members that are sent in turn.
-void unknown_members_meet() {
+// Two members join at different times, so neither receives the gossiped change of the other. They must learn
+// of each other from the round-robin entries of the member table.
+void round_robin_entries_reach_later_members() {
   std::mt19937_64 random(1);
   time_point now = 0s;
-  swim_options o;
-  o.retransmit_multiplier = 0;  // one copy of each change: all of them gone before the other joins
-  const auto member = [&](const std::string& a) {
-    return swim(o, member_update{a, "z0", "r0", 1, member_status::alive}, {"hub:1"}, now);
+  swim_options options;
+  options.retransmit_multiplier = 0;  // each change is sent once, before the second member joins
+  const auto member = [&](const std::string& address) {
+    return swim(options, member_update{address, "z0", "r0", 1, member_status::alive}, {"hub:1"}, now);
   };
-  std::map<std::string, swim> all;
-  for (const std::string a : {"hub:1", "a:1"}) all.emplace(a, member(a));
-  const auto run = [&](duration d) {
-    for (const time_point until = now + d; now < until;) {
+  std::map<std::string, swim> members;
+  for (const std::string address : {"hub:1", "a:1"}) members.emplace(address, member(address));
+  const auto run = [&](duration length) {
+    for (const time_point until = now + length; now < until;) {
       now += 10ms;
-      for (auto& [address, m] : all) {
-        m.step(now, random);
-        for (envelope& e : m.take_outbox())
-          if (const auto to = all.find(e.to); to != all.end()) to->second.receive(now, e.content);
+      for (auto& [address, current] : members) {
+        current.step(now, random);
+        for (envelope& outgoing : current.take_outbox())
+          if (const auto recipient = members.find(outgoing.recipient); recipient != members.end())
+            recipient->second.receive(now, outgoing.content);
       }
     }
   };
   run(5s);
-  all.emplace("b:1", member("b:1"));
+  members.emplace("b:1", member("b:1"));
   run(10s);
-  CHECK(all.at("a:1").members().contains("b:1") && all.at("b:1").members().contains("a:1"));
+  CHECK(members.at("a:1").members().contains("b:1") && members.at("b:1").members().contains("a:1"));
 }
 
-// Invented members and requests for indirect probes do not let the tables grow without limit.
+// Forged members and forged requests for indirect probes must not make the tables grow without limit.
 void tables_are_bounded() {
-  swim_options o;
-  o.max_members = 16;
-  o.max_relayed_probes = 4;
-  swim s(o, member_update{"a:1", "z", "r", 1, member_status::alive}, {}, 0s);
+  swim_options options;
+  options.max_members = 16;
+  options.max_relayed_probes = 4;
+  swim observer(options, member_update{"a:1", "z", "r", 1, member_status::alive}, {}, 0s);
   for (int i = 0; i < 100; ++i) {
-    const member_update from{"b:" + std::to_string(i), "z", "r", 1, member_status::alive};
-    s.receive(0s, message{message_kind::ping_req, from, 1, "c:" + std::to_string(i), {}, {}});
+    const member_update sender{"b:" + std::to_string(i), "z", "r", 1, member_status::alive};
+    observer.receive(0s, message{message_kind::ping_req, sender, 1, "c:" + std::to_string(i), {}, {}});
   }
-  CHECK(s.members().size() == 16);
+  CHECK(observer.members().size() == 16);
   std::size_t pings = 0;
-  for (const envelope& e : s.take_outbox()) pings += e.content.kind == message_kind::ping;
+  for (const envelope& outgoing : observer.take_outbox())
+    pings += outgoing.content.kind == message_kind::ping;
   CHECK(pings == 4);
 }
 
 }  // namespace
 
 int main(int, char** argv) {
-  const char* given = std::getenv("MARBLEWHARF_SEED");
-  const std::uint64_t seed = given != nullptr ? std::strtoull(given, nullptr, 10) : 1;
+  const char* seed_text = std::getenv("MARBLEWHARF_SEED");
+  const std::uint64_t seed = seed_text != nullptr ? std::strtoull(seed_text, nullptr, 10) : 1;
   std::printf("seed %llu\n", static_cast<unsigned long long>(seed));
   const std::string name = argv[1] != nullptr ? argv[1] : "";
-  // Eight schedules a case: the seed and the seven after it, each with a cluster of its own.
-  for (std::uint64_t s = seed; s < seed + 8; ++s) {
-    if (name == "converges")
-      converges(s);
-    else if (name == "silent")
-      a_silent_member_is_declared_dead(s);
-    else if (name == "paused")
-      a_paused_member_refutes(s);
-    else if (name == "heals")
-      a_partition_heals(s);
+  // Each of these cases runs eight clusters, with the given seed and the seven seeds after it.
+  for (std::uint64_t current_seed = seed; current_seed < seed + 8; ++current_seed) {
+    if (name == "views_converge")
+      views_converge(current_seed);
+    else if (name == "cut_off_member")
+      cut_off_member_is_declared_dead(current_seed);
+    else if (name == "paused_member")
+      paused_member_refutes(current_seed);
+    else if (name == "partition_heals")
+      views_recover_after_partition(current_seed);
   }
-  if (name == "suspicion")
-    suspicion_shrinks_with_confirmations();
-  else if (name == "hearsay")
-    relayed_suspicion_confirms_nothing();
-  else if (name == "bounds")
+  if (name == "suspicion_timeout")
+    confirmations_shorten_suspicion_timeout();
+  else if (name == "forwarded_suspicion")
+    forwarded_suspicion_is_no_confirmation();
+  else if (name == "table_bounds")
     tables_are_bounded();
-  else if (name == "meet")
-    unknown_members_meet();
-  else if (name != "converges" && name != "silent" && name != "paused" && name != "heals")
+  else if (name == "round_robin_entries")
+    round_robin_entries_reach_later_members();
+  else if (name != "views_converge" && name != "cut_off_member" && name != "paused_member" &&
+           name != "partition_heals")
     CHECK(false);
   std::printf("%s passed\n", name.c_str());
   return 0;
