--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -143,7 +143,7 @@
 }
 
 bool cluster_view::is_zone_routable(const std::string& zone) const {
-  return failover::zone_routable(zones_.decision(zone), zone == settings_.zone);
+  return failover::is_zone_routable(zones_.decision(zone), zone == settings_.zone);
 }
 
 bool cluster_view::is_routable(const std::string& place) const {
--- a/src/cluster/cluster_view.hpp
+++ b/src/cluster/cluster_view.hpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "config/config.hpp"
-#include "failover/routes.hpp"
+#include "failover/zone_observation.hpp"
 #include "failover/zone_view.hpp"
 #include "membership/swim.hpp"
 
--- a/src/cluster/console_text.cpp
+++ b/src/cluster/console_text.cpp
@@ -73,7 +73,7 @@
     zones_by_region[zone.region].push_back(zone.name);
   }
   for (const auto& [region, zones] : zones_by_region) {
-    out << "region " << region << ' ' << (view.zones().region_out(zones) ? "out" : "in") << ' '
+    out << "region " << region << ' ' << (view.zones().is_region_out(zones) ? "out" : "in") << ' '
         << count_in(view, zones) << '/' << zones.size() << '\n';
   }
   return out.str();
--- a/src/failover/locality.cpp
+++ b/src/failover/locality.cpp
@@ -13,18 +13,18 @@
   return std::accumulate(values.begin(), values.end(), 0.0);
 }
 
-// Levels in their order, each taking what it covers of what is left. What no level covers goes to all of them
-// in proportion to what they took (Envoy's normalisation).
-per_level spill_over(const per_level& coverage) {
+// Fills the levels in order, each with the remaining share up to its coverage. What no level covers is
+// divided among the levels in proportion to their shares (Envoy's normalisation).
+per_level fill_levels(const per_level& coverage) {
   per_level share{};
-  double left = 1;
+  double remaining = 1;
   for (std::size_t level_index = 0; level_index < levels; ++level_index) {
-    share[level_index] = std::min(left, coverage[level_index]);
-    left -= share[level_index];
+    share[level_index] = std::min(remaining, coverage[level_index]);
+    remaining -= share[level_index];
   }
-  const double taken = sum_of(share);
-  if (taken > 0)
-    for (double& each : share) each /= taken;
+  const double covered = sum_of(share);
+  if (covered > 0)
+    for (double& level_share : share) level_share /= covered;
   return share;
 }
 
@@ -44,18 +44,18 @@
     total[level_index] += 1;
     if (endpoint.able) able[level_index] += 1;
   }
-  const double all = sum_of(total);
-  if (all == 0) return {};
+  const double endpoint_count = sum_of(total);
+  if (endpoint_count == 0) return {};
   per_level coverage{};
   for (std::size_t i = 0; i < levels; ++i)
     if (total[i] > 0) coverage[i] = std::min(1.0, options.overprovisioning * able[i] / total[i]);
-  // With most endpoints unable, the health checks are more likely wrong than the endpoints all down; sparing
-  // the unable ones would overload the few left.
-  const bool panic = sum_of(coverage) < 1 && sum_of(able) < options.panic_threshold * all;
-  if (!panic) return {spill_over(coverage), false};
+  // If most endpoints are unable, wrong health checks are more likely than a failure of all these endpoints,
+  // and avoiding them would overload the few able endpoints.
+  const bool panic = sum_of(coverage) < 1 && sum_of(able) < options.panic_threshold * endpoint_count;
+  if (!panic) return {fill_levels(coverage), false};
   level_shares shares;
   shares.panic = true;
-  for (std::size_t i = 0; i < levels; ++i) shares.share[i] = total[i] / all;
+  for (std::size_t i = 0; i < levels; ++i) shares.share[i] = total[i] / endpoint_count;
   return shares;
 }
 
@@ -68,7 +68,7 @@
     cumulative += shares.share[i];
     if (uniform < cumulative) return last;
   }
-  return last;  // by rounding the shares may add up to less than a number just under 1
+  return last;  // rounding can make the sum of the shares slightly smaller than `uniform`
 }
 
 }  // namespace marblewharf::failover
--- a/src/failover/locality.hpp
+++ b/src/failover/locality.hpp
@@ -1,9 +1,10 @@
-// Locality-aware load balancing: the shares of calls for the caller's zone, its region and the rest, as
-// Envoy's locality priorities with overprovisioning and panic.
+// Locality-aware load balancing: divides calls among the caller's zone, its region and the remaining
+// endpoints, like Envoy's priority levels with overprovisioning factor and panic threshold.
 //
-// Free of I/O and of state; any thread. The caller tells of each endpoint its level and whether it is able to
-// take a call (healthy by its own checks, its zone not decided out, and under its admission limit), and draws
-// the level with a number in [0, 1) of its own randomness.
+// Stateless and without I/O; may be called from any thread. The caller provides, for each endpoint, its
+// locality level and whether it is able to accept a call (its health checks succeed, its zone is not decided
+// out and its admission limit is not reached). The caller draws the level of a call with its own uniform
+// random number in [0, 1).
 #pragma once
 
 #include <array>
@@ -15,14 +16,14 @@
 
 namespace marblewharf::failover {
 
-// How near an endpoint is to the caller.
+// The locality of an endpoint relative to the caller: same zone, same region or elsewhere.
 enum class level : std::uint8_t { zone = 0, region = 1, rest = 2 };
 inline constexpr std::size_t levels = 3;
 
 struct locality_options {
-  double overprovisioning = 1.4;  // a level keeps all its calls while at least 1/1.4 of it can take them
-  double panic_threshold = 0.5;   // with a smaller fraction able, calls go to all endpoints alike
-  unsigned most_each = 0;         // calls in flight at one endpoint before it counts as unable; 0: no limit
+  double overprovisioning = 1.4;  // a level keeps all its calls if at least 1/1.4 of its endpoints are able
+  double panic_threshold = 0.5;  // if a smaller fraction is able, calls are spread over all endpoints equally
+  unsigned most_each = 0;        // calls in flight at which an endpoint counts as unable; 0: no limit
 };
 
 struct place {
@@ -32,24 +33,25 @@
 
 struct endpoint_state {
   level where = level::rest;
-  bool able = true;  // to take a call
+  bool able = true;  // to accept a call
 };
 
 struct level_shares {
-  std::array<double, levels> share{};  // adds up to 1 where any endpoint is there; all 0 where none is
-  bool panic = false;                  // calls go to all endpoints alike, able or not
+  std::array<double, levels> share{};  // by level; the sum is 1, or 0 if there are no endpoints
+  bool panic = false;                  // calls are spread equally over all endpoints, able or not
 };
 
 level level_of(const place& caller, const place& endpoint);
 
-// The first level takes min(1, overprovisioning * its able fraction) of the calls, the next one the same of
-// what is left, and so on; what no level covers is spread over the levels in proportion to what they took.
-// Panic, as in Envoy, only where the levels together do not cover all calls (a zone that is cut off with its
-// own endpoints healthy is in none) and fewer than panic_threshold of all endpoints are able: then the shares
-// are the levels' fractions of all endpoints.
+// The coverage of a level is min(1, overprovisioning * fraction of its endpoints that are able). The levels
+// are filled in order: each gets the remaining calls up to its coverage. Calls that no level covers are
+// divided among the levels in proportion to these shares. Panic, as in Envoy, applies if the coverages add up
+// to less than 1 and fewer than panic_threshold of all endpoints are able; the share of a level is then its
+// fraction of all endpoints. A zone that is cut off while its own endpoints are healthy covers all calls and
+// therefore does not panic.
 level_shares shares_of(std::span<const endpoint_state> endpoints, const locality_options& options = {});
 
-// The level for one call; `uniform` in [0, 1). None where the shares are all 0.
+// Selects the level for one call; `uniform` is in [0, 1). Returns nullopt if all shares are 0.
 std::optional<level> draw(const level_shares& shares, double uniform);
 
 }  // namespace marblewharf::failover
--- a/src/failover/routes.cpp
+++ b/src/failover/zone_observation.cpp
@@ -1,4 +1,4 @@
-#include "failover/routes.hpp"
+#include "failover/zone_observation.hpp"
 
 #include <algorithm>
 
@@ -6,7 +6,8 @@
 
 zone_observation observe_zone(std::span<const member_observation> members, const observation_rules& rules) {
   const auto is_alive = [](const member_observation& member) { return member.state == member_state::alive; };
-  // A zone that comes and goes faster than members are declared dead is alive all the while, yet not healthy.
+  // The members of a zone that flaps faster than members are declared dead stay alive in the view, but the
+  // zone is not healthy.
   const auto is_alive_but_missed = [&](const member_observation& member) {
     return is_alive(member) && member.since_missed < rules.contact_window;
   };
@@ -15,7 +16,7 @@
     return missed ? zone_observation::uncertain : zone_observation::healthy;
   }
   const auto is_out_of_contact = [&rules](const member_observation& member) {
-    // A wrong belief spreads by gossip; an answer that this member received itself is certain.
+    // An answer that this member received itself is certain, whereas a state spread by gossip can be wrong.
     if (member.since_acknowledged < rules.contact_window) return false;
     return member.state != member_state::unknown || rules.since_start >= rules.start_grace;
   };
@@ -28,8 +29,8 @@
   return any_suspect ? zone_observation::silent : zone_observation::down;
 }
 
-bool zone_routable(const zone_decision& decision, bool is_own) {
-  return is_own || !decision.out;
+bool is_zone_routable(const zone_decision& decision, bool is_own_zone) {
+  return is_own_zone || !decision.out;
 }
 
 }  // namespace marblewharf::failover
--- a/src/failover/zone_view.hpp
+++ b/src/failover/zone_view.hpp
@@ -1,19 +1,21 @@
-// Whether a zone is out, decided in common: epoch-numbered majority votes of zones, without a leader.
+// Cluster-wide decisions on whether a zone is out (out of service, so that no calls are routed to it) or in,
+// made without a leader by epoch-numbered majority votes of the zones.
 //
-// Free of I/O: the owner hands in the time (steady clock), this member's own observation of each zone, and
-// the votes received from others; it takes out the vote that this member stands by and others' votes to
-// retransmit. Not thread-safe: owned by one thread. Design and the ways not taken: docs/failover.md.
+// Performs no I/O: the owner passes in the time (steady clock), this member's own observation of each zone
+// and the votes received from other members, and takes this member's own vote and the received votes to
+// retransmit. Not thread-safe: owned by one thread. Design and rejected alternatives: docs/failover.md.
 //
-// The decision on zone Z moves to epoch e only on votes for (Z, e) that stand at the same time (each renewed
-// within `vote_lease`, none withdrawn) from a majority of the configured members of each of a majority of the
-// zones other than Z. The value of epoch e is fixed by its parity (odd: out), so no two members ever hold
-// opposite decisions of one epoch.
+// The decision on zone Z changes to epoch e only if, at the same time, a majority of the configured members
+// of each of a majority of the zones other than Z have valid votes for (Z, e). A vote is valid if it was
+// renewed within `vote_lease` and not withdrawn. The parity of an epoch determines its value (odd: out), so
+// two members never have opposite decisions for the same epoch.
 //
-// Votes of a zone that was silent or down from here count only after one lease without that: what it stood by
-// while it was cut off is no agreement with this side. For the same reason a member votes a zone out only
-// while it has been in contact, for a lease, with enough other zones for a quorum. A zone is voted back in
-// only after it was healthy without interruption for `hold_down`. With fewer than three zones nothing is ever
-// decided out: in a partition each half would hold the majority of the other zones.
+// If this member observed a zone as silent or down, votes from that zone count only after one `vote_lease`
+// without such an observation: a vote cast while the zone was cut off does not express agreement with this
+// side of the partition. For the same reason a member votes a zone out only if it has been in contact, for
+// one `vote_lease`, with enough other zones for a quorum. A zone is voted back in only after it has been
+// healthy without interruption for `hold_down`. With fewer than three zones no zone is ever decided out,
+// because in a partition each half would have the majority of the other zones.
 #pragma once
 
 #include <chrono>
@@ -33,88 +35,92 @@
   std::string voter;  // a member's address
   std::string zone;   // the zone voted on
   std::uint64_t epoch = 0;
-  bool out = false;  // must match the epoch's parity, or the vote is rejected
-  std::uint64_t round =
-      0;  // the voter's own count: its vote with the highest round on a zone replaces the others
+  bool out = false;  // must match the parity of the epoch, otherwise the vote is rejected
+  // Counted by the voter: its vote with the highest round on a zone replaces its earlier votes on that zone.
+  std::uint64_t round = 0;
   bool operator==(const vote&) const = default;
 };
 
 struct zone_decision {
-  std::uint64_t epoch = 0;  // 0: never decided; the zone is in
+  std::uint64_t epoch = 0;  // 0: no decision was made yet; the zone is in
   bool out = false;
   time_point since{};
 };
 
-// What one member observes of a zone.
+// The state of a zone as observed by one member.
 enum class zone_observation {
-  down,       // all of its members are known to be down, and none answers
-  silent,     // none answered lately, but not all are known to be down yet
-  uncertain,  // neither healthy nor out of contact: no reason to change anything
-  healthy,    // at least one member is alive
+  down,       // all members of the zone are known to be down, and none has answered recently
+  silent,     // no member of the zone has answered recently, but some are not known to be down yet
+  uncertain,  // neither healthy nor out of contact: no reason to change the vote
+  healthy,    // at least one member of the zone is alive
 };
 
 struct zone_view_options {
-  duration hold_down = std::chrono::seconds(10);   // healthy that long before it is voted back in
-  duration vote_lease = std::chrono::seconds(10);  // how long a vote stands without being renewed
-  unsigned retransmits = 6;                        // of each vote received from another member
+  duration hold_down = std::chrono::seconds(10);   // how long a zone must be healthy to be voted back in
+  duration vote_lease = std::chrono::seconds(10);  // how long a vote is valid without being renewed
+  unsigned retransmits = 6;  // how often each round of a vote received from another member is forwarded
 };
 
 class zone_view {
  public:
-  // `zone_of`: every configured member (address) with its zone, `self` among them (else
-  // std::invalid_argument). The quorum counts configured members, never those that look alive, so a partition
-  // cannot shrink it. `first_round`: above any round of this member's votes before a restart (the start in
-  // Unix ms, where observations are over 1 ms apart).
-  zone_view(std::map<std::string, std::string> zone_of, std::string self, zone_view_options options,
-            std::uint64_t first_round = 0);
+  // `zones_by_member`: the zone of every configured member, by the member's address; throws
+  // std::invalid_argument if `self_address` is not among them. The quorum is computed from the configured
+  // members, not from the members believed alive, so that a partition cannot reduce it. `first_round`: higher
+  // than any round of this member's votes before a restart (the start time in Unix ms, if observations are
+  // more than 1 ms apart).
+  zone_view(std::map<std::string, std::string> zones_by_member, std::string self_address,
+            zone_view_options options, std::uint64_t first_round = 0);
 
-  // This member's own observation of another zone. Returns the vote that it stands by, if any: to be sent
-  // with whatever goes out until the next observation.
+  // Records this member's own observation of another zone. Returns this member's current vote on the zone, if
+  // any; the owner adds the vote to every outgoing message until the next observation.
   std::optional<vote> observe(time_point now, const std::string& zone, zone_observation observed);
-  // A vote of another member. Returns whether a decision moved. Rejected, and counted in rejected_votes(): a
-  // voter that is not configured, a vote on the voter's own zone or on an unknown zone, a value against its
-  // epoch's parity.
+  // Processes a vote of another member. Returns whether a decision changed. A vote is rejected, and counted
+  // in rejected_votes(), if its voter is not configured, if it concerns the voter's own zone or an unknown
+  // zone, or if its value does not match the parity of its epoch.
   bool receive(time_point now, const vote& received);
-  // Votes of others to retransmit, at most `limit`, those retransmitted least often first.
+  // Returns at most `limit` votes of other members to retransmit, starting with those retransmitted least
+  // often.
   std::vector<vote> outgoing_gossip(std::size_t limit);
 
   zone_decision decision(const std::string& zone) const;
-  // All of these zones out; none named: false.
-  bool region_out(const std::vector<std::string>& zones_of_region) const;
+  // Whether all of these zones are out; false if the list is empty.
+  bool is_region_out(const std::vector<std::string>& zones_of_region) const;
   const std::set<std::string>& zones() const { return zones_; }
   std::uint64_t rejected_votes() const { return rejected_votes_; }
 
  private:
   struct vote_record {
     vote latest;
-    time_point received{};  // when this round of it came first
+    time_point received{};  // when the first copy of this round was received
     unsigned retransmits_left = 0;
   };
   using votes_by_voter = std::map<std::string, vote_record>;
 
-  bool is_valid(const vote& received) const;
+  bool is_well_formed(const vote& received) const;
   void record_observation(time_point now, const std::string& zone, zone_observation observed);
   std::optional<vote> update_own_vote(time_point now, const vote& intended);
   bool in_contact(const std::string& zone, time_point now) const;
   bool quorum_in_contact(const std::string& observed_zone, time_point now) const;
-  bool is_standing(const vote_record& record, time_point now) const {
+  bool is_unexpired(const vote_record& record, time_point now) const {
     return now - record.received < options_.vote_lease;
   }
   std::uint64_t target_epoch(time_point now, const std::string& zone, bool out) const;
   bool count_votes(time_point now, const std::string& zone);
 
-  std::map<std::string, std::string> zone_of_;
-  std::map<std::string, std::size_t> configured_members_;  // by zone
+  std::map<std::string, std::string> zones_by_member_;
+  std::map<std::string, std::size_t> configured_member_counts_;  // by zone
   std::set<std::string> zones_;
-  std::string self_;
+  std::string self_address_;
   std::string own_zone_;
   zone_view_options options_;
   std::uint64_t round_;
   std::map<std::string, zone_decision> decisions_;
-  // By zone: the latest vote of each voter, this member among them. Bounded by the configuration.
+  // By zone: the latest vote of each voter, including this member. The number of entries is bounded by the
+  // configuration.
   std::map<std::string, votes_by_voter> votes_;
-  std::map<std::string, time_point> healthy_since_;        // none: not healthy when last observed
-  std::map<std::string, time_point> last_out_of_contact_;  // silent or down; none: never
+  std::map<std::string, time_point> healthy_since_;  // by zone; no entry: not healthy when last observed
+  // By zone: when this member last observed the zone as silent or down; no entry: never.
+  std::map<std::string, time_point> last_out_of_contact_;
   std::uint64_t rejected_votes_ = 0;
 };
 
--- a/tests/failover/locality_test.cpp
+++ b/tests/failover/locality_test.cpp
@@ -1,4 +1,5 @@
-// Locality-aware shares of calls (ctest -L failover).
+// Locality-aware load balancing (ctest -L failover). Guards against calls leaving the caller's zone without
+// need, and against overloading the able endpoints of a level that has lost most of its endpoints.
 #include "failover/locality.hpp"
 
 #include <rapidcheck.h>
@@ -14,72 +15,74 @@
 
 namespace {
 
-// n endpoints a level, of which `able` can take calls.
-std::vector<endpoint_state> endpoints_of(std::array<int, 3> n, std::array<int, 3> able) {
-  std::vector<endpoint_state> out;
+// `total` endpoints in each level, of which `able` can accept calls.
+std::vector<endpoint_state> endpoints_of(std::array<int, 3> total, std::array<int, 3> able) {
+  std::vector<endpoint_state> endpoints;
   for (std::size_t l = 0; l < 3; ++l)
-    for (int i = 0; i < n[l]; ++i) out.push_back({static_cast<level>(l), i < able[l]});
-  return out;
+    for (int i = 0; i < total[l]; ++i) endpoints.push_back({static_cast<level>(l), i < able[l]});
+  return endpoints;
 }
 
 bool near(double a, double b) {
   return std::fabs(a - b) < 1e-9;
 }
 
-void levels_by_place() {
+void levels_by_zone_and_region() {
   const place caller{"muc-a", "muc"};
   CHECK(level_of(caller, {"muc-a", "muc"}) == level::zone);
   CHECK(level_of(caller, {"muc-b", "muc"}) == level::region);
   CHECK(level_of(caller, {"fra-a", "fra"}) == level::rest);
-  CHECK(level_of({"", ""}, {"", ""}) == level::rest);  // no place known: nothing is near
+  CHECK(level_of({"", ""}, {"", ""}) == level::rest);  // an unknown zone or region matches no other
 }
 
-void spills_in_proportion() {
-  // All able: all calls stay in the zone.
+void shares_follow_able_endpoints() {
+  // All endpoints are able: all calls stay in the zone.
   CHECK(near(shares_of(endpoints_of({3, 3, 3}, {3, 3, 3})).share[0], 1));
-  // Three of four able: 1.4 * 3/4 > 1, still all in the zone; two of three: 1.4 * 2/3 of it stays.
+  // Three of four endpoints able: 1.4 * 3/4 > 1, so all calls stay in the zone. Two of three: 1.4 * 2/3 of
+  // the calls stay in the zone.
   CHECK(near(shares_of(endpoints_of({4, 3, 3}, {3, 3, 3})).share[0], 1));
   CHECK(near(shares_of(endpoints_of({3, 3, 3}, {2, 3, 3})).share[0], 1.4 * 2 / 3));
-  // One of two able: 0.7 stays, 0.3 spills to the region.
+  // One of two endpoints able: 0.7 of the calls stay in the zone, 0.3 go to the region.
   const level_shares half = shares_of(endpoints_of({2, 3, 3}, {1, 3, 3}));
   CHECK(near(half.share[0], 0.7) && near(half.share[1], 0.3) && near(half.share[2], 0) && !half.panic);
-  // The zone out (none able there): the region takes it all.
+  // No endpoint of the zone is able: the region gets all calls.
   CHECK(near(shares_of(endpoints_of({3, 3, 3}, {0, 3, 3})).share[1], 1));
-  // Zone and region out, the rest able: it can take all calls, so no panic, though 6 of 9 are unable.
+  // No endpoint of the zone or the region is able, all others are: the rest covers all calls, so there is no
+  // panic although 6 of 9 endpoints are unable.
   CHECK(near(shares_of(endpoints_of({3, 3, 3}, {0, 0, 3})).share[2], 1));
-  // No level can take them all, and under half are able anywhere: all alike.
+  // The levels do not cover all calls, and less than half of all endpoints are able: panic, equal shares.
   const level_shares panic = shares_of(endpoints_of({3, 3, 3}, {0, 0, 2}));
   CHECK(panic.panic && near(panic.share[0], 1.0 / 3));
-  // A zone cut off from the rest keeps serving from its own: the others look unable from it, its own able.
+  // A zone that is cut off observes its own endpoints as able and all others as unable: its calls stay in it.
   const level_shares cut = shares_of(endpoints_of({3, 3, 3}, {3, 0, 0}));
   CHECK(!cut.panic && near(cut.share[0], 1));
   CHECK(shares_of({}).share == (std::array<double, 3>{}));
 }
 
-void properties() {
-  CHECK(rc::check("shares add up to 1; more able near never means less near", [] {
-    std::array<int, 3> n{}, able{};
+void share_properties() {
+  CHECK(rc::check("shares add up to 1; another able endpoint in the zone never reduces the zone's share", [] {
+    std::array<int, 3> total{}, able{};
     for (std::size_t l = 0; l < 3; ++l) {
-      n[l] = *rc::gen::inRange(0, 12);
-      able[l] = *rc::gen::inRange(0, n[l] + 1);
+      total[l] = *rc::gen::inRange(0, 12);
+      able[l] = *rc::gen::inRange(0, total[l] + 1);
     }
-    const level_shares s = shares_of(endpoints_of(n, able));
+    const level_shares shares = shares_of(endpoints_of(total, able));
     double sum = 0;
-    for (const double x : s.share) {
-      RC_ASSERT(x >= 0);
-      sum += x;
+    for (const double share : shares.share) {
+      RC_ASSERT(share >= 0);
+      sum += share;
     }
-    const bool none = n[0] + n[1] + n[2] == 0;
-    const bool adds_up = none ? sum == 0 : near(sum, 1);
+    const bool no_endpoints = total[0] + total[1] + total[2] == 0;
+    const bool adds_up = no_endpoints ? sum == 0 : near(sum, 1);
     RC_ASSERT(adds_up);
-    if (able[0] < n[0] && !s.panic) {
-      std::array<int, 3> more = able;
-      ++more[0];
-      const level_shares t = shares_of(endpoints_of(n, more));
-      RC_ASSERT(t.share[0] >= s.share[0] - 1e-9);
+    if (able[0] < total[0] && !shares.panic) {
+      std::array<int, 3> more_able = able;
+      ++more_able[0];
+      const level_shares more_shares = shares_of(endpoints_of(total, more_able));
+      RC_ASSERT(more_shares.share[0] >= shares.share[0] - 1e-9);
     }
-    const double u = *rc::gen::inRange(0, 1000) / 1000.0;
-    if (sum > 0) RC_ASSERT(s.share[static_cast<std::size_t>(*draw(s, u))] > 0);
+    const double uniform = *rc::gen::inRange(0, 1000) / 1000.0;
+    if (sum > 0) RC_ASSERT(shares.share[static_cast<std::size_t>(*draw(shares, uniform))] > 0);
   }));
 }
 
@@ -87,12 +90,12 @@
 
 int main(int, char** argv) {
   const std::string name = argv[1] != nullptr ? argv[1] : "";
-  if (name == "levels")
-    levels_by_place();
-  else if (name == "spill")
-    spills_in_proportion();
+  if (name == "locality_levels")
+    levels_by_zone_and_region();
+  else if (name == "locality_shares")
+    shares_follow_able_endpoints();
   else if (name == "locality_properties")
-    properties();
+    share_properties();
   else
     CHECK(false);
   std::printf("%s passed\n", name.c_str());
