--- a/src/cluster/agent.cpp
+++ b/src/cluster/agent.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Above those of earlier processes of this member.
+// Returns the Unix time in ms, which is higher than the incarnations of earlier processes of this member.
 std::uint64_t new_incarnation() {
   return static_cast<std::uint64_t>(net::unix_ms());
 }
@@ -32,20 +32,21 @@
     return;
   }
   transport_.bind_own_port();
-  telemetry::log("fleet", "%s is held by another process: this one joins once it lets go",
+  telemetry::log("fleet", "%s is bound by another process; this process joins after the address is released",
                  address_of(settings_.listen).c_str());
 }
 
 void agent::on_member_address_bound() {
   is_member_ = true;
   const membership::member_update& self = view_.self();
-  telemetry::log("fleet", "%s in zone %s of fleet %s, incarnation %llu", self.address.c_str(),
+  telemetry::log("fleet", "joined as %s in zone %s of fleet %s, incarnation %llu", self.address.c_str(),
                  self.zone.c_str(), settings_.name.c_str(), printable(self.incarnation));
 }
 
 bool agent::try_to_become_member(time_point now) {
   if (!transport_.bind_member_address()) return false;
-  telemetry::log("fleet", "%s is this process's now", address_of(settings_.listen).c_str());
+  telemetry::log("fleet", "%s was released by the other process and is now bound by this process",
+                 address_of(settings_.listen).c_str());
   view_.restart(new_incarnation(), now);
   ++changes_;
   on_member_address_bound();
@@ -112,13 +113,13 @@
                  change.zone.c_str(), name_of(change.status), printable(change.incarnation));
 }
 
-// An event of its own: the lines on a lost zone's members use up the bound on theirs just when a decision
-// moves.
+// Uses a separate log event, because the lines about the members of a failed zone exhaust the rate limit of
+// the event "fleet" at the time of the decision.
 void agent::log_zone_change(const zone_change& change) {
   const bool out = change.decision.out;
   ++(out ? counters_.zones_decided_out : counters_.zones_decided_in);
-  telemetry::log("failover", "zone %s declared %s in common, epoch %llu", change.zone.c_str(),
-                 out ? "out" : "back", printable(change.decision.epoch));
+  telemetry::log("failover", "zone %s decided %s by majority vote, epoch %llu", change.zone.c_str(),
+                 out ? "out" : "in", printable(change.decision.epoch));
 }
 
 std::string agent::show_statistics() const {
--- a/src/cluster/agent.hpp
+++ b/src/cluster/agent.hpp
@@ -1,8 +1,8 @@
-// The node's part in its cluster: carries membership messages over the cluster's socket, keeps the view of
-// members and zones, and shows both on the console (docs/failover.md).
+// The cluster agent of a node: sends and receives membership messages over the cluster's socket, maintains
+// the view of members and zones, and renders both for the console (docs/failover.md).
 //
-// Exists only where the operator's file names a fleet; `run` on the platform never does. Owned by the
-// reactor's thread.
+// Created only if the operator's file defines a fleet, which it does not for `run` on the platform. Not
+// thread-safe: used on the reactor's thread only.
 #pragma once
 
 #include <cstdint>
@@ -19,39 +19,40 @@
 
 namespace marblewharf::cluster {
 
-// While another process holds the member's address (a hot restart) this one is not the member: it takes no
-// part in membership and votes, and calls may go anywhere as if there were no cluster. Once it holds the
-// address it begins with an incarnation above the other's.
+// While another process has bound the member's address (hot restart), this process is not the member: it does
+// not participate in membership and votes, and calls may be routed to any endpoint, as without a cluster.
+// After it has bound the address, it joins with a higher incarnation than the other process.
 class agent : private datagram_handler {
  public:
-  // Returns whether it has handled the datagram.
+  // Returns whether the filter has processed the datagram.
   using datagram_filter = std::function<bool(std::string_view)>;
 
-  // Throws std::runtime_error naming the address that cannot be bound, unless another process holds it.
+  // Throws std::runtime_error with the address if the address cannot be bound for a reason other than that
+  // another process has bound it.
   agent(net::reactor& reactor, const fleet_config& settings, std::uint64_t seed);
   agent(const agent&) = delete;
   agent& operator=(const agent&) = delete;
 
-  // Sends probes and votes, handles timeouts. Returns when to call again.
+  // Sends probes and votes and handles timeouts. Returns the time of the next call.
   time_point step(time_point now);
   bool is_member() const { return is_member_; }
-  // Where others reach this process's own socket; of use before it is the member.
+  // The address at which other members reach the socket of this process; needed while it is not the member.
   std::string reachable_address() const { return transport_.reachable_address(); }
 
   std::string show_members() const { return render_members(view_, is_member_); }
   std::string show_zones() const { return render_zones(view_, settings_); }
   std::string show_statistics() const;
 
-  // Whether calls may go to a place, a zone's name or a member's address.
+  // Whether calls may be routed to `place`, the name of a zone or the address of a member.
   bool routable(const std::string& place) const;
   bool is_alive(const std::string& member) const { return view_.is_alive(member); }
-  // Rises with each change after which routable() may answer differently.
+  // Incremented at each change that may alter the results of routable().
   std::uint64_t changes() const { return changes_; }
 
-  // Is offered each datagram before membership.
+  // Sets a filter that is called with each datagram before the membership protocol.
   void set_datagram_filter(datagram_filter filter) { filter_ = std::move(filter); }
-  // Sends at once or not at all.
-  void send(const std::string& to, const std::string& bytes) { transport_.send(to, bytes); }
+  // Sends a datagram without blocking; a datagram that cannot be sent immediately is dropped and counted.
+  void send(const std::string& recipient, const std::string& bytes) { transport_.send(recipient, bytes); }
 
  private:
   void on_datagram(time_point now, std::string_view datagram) override;
@@ -69,9 +70,9 @@
   transport transport_;
   bool is_member_ = false;
   datagram_filter filter_;
-  cluster_counters counters_;  // those of the transport are its own
+  cluster_counters counters_;  // `sent` and `unsent` are counted by the transport instead
   std::uint64_t changes_ = 0;
-  time_point next_round_;  // of observations and votes, or of the next try to become the member
+  time_point next_round_;  // next zone observations and votes, or next attempt to become the member
 };
 
 }  // namespace marblewharf::cluster
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Probe intervals within which an answer that this member had itself counts as contact with the zone.
+// An answer to this member's own probe counts as contact with the zone for this number of probe intervals.
 constexpr int contact_window_intervals = 5;
 
 membership::swim_options membership_options(const fleet_config& settings) {
@@ -71,7 +71,7 @@
 cluster_view::cluster_view(const fleet_config& settings, std::uint64_t incarnation, time_point now)
     : settings_(settings),
       started_(now),
-      zone_of_(zones_by_member(settings)),
+      zones_by_member_(zones_by_member(settings)),
       membership_(new_membership(settings, incarnation, now)),
       zones_(new_zone_view(settings, incarnation)) {}
 
@@ -80,7 +80,7 @@
   membership_ = new_membership(settings_, incarnation, now);
   zones_ = new_zone_view(settings_, incarnation);
   own_votes_.clear();
-  taken_epochs_.clear();
+  reported_epochs_.clear();
 }
 
 void cluster_view::receive(time_point now, const membership::message& received) {
@@ -122,10 +122,10 @@
 
 std::vector<membership::envelope> cluster_view::take_outbox() {
   std::vector<membership::envelope> outgoing = membership_.take_outbox();
-  for (membership::envelope& each : outgoing) {
-    each.content.votes = own_votes_;
+  for (membership::envelope& envelope : outgoing) {
+    envelope.content.votes = own_votes_;
     for (const failover::vote& vote : zones_.outgoing_gossip(settings_.votes_per_message))
-      each.content.votes.push_back(to_message(vote));
+      envelope.content.votes.push_back(to_message(vote));
   }
   return outgoing;
 }
@@ -134,9 +134,9 @@
   std::vector<zone_change> changes;
   for (const std::string& zone : zones_.zones()) {
     const failover::zone_decision decision = zones_.decision(zone);
-    std::uint64_t& taken_epoch = taken_epochs_[zone];
-    if (taken_epoch == decision.epoch) continue;
-    taken_epoch = decision.epoch;
+    std::uint64_t& reported_epoch = reported_epochs_[zone];
+    if (reported_epoch == decision.epoch) continue;
+    reported_epoch = decision.epoch;
     changes.push_back({zone, decision});
   }
   return changes;
@@ -147,8 +147,8 @@
 }
 
 bool cluster_view::is_routable(const std::string& place) const {
-  const auto member = zone_of_.find(place);
-  if (member == zone_of_.end()) return is_zone_routable(place);
+  const auto member = zones_by_member_.find(place);
+  if (member == zones_by_member_.end()) return is_zone_routable(place);
   if (place == self().address) return true;
   return is_alive(place) && is_zone_routable(member->second);
 }
--- a/src/cluster/cluster_view.hpp
+++ b/src/cluster/cluster_view.hpp
@@ -1,8 +1,8 @@
-// What this member knows of its cluster: its members and the decisions on zones, and whether calls may go to
-// a place. Joins membership with the votes on zones that ride on its messages.
+// This member's view of its cluster: the members, the decisions on zones, and whether calls may be routed to
+// a zone or member. Combines the membership protocol with the zone votes that its messages carry.
 //
-// Free of I/O: time, randomness and received messages are handed in, messages to send and changes are taken
-// out. Not thread-safe: owned by the reactor's thread.
+// Performs no I/O: the owner passes in the time, randomness and received messages, and takes the messages to
+// send and the changes. Not thread-safe: used on the reactor's thread only.
 #pragma once
 
 #include <cstdint>
@@ -27,29 +27,30 @@
 
 class cluster_view {
  public:
-  // `incarnation`: above that of earlier processes of this member. `settings` outlives this.
+  // `incarnation`: higher than the incarnation of any earlier process of this member. `settings` must outlive
+  // this object.
   cluster_view(const fleet_config& settings, std::uint64_t incarnation, time_point now);
-  // Forgets all that it knows, as a process that has just started.
+  // Resets the view to the state of a process that has just started.
   void restart(std::uint64_t incarnation, time_point now);
 
   void receive(time_point now, const membership::message& received);
-  // Sends probes and handles timeouts. Returns when to call again.
+  // Sends probes and handles timeouts. Returns the time of the next call.
   time_point step(time_point now, std::mt19937_64& random);
   // Observes all zones and renews this member's votes on them.
   void observe_zones(time_point now);
 
-  // Messages to send, with votes added.
+  // Returns the messages to send, with zone votes added.
   std::vector<membership::envelope> take_outbox();
   std::vector<membership::member_update> take_member_changes() { return membership_.take_changes(); }
-  // Zones whose decision moved since the last call.
+  // Returns the zones whose decision has changed since the previous call.
   std::vector<zone_change> take_zone_changes();
 
   const membership::member_update& self() const { return membership_.self(); }
   const membership::swim& members() const { return membership_; }
   const failover::zone_view& zones() const { return zones_; }
   bool is_alive(const std::string& member) const { return membership_.is_alive(member); }
-  // `place`: a zone's name or a member's address. Calls go neither to a zone that is decided out, unless it
-  // is this member's own, nor to a member that is not alive.
+  // Whether calls may be routed to `place`, the name of a zone or the address of a member: a zone must not be
+  // decided out, unless it is this member's own zone, and a member must be alive in addition.
   bool is_routable(const std::string& place) const;
 
  private:
@@ -59,11 +60,11 @@
 
   const fleet_config& settings_;
   time_point started_;
-  std::map<std::string, std::string> zone_of_;  // by configured member
+  std::map<std::string, std::string> zones_by_member_;  // configured members only
   membership::swim membership_;
   failover::zone_view zones_;
-  std::vector<membership::zone_vote> own_votes_;       // sent with every message: at most one a zone
-  std::map<std::string, std::uint64_t> taken_epochs_;  // by zone: the epoch last returned as a change
+  std::vector<membership::zone_vote> own_votes_;          // at most one per zone; added to every message
+  std::map<std::string, std::uint64_t> reported_epochs_;  // by zone: the epoch last returned as a change
 };
 
 }  // namespace marblewharf::cluster
--- a/src/cluster/console_text.hpp
+++ b/src/cluster/console_text.hpp
@@ -1,6 +1,7 @@
-// What the operators' console shows of the cluster. The texts are fixed: operators' scripts read them.
+// The replies about the cluster on the operators' console. Their format is fixed, because operators' scripts
+// parse it.
 //
-// Free of I/O and state; any thread.
+// Stateless and without I/O; may be called from any thread.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +12,7 @@
 
 namespace marblewharf::cluster {
 
-// Since the start of the process.
+// Counts since the start of the process.
 struct cluster_counters {
   std::uint64_t sent = 0;
   std::uint64_t received = 0;
@@ -25,15 +26,15 @@
 
 const char* name_of(membership::member_status status);
 
-// One line a member, "ADDRESS ZONE REGION STATE INCARNATION", this one first, with the state self, or waiting
-// where it is not the member yet.
+// One line per member, "ADDRESS ZONE REGION STATE INCARNATION". This member is the first, with the state
+// `self`, or `waiting` while this process is not the member.
 std::string render_members(const cluster_view& view, bool is_member);
 
-// One line a zone, "ZONE REGION in|out EPOCH ALIVE/CONFIGURED", then one a region, "region REGION in|out
-// IN/ZONES": a region is out when all its zones are.
+// One line per zone, "ZONE REGION in|out EPOCH ALIVE/CONFIGURED", followed by one line per region, "region
+// REGION in|out IN/ZONES". A region is out if all its zones are out.
 std::string render_zones(const cluster_view& view, const fleet_config& settings);
 
-// Lines of `fleet.NAME=VALUE`.
+// One line `fleet.NAME=VALUE` per statistic.
 std::string render_statistics(const cluster_view& view, const cluster_counters& counters, bool is_member);
 
 }  // namespace marblewharf::cluster
--- a/src/cluster/member_addresses.hpp
+++ b/src/cluster/member_addresses.hpp
@@ -1,7 +1,6 @@
-// The members of a cluster as the operator's file names them, as the text by which they are known
-// ("host:port").
+// The addresses ("host:port") that identify the members of a cluster, derived from the operator's file.
 //
-// Free of I/O and state; any thread.
+// Stateless and without I/O; may be called from any thread.
 #pragma once
 
 #include <map>
@@ -17,7 +16,7 @@
 
 std::set<std::string> configured_members(const fleet_config& settings);
 
-// Each configured member's zone, by the member's address.
+// The zone of each configured member, by the member's address.
 std::map<std::string, std::string> zones_by_member(const fleet_config& settings);
 
 std::vector<std::string> seed_addresses(const fleet_config& settings);
--- a/src/cluster/quota_client.cpp
+++ b/src/cluster/quota_client.cpp
@@ -16,21 +16,21 @@
 constexpr duration measure_interval = std::chrono::milliseconds(50);
 constexpr duration min_step_interval = std::chrono::milliseconds(1);
 
-// Sums of fractions may fall short of a whole number by rounding alone.
+// Rounding errors can make a sum of fractions slightly smaller than the exact whole number.
 constexpr double rounding_tolerance = 1e-6;
 
 constexpr double never_applied = -1;
 
 std::vector<quota::quota_definition> quotas_of(const budgets_config& settings) {
   std::vector<quota::quota_definition> quotas;
-  for (const budget_config& each : settings.all) {
+  for (const budget_config& budget : settings.all) {
     quota::quota_definition quota;
-    quota.name = each.name;
-    quota.global_limit = each.whole;
-    quota.guaranteed_share = each.safe;
-    quota.weight = each.weight;
-    quota.limits_in_flight = each.unit != budget_unit::requests;
-    quota.settling_time = each.settle;
+    quota.name = budget.name;
+    quota.global_limit = budget.whole;
+    quota.guaranteed_share = budget.safe;
+    quota.weight = budget.weight;
+    quota.limits_in_flight = budget.unit != budget_unit::requests;
+    quota.settling_time = budget.settle;
     quotas.push_back(std::move(quota));
   }
   return quotas;
@@ -58,7 +58,7 @@
   return rate.request_class < 0 || rate.request_class == static_cast<int>(arrived.request_class);
 }
 
-// What a share allows: a rate as it is, of runs or calls a whole number.
+// The enforceable part of a share: a rate is unchanged; a number of runs or calls is rounded down.
 double enforceable(double share, budget_unit unit) {
   return unit == budget_unit::requests ? share : std::floor(share + rounding_tolerance);
 }
@@ -84,11 +84,11 @@
   agent_.set_datagram_filter([this](std::string_view datagram) { return on_datagram(datagram); });
   requests_.watch_arrivals([this](const request& arrived) { count_arrival(arrived); });
   update_membership(lease_clock());
-  apply_shares(lease_clock());  // binds from the first request on
+  apply_shares(lease_clock());  // the shares limit the first request already
 }
 
-// Goes on while the machine sleeps, as leases need. Tests let a node's clock run fast or slow by
-// `clock_rate`.
+// Uses CLOCK_BOOTTIME, which also advances while the machine is suspended; otherwise a lease would outlive
+// its length. Tests simulate a fast or slow clock by `clock_rate`.
 quota::time_point quota_client::lease_clock() const {
   timespec since_boot{};
   ::clock_gettime(CLOCK_BOOTTIME, &since_boot);
@@ -99,7 +99,7 @@
   return quota::time_point(static_cast<std::int64_t>(scaled));
 }
 
-// Returns whether the datagram was one about quotas.
+// Returns whether the datagram is a quota message.
 bool quota_client::on_datagram(std::string_view datagram) {
   const quota::decoded decoded = quota::decode(cluster_name_, datagram);
   switch (decoded.fault) {
@@ -187,8 +187,8 @@
   log_audited_changes(lease_now);
 }
 
-// For the auditor of tests, without the bound on lines: what is in force from when until when, by the
-// machine's own clock.
+// For the audit in tests, without the rate limit of log lines: each share with the start and end of its
+// validity, in the unscaled clock of the machine.
 void quota_client::log_audited_changes(quota::time_point lease_now) {
   const std::vector<quota::share_change> changes = coordinator_.take_changes();
   if (!settings_.audit) return;
--- a/src/cluster/quota_client.hpp
+++ b/src/cluster/quota_client.hpp
@@ -1,11 +1,11 @@
-// The node's part in the quotas of its cluster: carries the coordinator's messages over the agent's socket,
-// measures what the node uses and could use, and applies shares where they are enforced (docs/budgets.md).
+// The quota client of a node: sends and receives the coordinator's messages over the agent's socket, measures
+// the node's usage and demand, and applies its shares to the components that enforce them (docs/budgets.md).
 //
-// While another process still has the member's address (a hot restart), this one acts on what it is granted
-// for itself and has no guaranteed share.
+// While another process has bound the member's address (hot restart), this process uses only the shares that
+// are granted to it and has no guaranteed share.
 //
-// Exists only where the operator's file names a quota; `run` on the platform never does. Owned by the
-// reactor's thread.
+// Created only if the operator's file defines a quota, which it does not for `run` on the platform. Not
+// thread-safe: used on the reactor's thread only.
 #pragma once
 
 #include <functional>
@@ -20,12 +20,13 @@
 
 namespace marblewharf::cluster {
 
-// Enforces a share of calls at an upstream, and reports how many there are.
+// Callbacks to the component that limits the calls to a dependency: `limit` sets the share of calls in
+// flight, `use` returns the current numbers.
 struct upstream_call_limiter {
   std::function<void(std::size_t dependency, double calls)> limit;
   struct calls {
     std::size_t in_flight = 0, waiting = 0;
-    std::uint64_t turned_away = 0;  // since the start, for want of a share
+    std::uint64_t turned_away = 0;  // calls rejected since the start because the share was exhausted
   };
   std::function<calls(std::size_t dependency)> use;
 };
@@ -37,13 +38,14 @@
   quota_client(const quota_client&) = delete;
   quota_client& operator=(const quota_client&) = delete;
 
-  // Sends requests, answers others' and applies shares. Returns when to call again.
+  // Sends quota requests, answers those of other members and applies shares. Returns the time of the next
+  // call.
   time_point step(time_point now);
 
-  // One line a quota: "NAME UNIT LIMIT SHARE USE DEMAND LEASE_MS LEADER"; LEASE_MS is what is left of the
-  // lease.
+  // One line per quota: "NAME UNIT LIMIT SHARE USE DEMAND LEASE_MS LEADER"; LEASE_MS is the remaining time of
+  // the lease.
   std::string show_quotas() const;
-  // Lines of `budget.NAME.FIGURE=VALUE` for show-stat.
+  // One line `budget.NAME.FIGURE=VALUE` per statistic, for show-stat.
   std::string show_statistics() const;
 
  private:
@@ -64,8 +66,7 @@
   telemetry::counters& counters_;
   upstream_call_limiter calls_;
   quota::quota_coordinator coordinator_;
-  // By quota, in the order of the configuration; of the two estimators the one for the quota's unit is in
-  // use.
+  // By quota, in the order of the configuration. Only the estimator that matches the quota's unit is used.
   std::vector<quota::quota_usage> usage_;
   std::vector<quota::rate_demand_estimator> rate_demand_;
   std::vector<quota::in_flight_demand_estimator> in_flight_demand_;
--- a/src/cluster/transport.cpp
+++ b/src/cluster/transport.cpp
@@ -16,12 +16,13 @@
 
 using readable_observer = Poco::NObserver<transport, Poco::Net::ReadableNotification>;
 
-// Datagrams read in one turn: a flood must not keep the clients' sockets waiting.
+// Maximum number of datagrams read in one turn of the event loop, so that a flood of datagrams does not delay
+// the client sockets.
 constexpr int max_datagrams_per_turn = 64;
 
 constexpr std::uint16_t any_port = 0;
 
-// Throws std::exception where `address` is no "host:port".
+// Throws std::exception if `address` is not of the form "host:port".
 Poco::Net::SocketAddress parse_address(const std::string& address) {
   const std::size_t colon = address.rfind(':');
   const int port = std::stoi(address.substr(colon + 1));
@@ -37,8 +38,8 @@
   stop_listening();
 }
 
-// Never binds a shared address: of two sockets with SO_REUSEADDR on one UDP address the later gets all
-// datagrams, and the earlier would declare everybody dead.
+// Binds without SO_REUSEADDR: if two sockets shared a UDP address, the later one would receive all datagrams,
+// and the process with the earlier one would declare all other members dead.
 bool transport::try_bind(Poco::Net::DatagramSocket& socket, std::uint16_t port) const {
   try {
     const Poco::Net::SocketAddress address(settings_.listen.host, port);
@@ -47,7 +48,8 @@
     return true;
   } catch (const Poco::Exception& fault) {
     if (fault.code() == EADDRINUSE) return false;
-    throw std::runtime_error("fleet: " + address_of(settings_.listen) + ": " + fault.displayText());
+    throw std::runtime_error("fleet: cannot bind " + address_of(settings_.listen) + ": " +
+                             fault.displayText());
   }
 }
 
@@ -102,14 +104,14 @@
   reactor_.wake();
 }
 
-void transport::send(const std::string& to, const std::string& bytes) {
+void transport::send(const std::string& recipient, const std::string& bytes) {
   try {
-    const int sent = socket_.sendTo(bytes.data(), static_cast<int>(bytes.size()), parse_address(to));
+    const int sent = socket_.sendTo(bytes.data(), static_cast<int>(bytes.size()), parse_address(recipient));
     if (sent > 0) {
       ++sent_;
       return;
     }
-  } catch (const std::exception&) {  // the socket's buffer is full, or `to` is no address
+  } catch (const std::exception&) {  // the socket buffer is full, or `recipient` is not a valid address
   }
   ++unsent_;
 }
--- a/src/cluster/transport.hpp
+++ b/src/cluster/transport.hpp
@@ -1,10 +1,11 @@
-// The cluster's UDP socket on the reactor: sends and receives datagrams of this member.
+// The cluster's UDP socket on the reactor: sends and receives the datagrams of this member.
 //
-// The member's address is bound alone, so of all processes that are given it on a machine one is the member:
-// a second one (a hot restart) uses a port of its own until the first releases the address.
+// The member's address is bound exclusively, so that only one of several processes configured with the
+// address is the member. A second process (hot restart) uses a port of its own until the first process
+// releases the address.
 //
-// Owned by the reactor's thread. Nothing blocks: a datagram that cannot be sent at once is dropped and
-// counted.
+// Not thread-safe: used on the reactor's thread only. No function blocks: a datagram that cannot be sent
+// immediately is dropped and counted.
 #pragma once
 
 #include <Poco/AutoPtr.h>
@@ -20,32 +21,33 @@
 
 namespace marblewharf::cluster {
 
-// Receives what arrives; called on the reactor's thread.
+// Receives the incoming datagrams; called on the reactor's thread.
 class datagram_handler {
  public:
   virtual ~datagram_handler() = default;
   virtual void on_datagram(time_point now, std::string_view datagram) = 0;
-  // After the datagrams that had arrived at once.
+  // Called after each batch of datagrams that were read in the same turn of the event loop.
   virtual void on_batch_end() = 0;
 };
 
 class transport {
  public:
-  // `handler` outlives this.
+  // `settings` and `handler` must outlive this object.
   transport(net::reactor& reactor, const fleet_config& settings, datagram_handler& handler);
   ~transport();
   transport(const transport&) = delete;
   transport& operator=(const transport&) = delete;
 
-  // Returns false where another process holds the member's address. Throws std::runtime_error naming the
-  // address where it cannot be bound for another reason. Replaces a port of its own.
+  // Binds the member's address in place of the port bound by bind_own_port(), if any. Returns false if
+  // another process has bound the address. Throws std::runtime_error with the address if it cannot be bound
+  // for another reason.
   bool bind_member_address();
-  // Binds any free port of the same host; throws as bind_member_address().
+  // Binds any free port of the same host. Throws like bind_member_address().
   void bind_own_port();
 
-  // Where others reach this socket.
+  // The address at which other members reach this socket.
   std::string reachable_address() const;
-  void send(const std::string& to, const std::string& bytes);
+  void send(const std::string& recipient, const std::string& bytes);
   std::uint64_t sent() const { return sent_; }
   std::uint64_t unsent() const { return unsent_; }
 
--- a/tests/net/fleet_test.cpp
+++ b/tests/net/fleet_test.cpp
@@ -27,11 +27,11 @@
   f.wait_until_healthy();
   for (const int i : f.members_of(2, 3)) f.kill(i);
   f.wait_for_zone(f.members_of(0, 2), 2, true);
-  f.at(0).logged("failover: zone z2 declared out in common, epoch 1");
+  f.at(0).logged("failover: zone z2 decided out by majority vote, epoch 1");
   CHECK(f.zones_seen_by(0).find("\nregion r1 out 0/1\n") != std::string::npos);
   for (const int i : f.members_of(2, 3)) f.start(i);
   f.wait_until_healthy();
-  f.at(0).logged("failover: zone z2 declared back in common, epoch 2");
+  f.at(0).logged("failover: zone z2 decided in by majority vote, epoch 2");
 }
 
 // One node killed and restarted with its address: dead, then alive with a higher incarnation; its zone stays
@@ -184,7 +184,7 @@
     f.end_replaced(i, i == 4 ? SIGKILL : SIGTERM);
   }
   f.wait_until_healthy();
-  for (const int i : f.members_of(1, 2)) f.at(i).logged("is this process's now");
+  for (const int i : f.members_of(1, 2)) f.at(i).logged("is now bound by this process");
   std::this_thread::sleep_for(3s);  // past the start's grace
   f.wait_until_healthy();
   CHECK(f.declared_out(f.all()) == 0);
