--- a/models/compaction.pml
+++ b/models/compaction.pml
@@ -1,130 +1,133 @@
-/* A store of tables (src/store/tables, log): one key that is put, erased and lazily written while the oldest segments are
- * cleaned and a checkpoint is made, with crashes at any point; checked exhaustively by Spin: after each start the key is as
- * it was after some commit, no earlier than the last durable one.
+/* Compaction and checkpoints of the table store (src/store/tables, log), checked exhaustively by Spin. One key is put, erased
+ * and written with deferred durability, while the oldest segments are compacted and a checkpoint is made. Crashes occur at any
+ * point. After each restart the key must have its value after some commit that is no earlier than the last durable commit.
  *
- * Each -D takes one part away; Spin must then find a key lost or brought back (tests/models.cmake).
- *   NO_FLUSH_CLEAN       a slice of cleaning takes a record for dead that only a waiting one was written over
- *   NO_FLUSH_CHECKPOINT  a slice of a checkpoint counts on a waiting value
- *   ANY_ORDER            any closed segment is cleaned, not the oldest
- *   UNSYNCED_DROPS       a segment may come back in a crash while a later one stays gone
- *   NO_FORGET            entries of a checkpoint count though their segment has gone
- *   REPLAY_ALL           records from before the checkpoint's place come over its entries
+ * Each -D removes one part of the protocol; Spin must then find that the key is lost or that an erased key reappears
+ * (tests/models.cmake).
+ *   NO_FLUSH_BEFORE_COMPACTION  a compaction step treats a record as dead that only a pending commit has overwritten
+ *   NO_FLUSH_BEFORE_CHECKPOINT  a checkpoint step relies on the value of a pending commit
+ *   ANY_COMPACTION_ORDER        any closed segment may be compacted, instead of the oldest one
+ *   UNSYNCED_DELETES            a deleted segment may reappear after a crash while a later one stays deleted
+ *   KEEP_STALE_ENTRIES          checkpoint entries are used although their segment was deleted
+ *   REPLAY_BEFORE_CHECKPOINT    records before the position of the checkpoint overwrite its entries
  */
-#define SEGS 7
+#define SEGMENTS 7
 #define SLOTS 2
-#ifndef OPS
-#define OPS 4
+#ifndef MAX_COMMITS
+#define MAX_COMMITS 4
 #endif
-#define CRASHES 2
+#define MAX_CRASHES 2
 
 /* on disk */
-typedef segment { byte r[SLOTS] }  /* number of the commit, 0: nothing */
-segment s[SEGS];
-bit there[SEGS];
-byte open_seg, used;               /* the open segment, and its records */
-bit kept;                          /* a checkpoint: of what place, and its entry */
-byte kept_seg, kept_slot, kept_op, kept_at;
-#ifdef UNSYNCED_DROPS
-bit unsure[SEGS];                  /* its drop is not surely on disk */
+typedef segment { byte records[SLOTS] }  /* number of the commit; 0: no record */
+segment segments[SEGMENTS];
+bit exists[SEGMENTS];
+byte open_segment, record_count;   /* the open segment and the number of its records */
+bit checkpoint_exists;
+byte checkpoint_segment, checkpoint_slot; /* position of the checkpoint in the log */
+byte entry_commit, entry_segment;  /* entry of the checkpoint */
+#ifdef UNSYNCED_DELETES
+bit delete_unsynced[SEGMENTS];     /* the deletion of the segment may not be durable */
 #endif
 
 /* in memory */
-byte now_op, now_seg, now_slot;    /* the key's value; 0: none */
-byte waiting;                      /* a commit in memory only */
-byte clean_seg = SEGS, clean_slot;
-byte making, make_seg, make_slot, make_op, make_at; /* 1: begun, 2: its entry is taken */
+byte value_commit, value_segment, value_slot; /* the commit that wrote the key's value (0: no value) and its position */
+byte pending_commit;               /* a commit that is in memory only; 0: none */
+byte compacted_segment = SEGMENTS, compacted_slot; /* SEGMENTS: no compaction is in progress */
+/* The checkpoint in progress. checkpoint_phase: 0 none, 1 started, 2 entry captured. */
+byte checkpoint_phase, new_checkpoint_segment, new_checkpoint_slot, new_entry_commit, new_entry_segment;
 
-/* what happened */
-bit erases[8];
-byte ops, durable, crashes;
+/* history, used by the assertions */
+bit is_erase[8];
+byte commits, durable_commit, crashes;
 
-byte i, j, m, low;
+byte i, j, commit_number, oldest_segment;
 
-inline append(op) {
+inline append(commit) {
   if
-  :: used == SLOTS -> open_seg++; used = 0; there[open_seg] = 1
+  :: record_count == SLOTS -> open_segment++; record_count = 0; exists[open_segment] = 1
   :: else
   fi;
-  s[open_seg].r[used] = op;
+  segments[open_segment].records[record_count] = commit;
   if
-  :: now_op == op -> now_seg = open_seg; now_slot = used
+  :: value_commit == commit -> value_segment = open_segment; value_slot = record_count
   :: else
   fi;
-  used++
+  record_count++
 }
 
 inline flush() {
   if
-  :: waiting != 0 -> append(waiting); durable = waiting; waiting = 0
+  :: pending_commit != 0 -> append(pending_commit); durable_commit = pending_commit; pending_commit = 0
   :: else
   fi
 }
 
-inline number() {
-  ops++;
+inline begin_commit() {
+  commits++;
   if
-  :: erases[ops] = 0
-  :: erases[ops] = 1
+  :: is_erase[commits] = 0
+  :: is_erase[commits] = 1
   fi
 }
 
-inline oldest() {
-  low = 0;
+inline find_oldest_segment() {
+  oldest_segment = 0;
   do
-  :: low < open_seg && !there[low] -> low++
+  :: oldest_segment < open_segment && !exists[oldest_segment] -> oldest_segment++
   :: else -> break
   od
 }
 
-/* Memory is gone; what is on disk is read, the checkpoint first. */
-inline start() {
-  waiting = 0; clean_seg = SEGS; clean_slot = 0; making = 0;
-#ifdef UNSYNCED_DROPS
+/* Loses the state in memory and recovers from disk: reads the checkpoint first, then replays the log. */
+inline restart() {
+  pending_commit = 0; compacted_segment = SEGMENTS; compacted_slot = 0; checkpoint_phase = 0;
+#ifdef UNSYNCED_DELETES
   i = 0;
   do
-  :: i == SEGS -> break
-  :: i < SEGS ->
+  :: i == SEGMENTS -> break
+  :: i < SEGMENTS ->
      if
-     :: unsure[i] -> there[i] = 1
+     :: delete_unsynced[i] -> exists[i] = 1
      :: true
      fi;
-     unsure[i] = 0;
+     delete_unsynced[i] = 0;
      i++
   od;
 #endif
-  oldest();
-  now_op = 0; now_seg = 0; now_slot = 0;
+  find_oldest_segment();
+  value_commit = 0; value_segment = 0; value_slot = 0;
   if
-  :: kept && kept_op != 0 ->
-#ifndef NO_FORGET
+  :: checkpoint_exists && entry_commit != 0 ->
+#ifndef KEEP_STALE_ENTRIES
      if
-     :: kept_at >= low -> now_op = kept_op; now_seg = kept_at
+     :: entry_segment >= oldest_segment -> value_commit = entry_commit; value_segment = entry_segment
      :: else
      fi
 #else
-     now_op = kept_op; now_seg = kept_at
+     value_commit = entry_commit; value_segment = entry_segment
 #endif
   :: else
   fi;
-  i = low;
+  i = oldest_segment;
   do
-  :: i > open_seg -> break
+  :: i > open_segment -> break
   :: else ->
      j = 0;
      do
      :: j == SLOTS -> break
      :: else ->
         if
-        :: there[i] && s[i].r[j] != 0 && (i < open_seg || j < used) &&
-#ifndef REPLAY_ALL
-           (!kept || i > kept_seg || (i == kept_seg && j >= kept_slot)) ->
+        :: exists[i] && segments[i].records[j] != 0 && (i < open_segment || j < record_count) &&
+#ifndef REPLAY_BEFORE_CHECKPOINT
+           (!checkpoint_exists || i > checkpoint_segment || (i == checkpoint_segment && j >= checkpoint_slot)) ->
 #else
-           (!kept || i != kept_seg || j >= kept_slot) ->
+           (!checkpoint_exists || i != checkpoint_segment || j >= checkpoint_slot) ->
 #endif
-           m = s[i].r[j];
+           commit_number = segments[i].records[j];
            if
-           :: erases[m] -> now_op = 0
-           :: else -> now_op = m; now_seg = i; now_slot = j
+           :: is_erase[commit_number] -> value_commit = 0
+           :: else -> value_commit = commit_number; value_segment = i; value_slot = j
            fi
         :: else
         fi;
@@ -132,119 +135,127 @@
      od;
      i++
   od;
-  /* As after a commit that was made, no earlier than the last durable one. */
+  /* The recovered value must be the value after a commit that is no earlier than the last durable commit. */
   if
-  :: now_op != 0 -> assert(now_op >= durable); durable = now_op
+  :: value_commit != 0 -> assert(value_commit >= durable_commit); durable_commit = value_commit
   :: else ->
-     m = durable;
+     commit_number = durable_commit;
      do
-     :: m == 0 || erases[m] -> break
-     :: m != 0 && !erases[m] -> assert(m < ops); m++
+     :: commit_number == 0 || is_erase[commit_number] -> break
+     :: commit_number != 0 && !is_erase[commit_number] -> assert(commit_number < commits); commit_number++
      od;
-     durable = m
+     durable_commit = commit_number
   fi;
-  /* the place of the value, where it came from the checkpoint: its record in that segment */
+  /* A value recovered from the checkpoint has no slot: finds its record in its segment. */
   if
-  :: now_op != 0 ->
+  :: value_commit != 0 ->
      j = 0;
      do
-     :: j < SLOTS && s[now_seg].r[j] != now_op -> j++
+     :: j < SLOTS && segments[value_segment].records[j] != value_commit -> j++
      :: else -> break
      od;
      assert(j < SLOTS);
-     now_slot = j
+     value_slot = j
   :: else
   fi;
-  open_seg++; used = 0; there[open_seg] = 1;
-  i = 0; j = 0; m = 0; low = 0
+  open_segment++; record_count = 0; exists[open_segment] = 1;
+  i = 0; j = 0; commit_number = 0; oldest_segment = 0
 }
 
-#define room (open_seg < SEGS - 2)
+#define segments_available (open_segment < SEGMENTS - 2)
 
 active proctype store() {
-  there[0] = 1;
+  exists[0] = 1;
   do
-  :: atomic { ops < OPS && room -> /* durable */
-       number();
+  :: atomic { commits < MAX_COMMITS && segments_available -> /* a durable commit */
+       begin_commit();
        flush();
        if
-       :: erases[ops] -> now_op = 0
-       :: else -> now_op = ops
+       :: is_erase[commits] -> value_commit = 0
+       :: else -> value_commit = commits
        fi;
-       append(ops);
-       durable = ops
+       append(commits);
+       durable_commit = commits
      }
-  :: atomic { ops < OPS && room && waiting == 0 -> /* lazily */
-       number();
-       waiting = ops;
+  :: atomic { /* a commit with deferred durability */
+       commits < MAX_COMMITS && segments_available && pending_commit == 0 ->
+       begin_commit();
+       pending_commit = commits;
        if
-       :: erases[ops] -> now_op = 0
-       :: else -> now_op = ops
+       :: is_erase[commits] -> value_commit = 0
+       :: else -> value_commit = commits
        fi
      }
-  :: atomic { ops < OPS && room && crashes < CRASHES -> /* a crash in the middle of a commit: its frame is there or not */
-       number();
+  :: atomic { /* a crash during a commit: its frame was written or not */
+       commits < MAX_COMMITS && segments_available && crashes < MAX_CRASHES ->
+       begin_commit();
        if
        :: if
-          :: waiting != 0 -> append(waiting)
+          :: pending_commit != 0 -> append(pending_commit)
           :: else
           fi;
-          append(ops)
+          append(commits)
        :: true
        fi;
        crashes++;
-       start()
+       restart()
      }
-  :: atomic { room && waiting != 0 -> flush() }
-  :: atomic { room && clean_seg == SEGS -> /* cleaning begins */
-       oldest();
-#ifdef ANY_ORDER
+  :: atomic { segments_available && pending_commit != 0 -> flush() }
+  :: atomic { segments_available && compacted_segment == SEGMENTS -> /* compaction of a segment starts */
+       find_oldest_segment();
+#ifdef ANY_COMPACTION_ORDER
        if
-       :: low + 1 < open_seg && there[low + 1] -> low++
+       :: oldest_segment + 1 < open_segment && exists[oldest_segment + 1] -> oldest_segment++
        :: true
        fi;
 #endif
        if
-       :: low < open_seg -> clean_seg = low; clean_slot = 0
+       :: oldest_segment < open_segment -> compacted_segment = oldest_segment; compacted_slot = 0
        :: else
        fi;
-       low = 0
+       oldest_segment = 0
      }
-  :: atomic { room && clean_seg < SEGS && clean_slot < SLOTS -> /* a slice */
-#ifndef NO_FLUSH_CLEAN
+  :: atomic { /* a compaction step: copies a record that is the key's current value */
+       segments_available && compacted_segment < SEGMENTS && compacted_slot < SLOTS ->
+#ifndef NO_FLUSH_BEFORE_COMPACTION
        flush();
 #endif
        if
-       :: now_op != 0 && now_op != waiting && now_seg == clean_seg && now_slot == clean_slot -> append(now_op)
+       :: value_commit != 0 && value_commit != pending_commit &&
+          value_segment == compacted_segment && value_slot == compacted_slot -> append(value_commit)
        :: else
        fi;
-       clean_slot++
+       compacted_slot++
      }
-  :: atomic { clean_seg < SEGS && clean_slot == SLOTS -> /* it goes */
-       there[clean_seg] = 0;
-#ifdef UNSYNCED_DROPS
-       unsure[clean_seg] = 1;
+  :: atomic { compacted_segment < SEGMENTS && compacted_slot == SLOTS -> /* the compacted segment is deleted */
+       exists[compacted_segment] = 0;
+#ifdef UNSYNCED_DELETES
+       delete_unsynced[compacted_segment] = 1;
 #endif
-       clean_seg = SEGS; clean_slot = 0
+       compacted_segment = SEGMENTS; compacted_slot = 0
      }
-  :: atomic { room && making == 0 && !kept -> /* a checkpoint begins at the log's end */
+  :: atomic { /* a checkpoint starts at the end of the log */
+       segments_available && checkpoint_phase == 0 && !checkpoint_exists ->
        flush();
-       making = 1; make_seg = open_seg; make_slot = used
+       checkpoint_phase = 1; new_checkpoint_segment = open_segment; new_checkpoint_slot = record_count
      }
-  :: atomic { room && making == 1 ->
-#ifndef NO_FLUSH_CHECKPOINT
+  :: atomic { segments_available && checkpoint_phase == 1 ->
+#ifndef NO_FLUSH_BEFORE_CHECKPOINT
        flush();
 #endif
-       making = 2;
+       checkpoint_phase = 2;
        if
-       :: now_op != 0 && now_op != waiting -> make_op = now_op; make_at = now_seg
-       :: else -> make_op = 0; make_at = 0
+       :: value_commit != 0 && value_commit != pending_commit ->
+          new_entry_commit = value_commit; new_entry_segment = value_segment
+       :: else -> new_entry_commit = 0; new_entry_segment = 0
        fi
      }
-  :: atomic { making == 2 ->
-       making = 0; kept = 1; kept_seg = make_seg; kept_slot = make_slot; kept_op = make_op; kept_at = make_at;
-       make_seg = 0; make_slot = 0; make_op = 0; make_at = 0
+  :: atomic { checkpoint_phase == 2 ->
+       checkpoint_phase = 0; checkpoint_exists = 1;
+       checkpoint_segment = new_checkpoint_segment; checkpoint_slot = new_checkpoint_slot;
+       entry_commit = new_entry_commit; entry_segment = new_entry_segment;
+       new_checkpoint_segment = 0; new_checkpoint_slot = 0; new_entry_commit = 0; new_entry_segment = 0
      }
-  :: atomic { crashes < CRASHES && room -> crashes++; start() }
+  :: atomic { crashes < MAX_CRASHES && segments_available -> crashes++; restart() }
   od
 }
--- a/models/idempotency.pml
+++ b/models/idempotency.pml
@@ -1,77 +1,77 @@
-/* A keyed write (src/idempotency): its intent is durable before it runs, its result before anybody is answered; crashes at
- * any point, and duplicates; checked exhaustively by Spin: the effect happens at most once, and once a result was
- * answered, every later answer is the same.
+/* A keyed write (src/idempotency), checked exhaustively by Spin, with duplicates and with crashes at any point. The intent is
+ * durable before the run starts, and the result is durable before it is answered. The write must take effect at most once, and
+ * after a result was answered, every later answer must be the same.
  *
- * Each -D takes one part away; Spin must then find two effects, or two answers (tests/models.cmake).
- *   RUN_BEFORE_INTENT       the run begins before the intent is durable
- *   RESPOND_BEFORE_RESULT   the answer goes out before the result is durable
- *   RERUN_OUTCOME_UNKNOWN   a duplicate of a write whose outcome is unknown runs it again
- *   NO_COALESCING           a duplicate that arrives while the primary runs begins a run of its own
+ * Each -D removes one part of the protocol; Spin must then find two effects or two different answers (tests/models.cmake).
+ *   RUN_BEFORE_INTENT       the run starts before the intent is durable
+ *   RESPOND_BEFORE_RESULT   the answer is sent before the result is durable
+ *   RERUN_OUTCOME_UNKNOWN   a duplicate of a write whose outcome is unknown runs the write again
+ *   NO_COALESCING           a duplicate that arrives while the primary runs starts a run of its own
  */
-#define REQUESTS 4
-#define CRASHES 3
+#define MAX_REQUESTS 4
+#define MAX_CRASHES 3
 
-bit intent, result;          /* on disk */
-byte result_on_disk;           /* the result: the number of its run */
-bit knows_intent, knows_result, runs, ended; /* in memory */
-byte runs_begun, effects, requests, crashes, answered;
+bit intent_durable, result_durable; /* on disk */
+byte result_run;                    /* on disk: the number of the run that produced the result */
+bit knows_intent, knows_result, running, run_ended; /* in memory */
+byte runs_started, effects, requests, crashes, answered_run;
 
-inline respond(with) {
-  assert(answered == 0 || answered == with);
-  answered = with
+inline respond(run_number) {
+  assert(answered_run == 0 || answered_run == run_number);
+  answered_run = run_number
 }
 
 active proctype node() {
   do
-  :: atomic { requests < REQUESTS -> /* a request arrives */
+  :: atomic { requests < MAX_REQUESTS -> /* a request arrives */
        requests++;
        if
-       :: knows_result -> respond(result_on_disk)
+       :: knows_result -> respond(result_run)
 #ifndef NO_COALESCING
-       :: !knows_result && (runs || knows_intent) && !(knows_intent && !runs) -> skip /* coalesced: waits for the run */
+       :: !knows_result && (running || knows_intent) && !(knows_intent && !running) -> skip /* coalesced with the run */
 #endif
-       :: !knows_result && knows_intent && !runs -> /* outcome unknown, after a crash */
+       :: !knows_result && knows_intent && !running -> /* the outcome is unknown after a crash */
 #ifdef RERUN_OUTCOME_UNKNOWN
-            runs = 1; runs_begun++; ended = 0
+            running = 1; runs_started++; run_ended = 0
 #else
-            skip                     /* answered that the outcome is unknown */
+            skip                     /* the answer is that the outcome is unknown */
 #endif
-       :: !knows_result && !knows_intent && !runs ->
+       :: !knows_result && !knows_intent && !running ->
 #ifdef RUN_BEFORE_INTENT
-            runs = 1; runs_begun++; ended = 0
+            running = 1; runs_started++; run_ended = 0
 #else
-            intent = 1; knows_intent = 1; runs = 1; runs_begun++; ended = 0
+            intent_durable = 1; knows_intent = 1; running = 1; runs_started++; run_ended = 0
 #endif
 #ifdef NO_COALESCING
-       :: !knows_result && runs -> runs_begun++; effects++; assert(effects <= 1)
+       :: !knows_result && running -> runs_started++; effects++; assert(effects <= 1)
 #endif
        fi
      }
 #ifdef RUN_BEFORE_INTENT
-  :: atomic { runs && !knows_intent -> intent = 1; knows_intent = 1 }
+  :: atomic { running && !knows_intent -> intent_durable = 1; knows_intent = 1 }
 #endif
-  :: atomic { runs && !ended -> effects++; assert(effects <= 1); ended = 1 } /* the run does its work */
+  :: atomic { running && !run_ended -> effects++; assert(effects <= 1); run_ended = 1 } /* the run takes effect */
 #ifdef RESPOND_BEFORE_RESULT
-  :: atomic { runs && ended -> respond(runs_begun) }
+  :: atomic { running && run_ended -> respond(runs_started) }
 #endif
-  :: atomic { runs && ended && knows_intent -> /* the result is durable, then answered */
-       result = 1; result_on_disk = runs_begun; knows_result = 1; runs = 0;
-       respond(runs_begun)
+  :: atomic { running && run_ended && knows_intent -> /* the result becomes durable and is then answered */
+       result_durable = 1; result_run = runs_started; knows_result = 1; running = 0;
+       respond(runs_started)
      }
-  :: atomic { crashes < CRASHES -> /* memory is gone; what runs may have had its effect or not */
+  :: atomic { crashes < MAX_CRASHES -> /* a crash loses the state in memory; a run in progress may have taken effect */
        crashes++;
        if
-       :: runs && !ended -> effects++; assert(effects <= 1)
+       :: running && !run_ended -> effects++; assert(effects <= 1)
        :: true
        fi;
 #ifdef RESPOND_BEFORE_RESULT
        if
-       :: answered != 0 -> assert(result) /* what was answered is known at the next start */
+       :: answered_run != 0 -> assert(result_durable) /* an answered result must be known after the restart */
        :: else
        fi;
 #endif
-       runs = 0; ended = 0;
-       knows_intent = intent; knows_result = result
+       running = 0; run_ended = 0;
+       knows_intent = intent_durable; knows_result = result_durable
      }
   od
 }
--- a/models/leader_election.pml
+++ b/models/leader_election.pml
@@ -1,14 +1,14 @@
-/* Leader election (src/quota/leader_election): three voters, two of them candidates, checked exhaustively by Spin. At no
- * time do two candidates hold the leader lease.
+/* Leader election (src/quota/leader_election), checked exhaustively by Spin: three voters, two of which are candidates. Two
+ * candidates must never hold the leader lease at the same time.
  *
- * Messages may be lost, duplicated, delayed and reordered. A voter may restart at any moment without memory, and then grants
- * no vote for the duration of one. Clocks have bounded drift: of each lease a candidate's clock may miss one tick, of each
- * vote a voter's clock may count one tick twice.
+ * Messages may be lost, duplicated, delayed and reordered. One voter may restart once, at any time; it then has lost its state
+ * and grants no vote for the validity period of a vote. Clocks have bounded drift: during each lease the candidate's clock may
+ * miss one tick, and during each vote the voter's clock may count one tick twice.
  *
- * Each -D takes one part of the protocol away; Spin must then find two leaders (tests/models.cmake).
- *   MARGIN=1          votes that bind for less than the drift of both clocks takes
- *   LEASE_FROM_GRANT  the candidate counts its lease from the vote and not from its request
- *   NO_RESTART_WAIT   a voter that restarted grants votes at once
+ * Each -D removes one part of the protocol; Spin must then find two leaders (tests/models.cmake).
+ *   MARGIN=1          votes are valid for too short a time to cover the drift of both clocks
+ *   LEASE_FROM_GRANT  the candidate's lease starts at the vote instead of at its request
+ *   NO_RESTART_WAIT   a restarted voter grants votes immediately
  *   MINORITY          one vote is enough
  */
 #ifndef MARGIN
@@ -24,15 +24,15 @@
 #define VOTES_NEEDED 2
 #endif
 
-/* By voter. `voted_for`: 0 nobody, else the candidate's index + 1; `vote_left`: ticks that the vote still binds. */
+/* By voter. `voted_for`: 0 for no vote, otherwise the candidate's index + 1. `vote_left`: ticks until the vote expires. */
 byte voted_for[VOTERS], vote_left[VOTERS];
 bit vote_tick_doubled[VOTERS], restarted;
-/* By candidate. `granted_by`: a bit for each voter, for the latest request; `request_age`: ticks since that was sent. */
+/* By candidate. `granted_by`: one bit per voter that granted the latest request. `request_age`: ticks since that request. */
 byte last_request[2], request_age[2], lease_left[2], granted_by[2];
 bit lease_tick_missed[2], request_tick_missed[2];
 
 chan vote_request = [2] of { byte, byte, byte }; /* candidate, number, voter */
-chan vote_granted = [1] of { byte, byte, byte }; /* the same */
+chan vote_granted = [1] of { byte, byte, byte }; /* candidate, number, voter */
 
 #define vote_count(id) ((granted_by[id] & 1) + ((granted_by[id] >> 1) & 1) + ((granted_by[id] >> 2) & 1))
 #define may_vote_for(voter, id) (voted_for[voter] == id + 1 || vote_left[voter] == 0)
@@ -58,7 +58,7 @@
 proctype candidate(byte id) {
   byte number, voter;
   do
-  :: atomic { /* requests votes of the others, and votes for itself */
+  :: atomic { /* the candidate votes for itself and requests the votes of the others */
        last_request[id] < MAX_REQUESTS ->
        last_request[id]++;
        request_age[id] = 0;
@@ -116,7 +116,7 @@
   :: atomic { vote_request?id, number, voter -> handle_request(id, number, voter) }
   :: atomic { vote_request?<id, number, voter> -> handle_request(id, number, voter) } /* duplicated */
   :: atomic { vote_request?id, number, voter -> id = 0; number = 0; voter = 0 } /* lost */
-  :: atomic { /* the third voter restarts, and does not know its earlier vote */
+  :: atomic { /* the third voter restarts and has lost its earlier vote */
        !restarted ->
        restarted = 1;
        voted_for[2] = 0;
@@ -145,7 +145,7 @@
      lease_tick_missed[id] = 1;
      request_tick_missed[id] = 1
   fi;
-  /* resets what no longer matters: fewer states */
+  /* Resets variables that have no further effect, which reduces the number of states. */
   if
   :: lease_left[id] == 0 -> lease_tick_missed[id] = 0
   :: else
--- a/models/leases.pml
+++ b/models/leases.pml
@@ -1,15 +1,16 @@
 /* Leases on quota shares (src/quota/lease_holder, src/quota/allocator) in a small cluster, checked exhaustively by Spin. The
- * shares in force never add up to more than the global limit.
+ * sum of the shares in force must never exceed the global limit.
  *
- * Two nodes, a global limit of two units, allocators that replace each other at any moment (models/leader_election.pml shows
- * that there are never two). Messages may be lost, duplicated, delayed and reordered. Clocks have bounded drift: of each lease
- * the holder's clock may miss one tick, of each wait the allocator's clock may count one tick twice.
+ * The cluster has two nodes and a global limit of two units. An allocator may be replaced by another at any time, but there
+ * is never more than one (models/leader_election.pml). Messages may be lost, duplicated, delayed and reordered. Clocks have
+ * bounded drift: during each lease the holder's clock may miss one tick, and during each wait the allocator's clock may count
+ * one tick twice.
  *
- * Each -D takes one part of the protocol away; Spin must then find the limit exceeded (tests/models.cmake).
- *   MARGIN=1               waits that cover less than the drift of both clocks
- *   FREE_BEFORE_CONFIRMED  a share taken back is granted to others before its node confirms
- *   STALE_GRANTS           a node accepts grants to requests before its latest
- *   NO_TAKEOVER_WAIT       a new allocator grants before its predecessor's grants have expired
+ * Each -D removes one part of the protocol; Spin must then find that the limit is exceeded (tests/models.cmake).
+ *   MARGIN=1                 the allocator waits for too short a time to cover the drift of both clocks
+ *   RELEASE_BEFORE_CONFIRMED a reduced share is granted to other nodes before its node confirms the reduction
+ *   STALE_GRANTS             a node accepts grants that answer earlier requests than its latest
+ *   NO_TAKEOVER_WAIT         a new allocator grants shares before the grants of its predecessor have expired
  */
 #ifndef MARGIN
 #define MARGIN 2
@@ -21,10 +22,10 @@
 #define MAX_REQUESTS 2
 #define MAX_TERMS 1
 
-/* By node. `request_age`: ticks since its latest request was sent. */
+/* By node. `request_age`: ticks since the node sent its latest request. */
 byte held[NODES], lease_left[NODES], last_request[NODES], request_age[NODES];
 bit answered[NODES], lease_tick_missed[NODES], request_tick_missed[NODES];
-/* The allocator's, by node. `earlier_grants_left`: ticks until its predecessor's grants have surely expired. */
+/* State of the allocator, by node. `earlier_grants_left`: ticks until the grants of its predecessor have certainly expired. */
 byte committed[NODES], commitment_left[NODES], last_request_seen[NODES], earlier_grants_left, terms;
 bit commitment_tick_doubled[NODES], earlier_tick_doubled;
 
@@ -41,7 +42,7 @@
      committed[id] = reported;
      commitment_left[id] = EXPIRY_WAIT;
      commitment_tick_doubled[id] = 0;
-     /* any share within the limit: max-min fairness picks one of them */
+     /* chooses any share within the limit; max-min fairness in the program chooses one of these */
      granted = 0;
      do
      :: granted < reported -> granted++
@@ -49,7 +50,7 @@
         committed_to(0) + committed_to(1) - reported + granted + 1 <= GLOBAL_LIMIT -> granted++
      :: break
      od;
-#ifdef FREE_BEFORE_CONFIRMED
+#ifdef RELEASE_BEFORE_CONFIRMED
      committed[id] = granted;
 #else
      committed[id] = (granted > reported -> granted : reported);
@@ -77,7 +78,7 @@
        id = 0; number = 0; reported = 0
      }
   :: atomic { request?id, number, reported -> id = 0; number = 0; reported = 0 } /* lost */
-  :: atomic { /* another member leads: its allocator knows of no grants */
+  :: atomic { /* another member becomes the leader: its allocator does not know the earlier grants */
        terms < MAX_TERMS ->
        terms++;
        committed[0] = 0; committed[1] = 0;
@@ -138,7 +139,7 @@
      lease_tick_missed[id] = 1;
      request_tick_missed[id] = 1
   fi;
-  /* resets what no longer matters: fewer states */
+  /* Resets variables that have no further effect, which reduces the number of states. */
   if
   :: lease_left[id] == 0 -> held[id] = 0
   :: else
--- a/tests/models.cmake
+++ b/tests/models.cmake
@@ -1,10 +1,11 @@
-# Checks the models exhaustively with Spin, and that each part of the protocol is needed: with it taken away Spin finds the
-# promise broken. MODELS, WORK, MODEL, PARTS.
+# Checks a model exhaustively with Spin: the complete model must have no error. The model must also need each part of the
+# protocol: with any one of PARTS removed by its -D flag, Spin must find an error.
+# Variables: MODELS (directory of the models), MODEL (name of the model), PARTS (list of flags), WORK (directory for output).
 function(check model flags expected)
   set(dir ${WORK}/${model}-${flags})
   file(MAKE_DIRECTORY ${dir})
   set(define "")
-  if(NOT flags STREQUAL "whole")
+  if(NOT flags STREQUAL "complete")
     set(define -D${flags})
   endif()
   execute_process(COMMAND spin -a ${define} ${MODELS}/${model}.pml WORKING_DIRECTORY ${dir} RESULT_VARIABLE status
@@ -23,17 +24,17 @@
   string(REGEX MATCH "([0-9.e+]+) states, stored" states "${text}")
   message(STATUS "${model} ${flags}: ${found}, ${states}")
   if(text MATCHES "max search depth too small|out of memory|truncated" OR "${errors}" STREQUAL "")
-    message(FATAL_ERROR "${model} ${flags}: not exhaustive: ${text}")
+    message(FATAL_ERROR "${model} ${flags}: the search was not exhaustive: ${text}")
   endif()
   if(expected STREQUAL "holds" AND NOT errors EQUAL 0)
-    message(FATAL_ERROR "${model}: broken: ${text}")
+    message(FATAL_ERROR "${model}: expected no error, Spin found ${errors}: ${text}")
   endif()
   if(expected STREQUAL "fails" AND errors EQUAL 0)
-    message(FATAL_ERROR "${model} holds without ${flags}: it checks nothing of that")
+    message(FATAL_ERROR "${model} with -D${flags}: expected an error, Spin found none: the model does not check this part")
   endif()
 endfunction()
 
-check(${MODEL} whole holds)
+check(${MODEL} complete holds)
 foreach(flag IN LISTS PARTS)
   check(${MODEL} ${flag} fails)
 endforeach()
