--- a/tests/cluster/fleet.hpp
+++ b/tests/cluster/fleet.hpp
@@ -1,6 +1,7 @@
-// A cluster of price nodes on loopback: processes of the real program in zones and regions, each with a
-// runtime and a console of its own, their membership datagrams sent through the fault relay. Shared by the
-// tests, the tool and the bench. The seed is MARBLEWHARF_SEED's, or 1.
+// A cluster of price nodes on loopback: processes of the real program in zones and regions. Each process has
+// its own fake runtime and console; membership datagrams are sent through the fault relay. Used by the tests,
+// the fleet tool and the benchmark. The environment variable MARBLEWHARF_SEED sets the seed; the default
+// is 1.
 #pragma once
 
 #include <atomic>
@@ -20,18 +21,18 @@
 
 using namespace harness;
 
-// UDP ports on this process's own address, reserved until this is destroyed: released one by one, the system
-// hands the same one out again, to the next node or to the relay.
+// UDP ports on the address of this process, all reserved until the object is destroyed. If they were released
+// one by one, the system could assign a released port again, to the next node or to the relay.
 class reserved_udp_ports {
  public:
-  explicit reserved_udp_ports(int n) {
-    for (int i = 0; i < n; ++i) {
+  explicit reserved_udp_ports(int count) {
+    for (int i = 0; i < count; ++i) {
       fds_.push_back(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
-      sockaddr_in a = address_of(0);
-      CHECK(::bind(fds_.back(), reinterpret_cast<const sockaddr*>(&a), sizeof a) == 0);
-      socklen_t size = sizeof a;
-      CHECK(::getsockname(fds_.back(), reinterpret_cast<sockaddr*>(&a), &size) == 0);
-      ports.push_back(ntohs(a.sin_port));
+      sockaddr_in address = address_of(0);
+      CHECK(::bind(fds_.back(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
+      socklen_t size = sizeof address;
+      CHECK(::getsockname(fds_.back(), reinterpret_cast<sockaddr*>(&address), &size) == 0);
+      ports.push_back(ntohs(address.sin_port));
     }
   }
   ~reserved_udp_ports() {
@@ -46,59 +47,59 @@
   std::vector<int> fds_;
 };
 
-// A statistic of show-stat, by name.
+// The value of a statistic in the reply to show-stat.
 inline long statistic(int console, const std::string& name) {
   const std::string text = call(console, "show-stat\n");
-  const std::size_t at = text.find("\n" + name + "=");
-  CHECK(at != std::string::npos);
-  return std::stol(text.substr(at + name.size() + 2));
+  const std::size_t position = text.find("\n" + name + "=");
+  CHECK(position != std::string::npos);
+  return std::stol(text.substr(position + name.size() + 2));
 }
 
 inline std::uint64_t seed() {
-  const char* given = std::getenv("MARBLEWHARF_SEED");
-  return given != nullptr ? std::strtoull(given, nullptr, 10) : 1;
+  const char* seed_text = std::getenv("MARBLEWHARF_SEED");
+  return seed_text != nullptr ? std::strtoull(seed_text, nullptr, 10) : 1;
 }
 
 struct test_cluster_options {
   int zones = 3, per_zone = 3;
-  std::vector<std::string> regions = {};  // by zone; empty: all in r0
+  std::vector<std::string> regions = {};  // by zone; empty: all zones are in region r0
   int probe_ms = 100;
   std::string hold_down = "1s";
-  std::string more_of_fleet = "";                  // further lines of the section
-  std::function<std::string(int)> operators = {};  // further text of node i's operator's file
+  std::string more_of_fleet = "";                  // further lines of the section `fleet`
+  std::function<std::string(int)> operators = {};  // further sections of the operator's file of node i
   std::function<void(int, node_options&)> edit = {};
 };
 
 class test_cluster {
  public:
-  explicit test_cluster(test_cluster_options o = {}) : options_(std::move(o)) {
-    std::vector<int> zone_of;
-    std::optional<reserved_udp_ports> held(size());
-    udp_ = held->ports;
+  explicit test_cluster(test_cluster_options options = {}) : options_(std::move(options)) {
+    std::vector<int> zones;
+    std::optional<reserved_udp_ports> reserved(size());
+    udp_ = reserved->ports;
     for (int i = 0; i < size(); ++i) {
-      zone_of.push_back(i / options_.per_zone);
+      zones.push_back(i / options_.per_zone);
       members_.push_back(std::make_unique<member_slot>());
     }
-    relay = std::make_unique<cluster_faults::relay>(own_host(), udp_, zone_of, seed());
-    held.reset();
+    relay = std::make_unique<cluster_faults::relay>(own_host(), udp_, zones, seed());
+    reserved.reset();
     for (int i = 0; i < size(); ++i) start(i);
   }
   int size() const { return options_.zones * options_.per_zone; }
   std::vector<int> all() const { return members_of(0, options_.zones); }
-  // Of the zones from `first` to before `last`.
+  // The members of the zones `first` to `last` - 1.
   std::vector<int> members_of(int first, int last) const {
-    std::vector<int> out;
-    for (int i = first * options_.per_zone; i < last * options_.per_zone; ++i) out.push_back(i);
-    return out;
+    std::vector<int> members;
+    for (int i = first * options_.per_zone; i < last * options_.per_zone; ++i) members.push_back(i);
+    return members;
   }
-  std::string region(int z) const {
-    return options_.regions.empty() ? "r0" : options_.regions[static_cast<std::size_t>(z)];
+  std::string region(int zone) const {
+    return options_.regions.empty() ? "r0" : options_.regions[static_cast<std::size_t>(zone)];
   }
 
-  // Starts node i, or starts it again with the same addresses.
+  // Starts node i, or restarts it with the same addresses.
   void start(int i) {
     const std::lock_guard lock(guard(i));
-    member(i).current->n.reset();
+    member(i).current->program.reset();
     launch(i, 0);
   }
   void kill(int i) {
@@ -107,66 +108,69 @@
     at(i).signal(SIGKILL);
     at(i).wait();
   }
-  // Hot restart: a second process of node i beside the first, with the same addresses but for runtime and
-  // console. Returns once it accepts clients; at(i) is the second from then on.
+  // Hot restart: starts a second process of node i while the first one runs. Both have the same addresses,
+  // except for the runtime and the console. Returns when the second process accepts clients; at(i) then
+  // returns the second process.
   void start_replacement(int i) {
     {
       const std::lock_guard lock(guard(i));
-      member_slot& m = member(i);
-      CHECK(m.replaced == nullptr);
-      m.replaced = std::exchange(m.current, std::make_unique<process>());
-      launch(i, m.port);
+      member_slot& slot = member(i);
+      CHECK(slot.replaced == nullptr);
+      slot.replaced = std::exchange(slot.current, std::make_unique<process>());
+      launch(i, slot.port);
     }
     wait_until([&] { return call(console(i), "ready\n").rfind("200 yes", 0) == 0; }, i);
   }
-  // The console of the first of the two.
+  // The console of the process that is being replaced.
   int replaced_console(int i) const { return member(i).replaced->console; }
-  // Ends the first of the two by a signal. Returns its log.
+  // Ends the replaced process by a signal. Returns its log.
   std::string end_replaced(int i, int signal = SIGTERM) {
-    member_slot& m = member(i);
-    m.replaced->n->signal(signal);
-    const int status = m.replaced->n->wait();
+    member_slot& slot = member(i);
+    slot.replaced->program->signal(signal);
+    const int status = slot.replaced->program->wait();
     CHECK(signal == SIGKILL || status == 0);
-    const std::lock_guard lock(m.guard);
-    const auto ended = std::exchange(m.replaced, nullptr);
-    return ended->n->log();
+    const std::lock_guard lock(slot.guard);
+    const auto ended = std::exchange(slot.replaced, nullptr);
+    return ended->program->log();
   }
-  // Held while a node starts or is killed, and by the thread of its fake runtime.
+  // Locked while a node is started or killed, and by the thread of its fake runtime.
   std::mutex& guard(int i) const { return member(i).guard; }
-  // Where its clients connect; 0: it does not run.
+  // The port to which clients connect; 0 if the node does not run.
   int port(int i) const { return member(i).port; }
   bool running(int i) const { return port(i) != 0; }
-  node& at(int i) { return *member(i).current->n; }
-  // For each process of node i that runs: its runtime, and a number unique to the process.
-  template <typename F>
-  void each_runtime(int i, F&& f) {
-    member_slot& m = member(i);
-    if (running(i)) f(m.current->r, m.current->number);
-    if (m.replaced != nullptr) f(m.replaced->r, m.replaced->number);
+  node& at(int i) { return *member(i).current->program; }
+  // Calls `visit` for each running process of node i, with its fake runtime and a number unique to the
+  // process.
+  template <typename Visitor>
+  void each_runtime(int i, Visitor&& visit) {
+    member_slot& slot = member(i);
+    if (running(i)) visit(slot.current->fake_runtime, slot.current->number);
+    if (slot.replaced != nullptr) visit(slot.replaced->fake_runtime, slot.replaced->number);
   }
   int udp(int i) const { return udp_[static_cast<std::size_t>(i)]; }
   int console(int i) const { return member(i).current->console; }
-  // What the others send to: the relay's port for this node.
+  // The advertised address of node i, which is the relay's port for this node.
   std::string address(int i) const { return own_host() + ":" + std::to_string(relay->front(i)); }
 
   std::string zones_seen_by(int i) const { return call(console(i), "show-zones\n"); }
   std::string members_seen_by(int i) const { return call(console(i), "show-members\n"); }
-  // The line of show-zones for zone z, up to its state.
-  std::string zone_line(int z, bool out) const {
-    return "\nz" + std::to_string(z) + " " + region(z) + (out ? " out" : " in");
+  // The beginning of the line of show-zones for a zone, up to its state.
+  std::string zone_line(int zone, bool out) const {
+    return "\nz" + std::to_string(zone) + " " + region(zone) + (out ? " out" : " in");
   }
-  bool sees_zone(int i, int z, bool out) const {
-    return zones_seen_by(i).find(zone_line(z, out)) != std::string::npos;
+  bool sees_zone(int i, int zone, bool out) const {
+    return zones_seen_by(i).find(zone_line(zone, out)) != std::string::npos;
   }
-  // Waits until every member in `observers` shows zone z so.
-  void wait_for_zone(const std::vector<int>& observers, int z, bool out) const {
-    for (const int i : observers) wait_until([&] { return sees_zone(i, z, out); }, i);
+  // Waits until every member in `observers` shows the zone as out or in, according to `out`.
+  void wait_for_zone(const std::vector<int>& observers, int zone, bool out) const {
+    for (const int i : observers) wait_until([&] { return sees_zone(i, zone, out); }, i);
   }
-  // Waits until show-members of member i has such a line.
+  // Waits until the reply of member i to show-members contains `line`.
   void wait_for_member_line(int i, const std::string& line) const {
     wait_until([&] { return members_seen_by(i).find(line) != std::string::npos; }, i);
   }
-  // Waits until each of `observers` shows all zones in and all other members of `expected` alive.
+  // Waits until each member in `observers` shows all zones as in and `expected` members, including itself, as
+  // alive.
   void wait_until_healthy(const std::vector<int>& observers, std::size_t expected) const {
     for (const int i : observers) {
       for (int z = 0; z < options_.zones; ++z) wait_for_zone({i}, z, false);
@@ -177,24 +181,27 @@
   std::size_t alive_seen_by(int i) const {
     const std::string text = members_seen_by(i);
     std::size_t alive = 0;
-    for (std::size_t at = text.find(" alive "); at != std::string::npos; at = text.find(" alive ", at + 1))
+    for (std::size_t position = text.find(" alive "); position != std::string::npos;
+         position = text.find(" alive ", position + 1))
       ++alive;
     return alive;
   }
-  // How often these members saw any zone decided out. Statistics, since log lines have a bound a second.
-  long declared_out(const std::vector<int>& who) const {
-    long n = 0;
-    for (const int i : who) n += statistic(console(i), "fleet.declared_out");
-    return n;
+  // The sum of the decisions to take a zone out that these members counted. Uses statistics, because the
+  // number of log lines per second is limited.
+  long declared_out(const std::vector<int>& members) const {
+    long total = 0;
+    for (const int i : members) total += statistic(console(i), "fleet.declared_out");
+    return total;
   }
-  // Waits three times as long as the harness does elsewhere: nine processes under sanitizers on a busy
-  // machine are slow.
-  template <typename F>
-  void wait_until(F&& done, int i) const {
+  // Waits for `is_done`, three times as long as the harness does elsewhere, because nine processes with
+  // sanitizers are slow on a busy machine. On a time-out, prints the views of member i.
+  template <typename Predicate>
+  void wait_until(Predicate&& is_done, int i) const {
     const auto until = harness::clock::now() + std::chrono::milliseconds(3 * patience_ms);
-    while (!done()) {
+    while (!is_done()) {
       if (harness::clock::now() > until)
-        std::fprintf(stderr, "member %d:\n%s%s", i, members_seen_by(i).c_str(), zones_seen_by(i).c_str());
+        std::fprintf(stderr, "time-out; views of member %d:\n%s%s", i, members_seen_by(i).c_str(),
+                     zones_seen_by(i).c_str());
       CHECK(harness::clock::now() <= until);
       std::this_thread::sleep_for(20ms);
     }
@@ -204,10 +211,10 @@
 
  private:
   struct process {
-    runtime r;
+    runtime fake_runtime;
     int console = free_port();
     int number = 0;
-    std::unique_ptr<node> n;
+    std::unique_ptr<node> program;
   };
   struct member_slot {
     std::unique_ptr<process> current = std::make_unique<process>(), replaced;
@@ -216,38 +223,40 @@
   };
   member_slot& member(int i) const { return *members_[static_cast<std::size_t>(i)]; }
 
-  // Listens where clients connect: at `port`, or 0 for one of its own.
+  // Starts the current process of node i. It accepts clients at `port`, or at a free port if `port` is 0.
   void launch(int i, int port) {
-    process& p = *member(i).current;
-    node_options o;
-    o.quota = o.other_quota = 100000;
-    o.operators = operators(i);
-    o.listen_port = port;
-    o.edit_from = "\"seed\"";
-    o.edit_to = "\"console\":\"" + own_host() + ":" + std::to_string(p.console) + "\",\"seed\"";
-    if (options_.edit) options_.edit(i, o);
-    p.number = ++launched_;
-    p.n = std::make_unique<node>(p.r, o);
-    p.r.up();
-    member(i).port = p.n->port;
+    process& launched = *member(i).current;
+    node_options node_settings;
+    node_settings.quota = node_settings.other_quota = 100000;
+    node_settings.operators = operators(i);
+    node_settings.listen_port = port;
+    node_settings.edit_from = "\"seed\"";
+    node_settings.edit_to =
+        "\"console\":\"" + own_host() + ":" + std::to_string(launched.console) + "\",\"seed\"";
+    if (options_.edit) options_.edit(i, node_settings);
+    launched.number = ++launched_;
+    launched.program = std::make_unique<node>(launched.fake_runtime, node_settings);
+    launched.fake_runtime.up();
+    member(i).port = launched.program->port;
   }
 
+  // The operator's file of node i.
   std::string operators(int i) const {
-    std::ostringstream o;
-    o << "fleet {\n name = kurse\n listen = \"" << own_host() << ":" << udp(i) << "\"\n advertise = \""
-      << address(i) << "\"\n zone = z" << i / options_.per_zone << "\n seeds = {\"" << address(0) << "\", \""
-      << address(size() > options_.per_zone ? options_.per_zone : 0) << "\"}\n"
-      << " probe_interval = " << options_.probe_ms << "ms\n probe_timeout = " << options_.probe_ms * 2 / 5
-      << "ms\n hold_down = " << options_.hold_down << "\n vote_lease = 3s\n start_grace = 2s\n"
-      << options_.more_of_fleet << "}\n";
+    std::ostringstream text;
+    text << "fleet {\n name = kurse\n listen = \"" << own_host() << ":" << udp(i) << "\"\n advertise = \""
+         << address(i) << "\"\n zone = z" << i / options_.per_zone << "\n seeds = {\"" << address(0)
+         << "\", \"" << address(size() > options_.per_zone ? options_.per_zone : 0) << "\"}\n"
+         << " probe_interval = " << options_.probe_ms << "ms\n probe_timeout = " << options_.probe_ms * 2 / 5
+         << "ms\n hold_down = " << options_.hold_down << "\n vote_lease = 3s\n start_grace = 2s\n"
+         << options_.more_of_fleet << "}\n";
     for (int z = 0; z < options_.zones; ++z) {
-      o << "zone z" << z << " {\n region = " << region(z) << "\n members = {";
+      text << "zone z" << z << " {\n region = " << region(z) << "\n members = {";
       for (int k = 0; k < options_.per_zone; ++k)
-        o << (k > 0 ? ", " : "") << "\"" << address(z * options_.per_zone + k) << "\"";
-      o << "}\n}\n";
+        text << (k > 0 ? ", " : "") << "\"" << address(z * options_.per_zone + k) << "\"";
+      text << "}\n}\n";
     }
-    if (options_.operators) o << options_.operators(i);
-    return o.str();
+    if (options_.operators) text << options_.operators(i);
+    return text.str();
   }
 
   test_cluster_options options_;
--- a/tests/cluster/routed.hpp
+++ b/tests/cluster/routed.hpp
@@ -1,5 +1,5 @@
-// A cluster of nine nodes in three zones whose node 0 calls a fake upstream beside each member: where its
-// calls go.
+// A cluster of nine nodes in three zones, with a fake upstream endpoint next to each member. Node 0 calls the
+// upstream; the tests check which endpoints receive the calls.
 #pragma once
 
 #include "../net/uwsgi_peer.hpp"
@@ -8,50 +8,53 @@
 
 namespace cluster_faults {
 
-// Node 0 calls the upstream `kurse`, which has an endpoint beside each of the nine members.
+// Node 0 calls the dependency `kurse`, which has one endpoint per member.
 struct locality_cluster {
   locality_cluster() {
     for (int i = 0; i < 9; ++i)
       at.push_back(std::make_unique<peers::uwsgi_server>([](const peers::uwsgi_request&) {
         return peers::reaction{0us, peers::manner::whole, "101.42"};
       }));
-    test_cluster_options o;
-    o.regions = {"r0", "r0", "r1"};
-    // Address of a member known only once the relay is up: the places are zones here, members where
-    // `by_member`.
-    o.operators = [this](int i) { return i == 0 ? front() : std::string(); };
-    f = std::make_unique<test_cluster>(o);
+    test_cluster_options options;
+    options.regions = {"r0", "r0", "r1"};
+    // The places are zones, because the addresses of the members are not known before the relay is running.
+    options.operators = [this](int i) { return i == 0 ? front() : std::string(); };
+    f = std::make_unique<test_cluster>(options);
   }
+  // The sections of the operator's file of node 0 for the uwsgi front and the dependency.
   std::string front() const {
-    std::ostringstream o;
-    o << "uwsgi {\n listen = \"" << own_host() << ":" << port << "\"\n servers = {\"" << at[0]->address()
-      << "\"}\n class_var = PATH_INFO\n tenant_var = REMOTE_USER\n}\ndependency kurse {\n endpoints = {";
-    for (std::size_t i = 0; i < at.size(); ++i) o << (i > 0 ? ", " : "") << '"' << at[i]->address() << '"';
-    o << "}\n places = {" << places << "}\n budget = 2s\n hedge_quantile = 0\n out = 60s\n fade = 200ms\n}\n"
-      << "class kurs-abfrage {\n uwsgi_values = {\"/kurs/liste\"}\n}\n"
-      << "part kurse {\n class = kurs-abfrage\n from = kurse\n required = yes\n}\n";
-    return o.str();
+    std::ostringstream text;
+    text << "uwsgi {\n listen = \"" << own_host() << ":" << port << "\"\n servers = {\"" << at[0]->address()
+         << "\"}\n class_var = PATH_INFO\n tenant_var = REMOTE_USER\n}\ndependency kurse {\n endpoints = {";
+    for (std::size_t i = 0; i < at.size(); ++i) text << (i > 0 ? ", " : "") << '"' << at[i]->address() << '"';
+    text << "}\n places = {" << places
+         << "}\n budget = 2s\n hedge_quantile = 0\n out = 60s\n fade = 200ms\n}\n"
+         << "class kurs-abfrage {\n uwsgi_values = {\"/kurs/liste\"}\n}\n"
+         << "part kurse {\n class = kurs-abfrage\n from = kurse\n required = yes\n}\n";
+    return text.str();
   }
-  // Sends `n` requests one after the other, and returns the calls that each of the nine endpoints received.
-  std::vector<int> count_calls(int n, bool all_well = true) {
-    std::vector<int> before, got;
-    for (const auto& s : at) before.push_back(s->requests);
-    for (int i = 0; i < n; ++i) {
-      connection c = connection::to(port);
-      c.send(uwsgi_peer::packet({{"PATH_INFO", "/kurs/liste"},
-                                 {"REMOTE_USER", "isar-invest"},
-                                 {"QUERY_STRING", "q=" + std::to_string(i)},
-                                 {"CONTENT_LENGTH", "2"}},
-                                "in"));
-      CHECK(c.rest().find("101.42") != std::string::npos || !all_well);
+  // Sends `request_count` requests one after another and returns the number of calls that each of the nine
+  // endpoints received. Checks that every request succeeds if `expect_success` is true.
+  std::vector<int> count_calls(int request_count, bool expect_success = true) {
+    std::vector<int> calls_before, calls;
+    for (const auto& endpoint : at) calls_before.push_back(endpoint->requests);
+    for (int i = 0; i < request_count; ++i) {
+      connection client = connection::to(port);
+      client.send(uwsgi_peer::packet({{"PATH_INFO", "/kurs/liste"},
+                                      {"REMOTE_USER", "isar-invest"},
+                                      {"QUERY_STRING", "q=" + std::to_string(i)},
+                                      {"CONTENT_LENGTH", "2"}},
+                                     "in"));
+      CHECK(client.rest().find("101.42") != std::string::npos || !expect_success);
     }
-    for (std::size_t i = 0; i < at.size(); ++i) got.push_back(at[i]->requests - before[i]);
-    return got;
+    for (std::size_t i = 0; i < at.size(); ++i) calls.push_back(at[i]->requests - calls_before[i]);
+    return calls;
   }
-  static int sum(const std::vector<int>& v, int from, int to) {
-    int n = 0;
-    for (int i = from; i < to; ++i) n += v[static_cast<std::size_t>(i)];
-    return n;
+  // The sum of the calls of the endpoints `first` to `end` - 1.
+  static int sum(const std::vector<int>& calls, int first, int end) {
+    int total = 0;
+    for (int i = first; i < end; ++i) total += calls[static_cast<std::size_t>(i)];
+    return total;
   }
 
   int port = free_port();
