--- a/src/quota/allocator.cpp
+++ b/src/quota/allocator.cpp
@@ -59,7 +59,7 @@
   return sum;
 }
 
-void allocator::forget_expired_sessions(time_point now) {
+void allocator::erase_expired_sessions(time_point now) {
   duration longest_settling{};
   for (const quota_definition& quota : quotas_)
     longest_settling = std::max(longest_settling, quota.settling_time);
@@ -92,7 +92,7 @@
     ++mismatched_requests_;
     return;
   }
-  forget_expired_sessions(now);
+  erase_expired_sessions(now);
   const session_id id{request.sender, request.session};
   if (!sessions_.contains(id) && sessions_.size() >= options_.max_sessions) return;
   session_state& session = sessions_[id];
--- a/src/quota/allocator.hpp
+++ b/src/quota/allocator.hpp
@@ -72,7 +72,7 @@
     auto operator<=>(const session_id&) const = default;
   };
 
-  void forget_expired_sessions(time_point now);
+  void erase_expired_sessions(time_point now);
   bool requested_within_lease(const session_state& session, time_point now) const;
   static void record_request(session_state& session, const message& request, time_point now,
                              duration expiry_wait);
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -91,7 +91,8 @@
 
   std::vector<job_statistics> statistics(time_point now) const;
   std::size_t running() const { return running_; }
-  // False after the job was cancelled or, if it runs once, has completed its round.
+  // False after the job was erased: when it was cancelled and no slice of it runs, or when its only round is
+  // complete.
   bool contains(job_id id) const { return jobs_.contains(id); }
 
  private:
