--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -37,7 +37,7 @@
 job_id scheduler::add(job_rules rules, time_point first_due) {
   for (const auto& [id, existing] : jobs_)
     if (existing.rules.name == rules.name && existing.state != job_state::cancelling)
-      throw std::invalid_argument("scheduler: a job named " + rules.name + " already exists");
+      throw std::invalid_argument("scheduler: there is already a job named " + rules.name);
   // The existing jobs have no cycle, so a new job creates a cycle only if it waits for itself.
   for (const std::string& predecessor : rules.after)
     if (waits_for(predecessor, rules.name))
