--- a/src/membership/wire.cpp
+++ b/src/membership/wire.cpp
@@ -43,7 +43,7 @@
 constexpr std::uint32_t header_elements = 2;
 constexpr std::uint32_t all_elements = 8;
 
-// Limits what one datagram can make the decoder allocate.
+// Limits the memory that the decoder allocates for one datagram.
 const msgpack::unpack_limit unpack_limits(/*array*/ 256, /*map*/ 0, /*str*/ max_datagram_bytes, /*bin*/ 0,
                                           /*ext*/ 0, /*depth*/ 4);
 
--- a/tests/quota/quota_test.cpp
+++ b/tests/quota/quota_test.cpp
@@ -97,8 +97,8 @@
     running[i] = std::exchange(running[i + replacement_offset], {});
     members[i]->become_member(local(i));
   }
-  bool cut_between(int a, int b) const {
-    return cut.contains({a % replacement_offset, b % replacement_offset});
+  bool cut_between(int sender, int recipient) const {
+    return cut.contains({sender % replacement_offset, recipient % replacement_offset});
   }
 
   void tick(double loss = 0, double duplication = 0, duration max_delay = 5ms) {
@@ -159,9 +159,9 @@
     for (int i = 0; i < static_cast<int>(names.size()); ++i)
       if (!members.contains(i)) sums[0] += quotas()[0].guaranteed_share;
     CHECK(leading <= 1);
-    for (std::size_t b = 0; b < (has_settling_time ? 2u : 1u); ++b) {
-      highest[b] = std::max(highest[b], sums[b]);
-      CHECK(sums[b] <= quotas()[b].global_limit + 1e-6);
+    for (std::size_t quota = 0; quota < (has_settling_time ? 2u : 1u); ++quota) {
+      highest[quota] = std::max(highest[quota], sums[quota]);
+      CHECK(sums[quota] <= quotas()[quota].global_limit + 1e-6);
     }
   }
   void run(duration length, double loss = 0, double duplication = 0, duration max_delay = 5ms) {
