--- a/src/idempotency/durable_service.cpp
+++ b/src/idempotency/durable_service.cpp
@@ -54,8 +54,8 @@
 std::unique_ptr<store::log> durable_service::open_log(store::file_system& files) {
   store::log_options log_options;
   log_options.folder = options_.folder;
-  log_options.segment = options_.segment;
-  log_options.space = options_.space;
+  log_options.segment_bytes = options_.segment;
+  log_options.space_bytes = options_.space;
   log_options.salt = options_.salt;
   aging_time latest = 0;
   const auto expiry_of = [&latest](std::uint32_t type, std::string_view body) {
@@ -71,7 +71,7 @@
   auto opened = std::make_unique<store::log>(files, log_options, expiry_of, recover_each);
   found_ = opened->counts();
   salt_ = opened->salt();
-  clock_ = aging_clock(options_.unix_now, std::chrono::nanoseconds(std::max(latest, found_.latest)),
+  clock_ = aging_clock(options_.unix_now, std::chrono::nanoseconds(std::max(latest, found_.latest_time)),
                        options_.steady_now);
   table_.finish_recovery();
   table_.expire(now());
@@ -109,12 +109,12 @@
 void durable_service::step(time_point steady_now) {
   now_ = std::max(now_, steady_now);
   std::vector<store::committer::done> all_done;
-  const store::committer::condition disk = committer_->collect(all_done);
-  table_.set_disk({disk.writable, disk.room, disk.next_ageing});
-  counters_.results_bytes = disk.used;
+  const store::committer::disk_status disk = committer_->collect(all_done);
+  table_.set_disk({disk.writable, disk.free_bytes, disk.next_expiry});
+  counters_.results_bytes = disk.used_bytes;
   counters_.results_commits = disk.commits;
   for (const store::committer::done& done : all_done) {
-    if (done.what == store::committer::kind::write) {
+    if (done.operation == store::committer::kind::write) {
       on_written(done.ticket, done);
     } else {
       on_read(done.ticket, done);
@@ -125,7 +125,7 @@
   publish_key_counts();
 }
 
-void durable_service::update_disk_state(const store::committer::condition& disk) {
+void durable_service::update_disk_state(const store::committer::disk_status& disk) {
   if (writable_ != disk.writable) {
     writable_ = disk.writable;
     log("results", "%s", disk.writable ? "the disk takes writes again" : disk.fault.c_str());
@@ -237,7 +237,7 @@
         failed_results_.push_back(std::move(write));
         break;
       }
-      table_.result_recorded(write.key, done.at, now());
+      table_.result_recorded(write.key, done.location, now());
       observer().on_result_recorded(write.primary);
       break;
     case record_type::release: break;
--- a/src/idempotency/durable_service.hpp
+++ b/src/idempotency/durable_service.hpp
@@ -82,7 +82,7 @@
   key_record record_of(record_type type, const claimed_key& claimed) const;
   void write(request_id primary, const claimed_key& claimed, const key_record& record);
   void submit(pending_write write);
-  void update_disk_state(const store::committer::condition& disk);
+  void update_disk_state(const store::committer::disk_status& disk);
   void on_written(std::uint64_t ticket, const store::committer::done& done);
   void on_intent_done(const pending_write& write, bool durable);
   void on_read(std::uint64_t ticket, const store::committer::done& done);
--- a/src/store/bytes.hpp
+++ b/src/store/bytes.hpp
@@ -1,4 +1,4 @@
-// Numbers as they stand in the store's files, and bytes as they are shown to people.
+// Encodes and decodes numbers in the byte order of the store's files, and escapes bytes for printing.
 #pragma once
 
 #include <bit>
@@ -10,20 +10,21 @@
 namespace marblewharf::store {
 
 static_assert(std::endian::native == std::endian::little,
-              "the format is little-endian, and written as it stands");
+              "the file format is little-endian; numbers are copied without conversion");
 
 template <typename T>
 void put(std::string& out, T value) {
   out.append(reinterpret_cast<const char*>(&value), sizeof value);
 }
 template <typename T>
-T get(std::string_view bytes, std::size_t at) {
+T get(std::string_view bytes, std::size_t offset) {
   T value{};
-  std::memcpy(&value, bytes.data() + at, sizeof value);
+  std::memcpy(&value, bytes.data() + offset, sizeof value);
   return value;
 }
 
-// Keys and values may hold any bytes; a line that lists them may not.
+// Escapes bytes that are not printable ASCII, blanks and backslashes: keys and values may contain any bytes,
+// but are listed one per line. An empty text becomes "-".
 inline std::string printable(const std::string& text) {
   std::string out;
   for (const char c : text) {
--- a/src/store/checkpoint.hpp
+++ b/src/store/checkpoint.hpp
@@ -1,9 +1,10 @@
-// A checkpoint of a store's index: which key stands where, written in slices while writes go on. Blocks on
-// the disk.
+// A checkpoint of a store's index: the log position of the value of each key. It is written in slices while
+// commits continue. Calls block on disk I/O.
 //
-// A file in the format of a segment, under another name, whose header says from which place of the log on all
-// that was written since is to be read over it. It counts once it was renamed to its name; until then, and
-// where it is damaged, the one before or the log alone counts.
+// A checkpoint is a file in the format of a segment under another name. Its header states the log position
+// from which recovery replays the log on top of the checkpoint. A checkpoint becomes valid when it is renamed
+// to its final name; until then the previous checkpoint is valid, if there is one. If the checkpoint is
+// damaged, recovery reads the whole log.
 #pragma once
 
 #include <cstdint>
@@ -22,20 +23,22 @@
 
 class checkpoint_writer {
  public:
-  // `from`: the log's end now; `bytes`: about what it will take. Throws io_error.
-  checkpoint_writer(file_system& fs, std::string folder, std::uint64_t salt, const position& from,
-                    std::uint64_t bytes);
-  // One that is not finished is taken away at the next beginning.
+  // `replay_from`: the current end of the log. `expected_bytes`: the approximate size of the checkpoint,
+  // which is preallocated. Throws io_error.
+  checkpoint_writer(file_system& fs, std::string folder, std::uint64_t salt, const position& replay_from,
+                    std::uint64_t expected_bytes);
+  // An unfinished file is left behind; the next writer deletes it.
   ~checkpoint_writer() = default;
 
-  // A slice of entries: encode_row() with encode_position() for the value. Throws io_error.
+  // Writes a slice of entries: rows as of encode_row(), whose value is as of encode_position(). Throws
+  // io_error.
   void add(const std::vector<std::string>& entries);
-  // All entries were added: on return it counts. Throws io_error.
+  // Completes the checkpoint after the last entry; it is valid and durable on return. Throws io_error.
   void finish();
-  std::uint64_t written() const { return end_; }
+  std::uint64_t written_bytes() const { return end_; }
 
  private:
-  void frame(const std::vector<record>& records);
+  void write_frame(const std::vector<record>& records);
 
   file_system& fs_;
   std::string folder_;
@@ -44,13 +47,14 @@
 };
 
 struct checkpoint_found {
-  position from;  // read the log from here
+  position replay_from;  // recovery replays the log from here
   std::uint64_t entries = 0;
   std::uint64_t salt = 0;
-  std::string fault;  // it is damaged and none of it counts; empty: whole
+  std::string fault;  // why the checkpoint is ignored as damaged; empty = intact
 };
-// None: there is none. `each` gets the entries of a whole one only. Throws io_error.
+// Returns nothing if the folder has no checkpoint. `visit` gets the entries only if the checkpoint is intact.
+// Throws io_error.
 std::optional<checkpoint_found> read_checkpoint(file_system& fs, const std::string& folder,
-                                                const std::function<void(std::string_view)>& each);
+                                                const std::function<void(std::string_view)>& visit);
 
 }  // namespace marblewharf::store
--- a/src/store/cleaning.hpp
+++ b/src/store/cleaning.hpp
@@ -1,10 +1,12 @@
-// When a store of tables cleans, and what its writers may take meanwhile (docs/store.md).
+// Decides when a store of tables cleans, and which batches it accepts meanwhile (docs/store.md). To clean
+// means log compaction by segment: the live records of the oldest segment are copied to the end of the log,
+// and the segment is deleted.
 //
-// Free of I/O and clocks: sizes and moments are handed in. Not thread-safe: owned by one thread.
+// No I/O, no clock: sizes and durations are passed in. Not thread-safe: owned by one thread.
 //
-// Promises: while cleaning keeps up, what stands on disk is at most `amplification` times what counts, and
-// some segments. Writers never take the room that cleaning needs to go on. Each batch is told before anything
-// of it is written.
+// Guarantees: while cleaning keeps up, the log takes at most `amplification` times the live bytes, plus a few
+// segments. Writers never use the space that cleaning needs to proceed. A batch is accepted or rejected
+// before any of it is written.
 #pragma once
 
 #include <chrono>
@@ -13,52 +15,53 @@
 
 namespace marblewharf::store {
 
-constexpr std::uint64_t least_segments = 12;  // that the space must hold
+constexpr std::uint64_t least_segments = 12;  // that must fit into `space`
 
 struct cleaning_rules {
   std::uint64_t segment = std::uint64_t{8} << 20;  // bytes
-  // Bytes of all segments together. A checkpoint stands beside them: some 80 bytes and the key for each key,
-  // twice while one is made.
+  // Bytes of all segments together. A checkpoint takes additional space: about 80 bytes plus the key for each
+  // key, and twice that while a new one is written.
   std::uint64_t space = std::uint64_t{1} << 30;
-  // Bytes on disk for one that counts, at most: above 1. A byte written costs A / (A - 1) bytes on disk over
-  // a turn of the log.
+  // Space amplification A: bytes on disk per live byte, at most; above 1. While the log is cleaned once
+  // around, writing one byte costs A / (A - 1) bytes of disk writes.
   double amplification = 2;
 };
 
-// Of all that is on disk now.
+// The current sizes on disk, in bytes.
 struct sizes {
-  std::uint64_t used = 0;  // bytes taken
-  std::uint64_t live = 0;  // bytes of records that count
-  std::uint64_t room = 0;  // bytes that frames may still take for certain
+  std::uint64_t used = 0;  // of all segments
+  std::uint64_t live = 0;  // of records that are the current value of a key
+  std::uint64_t room = 0;  // of frames that can certainly still be written
 };
 
+// Whether a batch is accepted.
 struct verdict {
   bool may = false;
-  // Not: when it is worth coming back; none: only erasing makes room.
+  // For a rejected batch: when to retry. Nothing: a retry is useless until keys are erased.
   std::optional<std::chrono::nanoseconds> come_back;
 };
 
 class cleaning {
  public:
-  // Throws std::invalid_argument where the space is under twelve segments or the amplification is not
-  // above 1.
+  // Throws std::invalid_argument if the space is below twelve segments or the amplification is not above 1.
   explicit cleaning(cleaning_rules rules);
 
-  // Bytes that can be kept at this amplification.
-  std::uint64_t most_live() const;
-  // Never given to writers: the copies of a whole segment, and the one they go to.
+  // The most live bytes that the space allows at this amplification.
+  std::uint64_t max_live_bytes() const;
+  // Bytes that writers never use: the copies of a whole segment, and the segment that they are written to.
   std::uint64_t reserve() const { return 2 * rules_.segment; }
 
-  bool wanted(const sizes& s) const;
-  // Of a batch of so many bytes, after which so many more count (fewer, where it erases).
-  verdict of(const sizes& s, std::uint64_t bytes, std::int64_t growth) const;
+  // Whether a segment should be cleaned now.
+  bool is_needed(const sizes& disk) const;
+  // Decides on a batch of this many bytes that changes the live bytes by `growth` (negative if it erases).
+  verdict of(const sizes& disk, std::uint64_t bytes, std::int64_t growth) const;
 
-  // So much came free, of which `copied` was written again, in that time.
+  // A segment of `freed` bytes was cleaned, of which `copied` bytes were written again; it took this long.
   void on_cleaned(std::uint64_t freed, std::uint64_t copied, std::chrono::nanoseconds took);
 
  private:
   cleaning_rules rules_;
-  double rate_ = 0;  // bytes a second that cleaning gains, of late; 0: not known
+  double bytes_per_second_ = 0;  // net bytes that cleaning frees, a moving average; 0 = not measured yet
 };
 
 }  // namespace marblewharf::store
--- a/src/store/committer.cpp
+++ b/src/store/committer.cpp
@@ -5,9 +5,9 @@
 
 namespace marblewharf::store {
 
-committer::committer(std::unique_ptr<log> l, committer_options options, std::function<std::int64_t()> now,
-                     std::function<void()> notify)
-    : log_(std::move(l)),
+committer::committer(std::unique_ptr<log> opened, committer_options options,
+                     std::function<std::int64_t()> now, std::function<void()> notify)
+    : log_(std::move(opened)),
       options_(options),
       now_(std::move(now)),
       notify_(std::move(notify)),
@@ -21,92 +21,95 @@
   thread_.join();
 }
 
-bool committer::write(std::uint64_t ticket, entry what) {
-  return queue_.push({ticket, kind::write, std::move(what), {}});
+bool committer::write(std::uint64_t ticket, entry content) {
+  return queue_.push({ticket, kind::write, std::move(content), {}});
 }
 
-bool committer::read(std::uint64_t ticket, const position& at) {
-  return queue_.push({ticket, kind::read, {}, at});
+bool committer::read(std::uint64_t ticket, const position& location) {
+  return queue_.push({ticket, kind::read, {}, location});
 }
 
-committer::condition committer::collect(std::vector<done>& out) {
-  const std::lock_guard lock(guard_);
-  out = std::exchange(done_, {});
-  return condition_;
+committer::disk_status committer::collect(std::vector<done>& completed) {
+  const std::lock_guard lock(mutex_);
+  completed = std::exchange(done_, {});
+  return disk_status_;
 }
 
 void committer::serve() {
-  auto next_look = std::chrono::steady_clock::now() + options_.tidy;
+  auto next_reclaim = std::chrono::steady_clock::now() + options_.reclaim_interval;
   std::vector<task> batch;
   std::uint64_t bytes = 0;
   const auto fits = [&](const task& t, std::size_t taken) {
-    bytes = (taken == 0 ? 0 : bytes) + room_for(t.writes.what.body.size());
-    return taken == 0 || (taken < options_.batch && bytes <= log_->largest_frame());
+    bytes = (taken == 0 ? 0 : bytes) + room_for(t.to_write.content.body.size());
+    return taken == 0 || (taken < options_.batch && bytes <= log_->max_frame_bytes());
   };
-  while (queue_.take(batch, log_->is_open() ? options_.tidy : options_.retry, fits)) {
-    const bool look = std::chrono::steady_clock::now() >= next_look;
+  while (queue_.pop_batch(batch, log_->is_open() ? options_.reclaim_interval : options_.retry, fits)) {
+    const bool reclaim_due = std::chrono::steady_clock::now() >= next_reclaim;
     if (!batch.empty()) commit(batch);
-    if (!look) continue;
-    look_after(true);
-    next_look = std::chrono::steady_clock::now() + (log_->is_open() ? options_.tidy : options_.retry);
+    if (!reclaim_due) continue;
+    maintain(true);
+    next_reclaim =
+        std::chrono::steady_clock::now() + (log_->is_open() ? options_.reclaim_interval : options_.retry);
   }
 }
 
 void committer::commit(std::vector<task>& batch) {
-  std::vector<done> out;
+  std::vector<done> completed;
   std::vector<entry> writes;
   for (task& t : batch) {
-    done d{t.ticket, t.what, false, {}, {}};
-    if (t.what == kind::write) {
-      writes.push_back(std::move(t.writes));
+    done d{t.ticket, t.operation, false, {}, {}};
+    if (t.operation == kind::write) {
+      writes.push_back(std::move(t.to_write));
     } else {
       try {
-        d.body = log_->read(t.reads);
+        d.body = log_->read(t.to_read);
         d.ok = true;
-      } catch (const std::runtime_error& e) {  // damaged, or the disk does not answer: said by whoever asked
+      } catch (const std::runtime_error& e) {  // damaged, or an I/O error: the caller reports it
         d.body = e.what();
       }
     }
-    out.push_back(std::move(d));
+    completed.push_back(std::move(d));
   }
   if (!writes.empty()) {
-    std::vector<position> at;
+    std::vector<position> positions;
     try {
-      at = log_->append(writes, now_());
+      positions = log_->append(writes, now_());
       ++commits_;
       fault_.clear();
     } catch (const io_error& e) {
       fault_ = e.what();
     }
     std::size_t i = 0;
-    for (done& d : out) {
-      if (d.what != kind::write) continue;
-      d.ok = !at.empty();
-      if (d.ok) d.at = at[i++];
+    for (done& d : completed) {
+      if (d.operation != kind::write) continue;
+      d.ok = !positions.empty();
+      if (d.ok) d.location = positions[i++];
     }
   }
-  // A segment that was filled leaves no spare: the next one is set aside before anybody hears how much room
-  // there is.
-  if (log_->is_open()) look_after(false);
-  report(std::move(out));
+  // If the commit filled a segment, there is no spare any more. The next one is preallocated before the free
+  // space is reported.
+  if (log_->is_open()) maintain(false);
+  report(std::move(completed));
 }
 
-void committer::look_after(bool due) {
+void committer::maintain(bool reclaim_due) {
   try {
     if (!log_->is_open()) log_->open(now_());
-    if (due || log_->room() < log_->largest_frame() * 4) log_->tidy(now_());
+    if (reclaim_due || log_->reserved_free_bytes() < log_->max_frame_bytes() * 4) log_->reclaim(now_());
     fault_.clear();
   } catch (const io_error& e) {
     fault_ = e.what();
   }
-  if (due) report({});
+  if (reclaim_due) report({});
 }
 
-void committer::report(std::vector<done> what) {
+void committer::report(std::vector<done> completed) {
   {
-    const std::lock_guard lock(guard_);
-    condition_ = {log_->is_open(), log_->room(), log_->used(), log_->next_ageing(), commits_, fault_};
-    for (done& d : what) done_.push_back(std::move(d));
+    const std::lock_guard lock(mutex_);
+    disk_status_ = {log_->is_open(),    log_->reserved_free_bytes(),
+                    log_->used_bytes(), log_->next_expiry(),
+                    commits_,           fault_};
+    for (done& d : completed) done_.push_back(std::move(d));
   }
   notify_();
 }
--- a/src/store/committer.hpp
+++ b/src/store/committer.hpp
@@ -1,6 +1,6 @@
-// The thread that a log's disk blocks, so that no other has to wait for one: writes that are asked for while
-// a commit is under way go to disk together with the next (group commit). Its queue is bounded by whoever
-// asks: it takes in what fits and says so where it does not.
+// A thread that writes and reads a log, so that no other thread blocks on disk I/O. Writes that are requested
+// during a commit are written together by the next commit (group commit). The queue is bounded: a request
+// that does not fit is refused at once.
 #pragma once
 
 #include <cstdint>
@@ -17,10 +17,10 @@
 namespace marblewharf::store {
 
 struct committer_options {
-  std::size_t queue = 4096;  // requests waiting, at most
-  std::size_t batch = 1024;  // records in one commit; 1 = a sync for each record
-  std::chrono::nanoseconds retry = std::chrono::milliseconds(500);  // after a failure, until the next try
-  std::chrono::nanoseconds tidy = std::chrono::seconds(1);          // between looks for what has aged
+  std::size_t queue = 4096;  // requests that wait, at most
+  std::size_t batch = 1024;  // records in one commit, at most; 1 = a sync per record
+  std::chrono::nanoseconds retry = std::chrono::milliseconds(500);      // delay after a failure
+  std::chrono::nanoseconds reclaim_interval = std::chrono::seconds(1);  // between checks for expired segments
 };
 
 class committer {
@@ -28,49 +28,49 @@
   enum class kind { write, read };
   struct done {
     std::uint64_t ticket = 0;
-    kind what = kind::write;
-    bool ok = false;   // of a write: it is on disk. False: it counts nowhere
-    position at;       // of what was written
-    std::string body;  // of what was read
+    kind operation = kind::write;
+    bool ok = false;    // false for a write: the record is not part of the log
+    position location;  // of a record that was written
+    std::string body;   // of a record that was read, or the error text
   };
-  // As of the commits whose `done` was collected.
-  struct condition {
+  // The state after the requests whose `done` was collected.
+  struct disk_status {
     bool writable = false;
-    std::uint64_t room = 0;        // log::room()
-    std::uint64_t used = 0;        // bytes on disk
-    std::int64_t next_ageing = 0;  // log::next_ageing()
+    std::uint64_t free_bytes = 0;  // log::reserved_free_bytes()
+    std::uint64_t used_bytes = 0;  // on disk
+    std::int64_t next_expiry = 0;  // log::next_expiry()
     std::uint64_t commits = 0;
-    std::string fault;  // the last one; empty while writable
+    std::string fault;  // the last error; empty while writable
   };
 
-  // `now`: the time of the log's owner, safe to call from the thread. `notify`: something can be collected;
-  // called from the thread. The log must be open.
-  committer(std::unique_ptr<log> l, committer_options options, std::function<std::int64_t()> now,
+  // `now`: the clock of the log's owner. `notify`: called when collect() has something to return. Both are
+  // called from the committer's thread. The log must be open.
+  committer(std::unique_ptr<log> opened, committer_options options, std::function<std::int64_t()> now,
             std::function<void()> notify);
-  // What was asked for is written first.
+  // Completes all accepted requests first.
   ~committer();
   committer(const committer&) = delete;
   committer& operator=(const committer&) = delete;
 
-  // Safe to call from any thread. False: the queue is full.
-  bool write(std::uint64_t ticket, entry what);
-  bool read(std::uint64_t ticket, const position& at);
+  // From any thread. False: the queue is full.
+  bool write(std::uint64_t ticket, entry content);
+  bool read(std::uint64_t ticket, const position& location);
 
-  // Moves to `out` what has been done since the last call.
-  condition collect(std::vector<done>& out);
+  // Moves the requests completed since the last call to `completed`.
+  disk_status collect(std::vector<done>& completed);
 
  private:
   struct task {
     std::uint64_t ticket = 0;
-    kind what = kind::write;
-    entry writes;
-    position reads;
+    kind operation = kind::write;
+    entry to_write;
+    position to_read;
   };
 
   void serve();
   void commit(std::vector<task>& batch);
-  void look_after(bool due);
-  void report(std::vector<done> what);
+  void maintain(bool reclaim_due);
+  void report(std::vector<done> completed);
 
   std::unique_ptr<log> log_;
   const committer_options options_;
@@ -78,10 +78,10 @@
   const std::function<void()> notify_;
 
   task_queue<task> queue_;
-  std::mutex guard_;
-  std::vector<done> done_;  // under guard_
-  condition condition_;     // under guard_
-  std::string fault_;       // the thread's own
+  std::mutex mutex_;
+  std::vector<done> done_;   // under mutex_
+  disk_status disk_status_;  // under mutex_
+  std::string fault_;        // used by the thread only
   std::uint64_t commits_ = 0;
   std::thread thread_;
 };
--- a/src/store/file_system.cpp
+++ b/src/store/file_system.cpp
@@ -15,8 +15,8 @@
 
 constexpr ::mode_t owner_only = 0600;
 
-[[noreturn]] void fail(const std::string& path, const char* what, int code) {
-  throw io_error(path + ": " + what + ": " + std::strerror(code));
+[[noreturn]] void fail(const std::string& path, const char* operation, int code) {
+  throw io_error(path + ": " + operation + ": " + std::strerror(code));
 }
 
 class descriptor {
@@ -38,7 +38,7 @@
   posix_file(const std::string& path, int flags) : path_(path), fd_(path, flags) {}
   void allocate(std::uint64_t size) {
     if (const int code = ::posix_fallocate(fd_.get(), 0, static_cast<off_t>(size)); code != 0)
-      fail(path_, "no room", code);
+      fail(path_, "allocate", code);
   }
   void write_at(std::uint64_t offset, std::string_view bytes) override {
     while (!bytes.empty()) {
--- a/src/store/file_system.hpp
+++ b/src/store/file_system.hpp
@@ -1,4 +1,5 @@
-// The few things that the store asks of a file system, so that a test can fail or cut each one of them.
+// The file system calls that the store makes, as an interface, so that tests can make each call fail or stop
+// halfway.
 #pragma once
 
 #include <cstdint>
@@ -10,31 +11,33 @@
 
 namespace marblewharf::store {
 
-// A call of the system that failed; the text names the path and the reason.
+// A system call failed; the text names the path and the reason.
 struct io_error : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
-// Of lock(): another process holds the folder now. It may let go; nothing of the folder was read or written.
+// Thrown by lock(): another process has locked the folder, and may unlock it later. Nothing in the folder was
+// read or written.
 struct held : io_error {
   using io_error::io_error;
 };
 
-// A file open for writing. Not for several threads at once.
+// A file open for writing. Not thread-safe.
 class file {
  public:
   virtual ~file() = default;
   virtual void write_at(std::uint64_t offset, std::string_view bytes) = 0;
-  // Returns once the data is on disk. A failure is final for this file: the system may have dropped what it
-  // could not write, and a second try would report success for it.
+  // Returns once the data is on disk. After a failure the file must not be used any more: the system may have
+  // dropped the data that it could not write, and would report success for a second sync.
   virtual void sync() = 0;
   virtual void truncate(std::uint64_t size) = 0;
 };
 
-// All throw io_error.
+// All functions throw io_error.
 class file_system {
  public:
   virtual ~file_system() = default;
-  // A new file whose blocks are set aside, so that writes within `size` find room. Fails where one stands.
+  // Creates a file and preallocates its blocks, so that writes within `size` bytes do not run out of space.
+  // Fails if the file exists.
   virtual std::unique_ptr<file> create(const std::string& path, std::uint64_t size) = 0;
   virtual std::string read(const std::string& path, std::uint64_t offset, std::uint64_t size) = 0;
   virtual std::uint64_t size_of(const std::string& path) = 0;
@@ -42,13 +45,14 @@
   virtual void rename(const std::string& from, const std::string& to) = 0;
   virtual void remove(const std::string& path) = 0;
   virtual void truncate(const std::string& path, std::uint64_t size) = 0;
-  virtual void make_folder(const std::string& path) = 0;  // fine where it stands
+  virtual void make_folder(const std::string& path) = 0;  // no effect if it exists
   virtual void sync_folder(const std::string& path) = 0;
-  // Holds the folder for this process until the handle goes; throws `held` where another one holds it.
+  // Locks the folder for this process until the returned handle is destroyed. Throws `held` if another
+  // process has locked it.
   virtual std::shared_ptr<void> lock(const std::string& path) = 0;
 };
 
-// The real one.
+// The file system of the operating system.
 class posix_file_system : public file_system {
  public:
   std::unique_ptr<file> create(const std::string& path, std::uint64_t size) override;
--- a/src/store/log.cpp
+++ b/src/store/log.cpp
@@ -8,39 +8,39 @@
 
 namespace marblewharf::store {
 
-log::log(file_system& fs, log_options options, const ageing& expiry_of, const visitor& each)
+log::log(file_system& fs, log_options options, const expiry_function& expiry_of, const visitor& visit)
     : fs_(fs), options_(std::move(options)) {
   fs_.make_folder(options_.folder);
   lock_ = fs_.lock(options_.folder + "/lock");
-  const found_folder found = scan_folder(fs_, options_.folder, expiry_of, each, options_.format,
-                                         options_.from ? options_.from() : std::nullopt);
-  counts_ = found.counts;
-  number_ = found.highest;
-  for (const found_segment& s : found.segments) {
-    sealed_.emplace(s.number, sealed{s.end, s.expiry});
+  const found_folder folder = scan_folder(fs_, options_.folder, expiry_of, visit, options_.format,
+                                          options_.replay_from ? options_.replay_from() : std::nullopt);
+  counts_ = folder.counts;
+  number_ = folder.highest;
+  for (const found_segment& s : folder.segments) {
+    sealed_.emplace(s.number, sealed_segment{s.end, s.expiry});
     options_.salt = s.header.salt;
-    // Whatever stands behind the end never counted: cut off, so that its room comes back.
+    // Bytes behind the end are not part of the log: they are cut off to free their space.
     if (s.size > s.end) fs_.truncate(path_of(s.number), s.end);
   }
-  if (found.spare) fs_.remove(options_.folder + "/spare");
-  aged_ = found.aged;
-  for (const auto& [number, expiry] : aged_) fs_.truncate(aged_path_of(number), 0);
+  if (folder.spare) fs_.remove(options_.folder + "/spare");
+  retired_ = folder.retired;
+  for (const auto& [number, expiry] : retired_) fs_.truncate(marker_path_of(number), 0);
 }
 
 log::~log() = default;
 
-recovered_counts log::inspect(file_system& fs, const std::string& folder, const ageing& expiry_of,
-                              const visitor& each, std::uint32_t known) {
-  const auto held = fs.lock(folder + "/lock");
-  return scan_folder(fs, folder, expiry_of, each, known).counts;
+recovered_counts log::inspect(file_system& fs, const std::string& folder, const expiry_function& expiry_of,
+                              const visitor& visit, std::uint32_t newest_format) {
+  const auto lock = fs.lock(folder + "/lock");
+  return scan_folder(fs, folder, expiry_of, visit, newest_format).counts;
 }
 
 std::string log::file_name(std::uint64_t segment) {
   return name_of_segment(segment) + std::string(segment_suffix);
 }
 
-std::string log::gone_name(std::uint64_t segment) {
-  return name_of_segment(segment) + std::string(aged_suffix);
+std::string log::marker_name(std::uint64_t segment) {
+  return name_of_segment(segment) + std::string(marker_suffix);
 }
 
 std::optional<std::uint64_t> log::number_of(std::string_view name) {
@@ -51,92 +51,93 @@
   return options_.folder + "/" + file_name(number);
 }
 
-std::string log::aged_path_of(std::uint64_t number) const {
-  return options_.folder + "/" + gone_name(number);
+std::string log::marker_path_of(std::uint64_t number) const {
+  return options_.folder + "/" + marker_name(number);
 }
 
 void log::open(std::int64_t now) {
   if (active_ != nullptr) return;
-  if (spare_ == nullptr && !set_spare_aside()) throw io_error(options_.folder + ": no room for a segment");
+  if (spare_ == nullptr && !preallocate_spare())
+    throw io_error(options_.folder + ": no space for a new segment");
   activate(now);
-  tidy(now);
+  reclaim(now);
 }
 
-// The one before is whole on disk up to end_; the new header says so.
+// The new header records how many bytes of the previous segment are valid; they are durable by now.
 void log::activate(std::int64_t now) {
-  segment_header h;
-  h.version = options_.format;
-  h.number = number_ + 1;
-  h.created = now;
-  h.salt = options_.salt;
+  segment_header header;
+  header.version = options_.format;
+  header.number = number_ + 1;
+  header.created = now;
+  header.salt = options_.salt;
   if (const auto last = sealed_.find(number_); last != sealed_.end()) {
-    h.previous = number_;
-    h.previous_end = last->second.end;
-    h.previous_expiry = last->second.expiry;
+    header.previous = number_;
+    header.previous_end = last->second.end;
+    header.previous_expiry = last->second.expiry;
   }
-  // Whatever fails on the way, this file is not used again: its number is spent with it.
+  // If a step fails, this file is deleted and not used again.
   std::unique_ptr<file> next = std::move(spare_);
   try {
-    next->write_at(0, encode_header(h));
+    next->write_at(0, encode_header(header));
     next->sync();
-    fs_.rename(options_.folder + "/spare", path_of(h.number));
+    fs_.rename(options_.folder + "/spare", path_of(header.number));
     fs_.sync_folder(options_.folder);
   } catch (const io_error&) {
-    // Where the rename is done and only its sync failed, the file may or may not be there after a crash. It
-    // holds nothing; gone it cannot be taken for the next one, which will have the same number.
-    for (const std::string& path : {options_.folder + "/spare", path_of(h.number)}) {
+    // If only the folder's sync failed, the rename may or may not survive a crash. The file has no records.
+    // It is deleted, as otherwise it could be mistaken for the next segment, which will have the same number.
+    for (const std::string& path : {options_.folder + "/spare", path_of(header.number)}) {
       try {
         fs_.remove(path);
-      } catch (const io_error&) {  // it was not there
+      } catch (const io_error&) {  // the file does not exist under this name
       }
     }
     throw;
   }
   active_ = std::move(next);
-  number_ = h.number;
+  number_ = header.number;
   end_ = header_size;
   expiry_ = 0;
-  // From this header on the folder itself says how late it is.
-  for (auto i = aged_.begin(); i != aged_.end();) {
+  // The new header records the time, so recovery knows that segments whose expiry has passed have expired.
+  for (auto i = retired_.begin(); i != retired_.end();) {
     if (i->second > now) {
       ++i;
       continue;
     }
     try {
-      fs_.remove(aged_path_of(i->first));
-      i = aged_.erase(i);
-    } catch (const io_error&) {  // tried again with the next
+      fs_.remove(marker_path_of(i->first));
+      i = retired_.erase(i);
+    } catch (const io_error&) {  // tried again with the next header
       ++i;
     }
   }
 }
 
-// All in it has aged. Its name stays, empty, until a later header is as late as that: a start before then
-// would not know the hour, and take the segment for one that somebody took away. A rename needs no room on a
-// disk that is full.
+// Deletes a segment, but leaves an empty marker file until a header is created after `expiry`. Without the
+// marker, a recovery before then could not know that the records have expired and would report the segment as
+// missing. The marker is made by a rename, which needs no space on a full disk.
 void log::retire(std::uint64_t number, std::int64_t expiry) {
-  fs_.rename(path_of(number), aged_path_of(number));
-  aged_.emplace(number, expiry);
+  fs_.rename(path_of(number), marker_path_of(number));
+  retired_.emplace(number, expiry);
   fs_.sync_folder(options_.folder);
-  fs_.truncate(aged_path_of(number), 0);
+  fs_.truncate(marker_path_of(number), 0);
 }
 
 void log::drop(std::uint64_t number) {
   const auto first = sealed_.begin();
   if (first == sealed_.end() || first->first != number) return;
-  if (!aged_.contains(number)) {
+  if (!retired_.contains(number)) {
     retire(number, never);
-  } else {  // the name went at the last try
+  } else {  // renamed by an earlier call that failed
     fs_.sync_folder(options_.folder);
-    fs_.truncate(aged_path_of(number), 0);
+    fs_.truncate(marker_path_of(number), 0);
   }
   sealed_.erase(first);
-  // Its own name is needed as long as the segment behind it stands; those before it are not any more.
-  for (auto i = aged_.begin(); i != aged_.end() && i->first < number;) {
+  // The marker of this segment is needed while its successor exists; earlier markers are obsolete.
+  for (auto i = retired_.begin(); i != retired_.end() && i->first < number;) {
     try {
-      fs_.remove(aged_path_of(i->first));
-      i = aged_.erase(i);
-    } catch (const io_error&) {  // tried again with the next
+      fs_.remove(marker_path_of(i->first));
+      i = retired_.erase(i);
+    } catch (const io_error&) {  // tried again at the next drop
       ++i;
     }
   }
@@ -154,9 +155,10 @@
   return active_ != nullptr && number_ > segment ? number_ : 0;
 }
 
-std::uint64_t log::room_in_all() const {
-  const std::uint64_t free = options_.space > used() ? options_.space - used() : 0;
-  return room() + free / options_.segment * (options_.segment - header_size - largest_frame());
+std::uint64_t log::total_free_bytes() const {
+  const std::uint64_t free = options_.space_bytes > used_bytes() ? options_.space_bytes - used_bytes() : 0;
+  return reserved_free_bytes() +
+         free / options_.segment_bytes * (options_.segment_bytes - header_size - max_frame_bytes());
 }
 
 void log::seal(std::int64_t now) {
@@ -167,24 +169,24 @@
 
 std::vector<position> log::append(std::span<const entry> batch, std::int64_t now) {
   std::vector<record> records;
-  std::int64_t until = 0;
+  std::int64_t batch_expiry = 0;
   for (const entry& e : batch) {
-    records.push_back(e.what);
-    until = std::max(until, e.expiry);
+    records.push_back(e.content);
+    batch_expiry = std::max(batch_expiry, e.expiry);
   }
   std::vector<std::uint64_t> offsets;
   std::string frame = encode_frame(number_, sequence_ + 1, records, offsets);
-  if (active_ != nullptr && end_ + frame.size() > options_.segment) {
+  if (active_ != nullptr && end_ + frame.size() > options_.segment_bytes) {
     const std::uint64_t full = number_;
     seal(now);
-    open(now);  // throws: nothing of this frame is anywhere
+    open(now);  // if it throws, nothing of this frame was written
     try {
-      fs_.truncate(path_of(full), sealed_[full].end);  // its unused blocks go back
-    } catch (const io_error&) {                        // they go with the segment, then
+      fs_.truncate(path_of(full), sealed_[full].end);  // frees its unused blocks
+    } catch (const io_error&) {                        // the blocks are freed with the segment
     }
     frame = encode_frame(number_, sequence_ + 1, records, offsets);
   }
-  if (active_ == nullptr) throw io_error(options_.folder + ": no segment is open");
+  if (active_ == nullptr) throw io_error(options_.folder + ": cannot append, no segment is open");
   try {
     active_->write_at(end_, frame);
     active_->sync();
@@ -193,81 +195,81 @@
     throw;
   }
   ++sequence_;
-  std::vector<position> at;
+  std::vector<position> positions;
   for (std::size_t i = 0; i < offsets.size(); ++i)
-    at.push_back({number_, static_cast<std::uint32_t>(end_ + offsets[i]),
-                  static_cast<std::uint32_t>(record_head + padded(records[i].body.size()))});
+    positions.push_back({number_, static_cast<std::uint32_t>(end_ + offsets[i]),
+                         static_cast<std::uint32_t>(record_head + padded(records[i].body.size()))});
   end_ += frame.size();
-  expiry_ = std::max(expiry_, until);
-  return at;
+  expiry_ = std::max(expiry_, batch_expiry);
+  return positions;
 }
 
-std::string log::read(const position& at) const {
-  const std::string bytes = fs_.read(path_of(at.segment), at.offset, at.size);
+std::string log::read(const position& location) const {
+  const std::string bytes = fs_.read(path_of(location.segment), location.offset, location.size);
   std::uint32_t type = 0;
   return std::string(
-      decode_record(bytes, type, path_of(at.segment) + " at byte " + std::to_string(at.offset)));
+      decode_record(bytes, type, path_of(location.segment) + " at byte " + std::to_string(location.offset)));
 }
 
-bool log::set_spare_aside() {
+bool log::preallocate_spare() {
   if (spare_ != nullptr) return true;
-  if (used() + options_.segment > options_.space) return false;
+  if (used_bytes() + options_.segment_bytes > options_.space_bytes) return false;
   try {
-    spare_ = fs_.create(options_.folder + "/spare", options_.segment);
+    spare_ = fs_.create(options_.folder + "/spare", options_.segment_bytes);
     return true;
   } catch (const io_error&) {
     try {
       fs_.remove(options_.folder + "/spare");
-    } catch (const io_error&) {  // there is none
+    } catch (const io_error&) {  // the file was not created
     }
     return false;
   }
 }
 
-bool log::tidy(std::int64_t now) {
+bool log::reclaim(std::int64_t now) {
   for (auto i = sealed_.begin(); i != sealed_.end();) {
-    // The last one stays until the next stands: its number and salt are carried on by that.
+    // The last segment stays until there is a next one, which continues its number and salt.
     if (i->second.expiry > now || (active_ == nullptr && i->first == number_)) {
       ++i;
       continue;
     }
     try {
       retire(i->first, i->second.expiry);
-    } catch (const io_error&) {  // tried again, unless it has gone and only its room is still taken
-      if (!aged_.contains(i->first)) {
+    } catch (const io_error&) {  // tried again, unless the rename succeeded and only the rest failed
+      if (!retired_.contains(i->first)) {
         ++i;
         continue;
       }
     }
     i = sealed_.erase(i);
   }
-  const bool spare = set_spare_aside();
-  // A segment in which all has aged and that is half full makes room for the next: else the last one would
-  // stay full for ever where there is no space for another.
-  if (active_ != nullptr && expiry_ <= now && end_ > options_.segment / 2 && spare) {
+  const bool spare = preallocate_spare();
+  // Replaces the active segment if all its records have expired and it is over half full. Otherwise it would
+  // stay full forever when there is no space for another one.
+  if (active_ != nullptr && expiry_ <= now && end_ > options_.segment_bytes / 2 && spare) {
     seal(now);
     activate(now);
-    set_spare_aside();
+    preallocate_spare();
   }
   return spare;
 }
 
-std::uint64_t log::room() const {
+std::uint64_t log::reserved_free_bytes() const {
   if (active_ == nullptr) return 0;
-  std::uint64_t room = options_.segment - end_;
-  if (spare_ != nullptr) room += options_.segment - header_size;
-  // What is left at the end of a segment may be smaller than the frame that comes.
-  return room > largest_frame() ? room - largest_frame() : 0;
+  std::uint64_t free_bytes = options_.segment_bytes - end_;
+  if (spare_ != nullptr) free_bytes += options_.segment_bytes - header_size;
+  // The rest of a segment may be too small for the next frame and stay unused.
+  return free_bytes > max_frame_bytes() ? free_bytes - max_frame_bytes() : 0;
 }
 
-std::uint64_t log::used() const {
+std::uint64_t log::used_bytes() const {
   std::uint64_t bytes =
-      (active_ != nullptr ? options_.segment : 0) + (spare_ != nullptr ? options_.segment : 0);
+      (active_ != nullptr ? options_.segment_bytes : 0) + (spare_ != nullptr ? options_.segment_bytes : 0);
   for (const auto& [number, s] : sealed_) bytes += s.end;
   return bytes;
 }
 
-std::int64_t log::next_ageing() const {
+std::int64_t log::next_expiry() const {
   std::int64_t next = active_ != nullptr && end_ > header_size ? expiry_ : 0;
   for (const auto& [number, s] : sealed_) next = next == 0 ? s.expiry : std::min(next, s.expiry);
   return next;
--- a/src/store/log_folder_scan.hpp
+++ b/src/store/log_folder_scan.hpp
@@ -1,7 +1,7 @@
-// What a start finds in the folder of a log: its segments, and every record that counts.
+// Recovery of a log: finds the segments in its folder and reads every valid record.
 //
-// Reads only. Blocks on the disk; any thread, with the folder locked by the caller. Throws io_error where a
-// file cannot be read, and damaged, naming file and byte, where one is not as it was written.
+// Read-only. Calls block on disk I/O. Any thread; the caller holds the lock of the folder. Throws io_error if
+// a file cannot be read, and damaged, naming file and byte, if a file is not as it was written.
 #pragma once
 
 #include <cstdint>
@@ -18,19 +18,20 @@
 
 namespace marblewharf::store {
 
-// Endings of file names, behind a segment's number: in use, set aside by hand, aged.
+// Endings of file names, after a segment's number: in use, set aside by an operator, and the empty marker
+// file of a deleted segment.
 inline constexpr std::string_view segment_suffix = ".seg";
 inline constexpr std::string_view aside_suffix = ".seg.aside";
-inline constexpr std::string_view aged_suffix = ".seg.aged";
+inline constexpr std::string_view marker_suffix = ".seg.aged";
 
-// The number of a segment as file names have it: 16 hexadecimal digits.
+// The number of a segment as in file names: 16 hexadecimal digits.
 std::string name_of_segment(std::uint64_t number);
-// None where the name is no segment's with that ending.
+// Returns nothing if the name is not that of a segment with this ending.
 std::optional<std::uint64_t> number_of_segment(std::string_view name, std::string_view ending);
 
-// One segment that counts.
+// A segment of the log.
 struct found_segment {
-  std::uint64_t number = 0, end = 0, size = 0;
+  std::uint64_t number = 0, end = 0, size = 0;  // valid bytes, bytes of the file
   std::int64_t expiry = 0;
   segment_header header;
 };
@@ -39,14 +40,16 @@
   std::vector<found_segment> segments;
   recovered_counts counts;
   bool spare = false;
-  std::uint64_t highest = 0;                   // number ever seen, also set aside
-  std::map<std::uint64_t, std::int64_t> aged;  // gone, with what a header says of their ageing; 0: none does
+  std::uint64_t highest = 0;  // the highest segment number in any file name
+  // Marker files of deleted segments, by number: the expiry in the header of the next segment, 0 = none
+  // found.
+  std::map<std::uint64_t, std::int64_t> retired;
 };
 
-// Calls `each` for every record that counts, in order; `from`: only for those from there on, where a
-// checkpoint has what is before. `known`: the formats that the caller reads.
-found_folder scan_folder(file_system& fs, const std::string& folder, const log::ageing& expiry_of,
-                         const log::visitor& each, std::uint32_t known,
-                         const std::optional<position>& from = std::nullopt);
+// Calls `visit` for every valid record, in order. With `replay_from`, records before that position are
+// skipped, as a checkpoint covers them. `newest_format`: the latest format that the caller reads.
+found_folder scan_folder(file_system& fs, const std::string& folder, const log::expiry_function& expiry_of,
+                         const log::visitor& visit, std::uint32_t newest_format,
+                         const std::optional<position>& replay_from = std::nullopt);
 
 }  // namespace marblewharf::store
--- a/src/store/position.hpp
+++ b/src/store/position.hpp
@@ -1,4 +1,4 @@
-// Where a record stands in a folder of segments.
+// The location of a record in a folder of segments.
 #pragma once
 
 #include <cstdint>
@@ -6,9 +6,9 @@
 namespace marblewharf::store {
 
 struct position {
-  std::uint64_t segment = 0;
-  std::uint32_t offset = 0;
-  std::uint32_t size = 0;
+  std::uint64_t segment = 0;  // number
+  std::uint32_t offset = 0;   // bytes from the start of the segment
+  std::uint32_t size = 0;     // bytes
   bool operator==(const position&) const = default;
 };
 
--- a/src/store/scrub.hpp
+++ b/src/store/scrub.hpp
@@ -1,8 +1,8 @@
-// Reads the closed segments of a folder again and checks every sum in them, so that what a disk changed is
-// found while a copy may still be had, and not by the start or the repeat that needs it.
+// Scrubbing: reads the closed segments of a folder again and verifies all checksums, so that corruption is
+// found while a copy may still exist, and not first by the recovery or the duplicate that needs the record.
 //
-// Beside the process that writes the folder, on a thread of its own: it reads only what does not change any
-// more, and takes a segment that goes meanwhile for gone. One thread at a time.
+// Runs concurrently with the log that writes the folder: only closed segments are read, and a segment that is
+// deleted meanwhile is not a fault. Not thread-safe: one thread at a time.
 #pragma once
 
 #include <cstdint>
@@ -19,18 +19,18 @@
       : fs_(std::move(fs)), folder_(std::move(folder)) {}
 
   struct step_result {
-    bool more = false;       // the round is not at its end
+    bool more = false;       // the round is not finished
     std::uint64_t read = 0;  // bytes
-    std::string fault;       // names file and byte; empty: well
+    std::string fault;       // file and byte of the damage; empty = none
   };
-  // Checks the next closed segment, from the first again after the last. Throws io_error where the folder
-  // cannot be read.
+  // Checks the next closed segment; after the last one, the next call starts again with the first. Throws
+  // io_error if the folder cannot be read.
   step_result step();
 
  private:
   std::shared_ptr<file_system> fs_;
   std::string folder_;
-  std::uint64_t last_ = 0;  // number of the segment that was checked last in this round
+  std::uint64_t last_ = 0;  // segment that was checked last in this round
 };
 
 }  // namespace marblewharf::store
--- a/src/store/segment.hpp
+++ b/src/store/segment.hpp
@@ -1,10 +1,10 @@
-// The format of a segment on disk: bytes to records and back. No files here.
+// The on-disk format of a segment: encodes and decodes records. No file I/O.
 //
-// A segment is a header and frames. A frame is what one commit wrote: its own header with length and
-// checksum, then records, each with length and checksum. All numbers are little-endian, all parts begin at
-// multiples of 8. The next frame is written only once the one before is on disk, so behind a torn frame there
-// is never a whole one. What a segment holds of value ends where the header of the next segment says,
-// whatever stands behind.
+// A segment is a header followed by frames. A frame holds the records of one commit: a frame header with
+// length and checksum, then the records, each with length and checksum. All numbers are little-endian, and
+// all parts begin at multiples of 8 bytes. A frame is written only after the previous one is durable, so no
+// intact frame ever follows a torn one. The header of the next segment states how many bytes of a segment are
+// valid; bytes behind them are ignored.
 #pragma once
 
 #include <cstdint>
@@ -17,18 +17,18 @@
 
 namespace marblewharf::store {
 
-// What segments of this version hold. A program that knows a version reads the ones before it.
+// Format versions of a segment. A program that reads one version also reads the earlier ones.
 namespace format {
-constexpr std::uint32_t records = 1;  // records of the folder's owner, which age
+constexpr std::uint32_t records = 1;  // records that expire, with a type of the folder's owner
 constexpr std::uint32_t tables =
-    2;  // rows of tables; in an older segment of the same folder what they were before
+    2;  // rows of tables; segments of version 1 in the same folder keep their records
 constexpr std::uint32_t newest = tables;
 }  // namespace format
-constexpr std::size_t header_size = 80;
-constexpr std::size_t frame_head = 32;
-constexpr std::size_t record_head = 16;
+constexpr std::size_t header_size = 80;  // bytes
+constexpr std::size_t frame_head = 32;   // bytes of a frame's header
+constexpr std::size_t record_head = 16;  // bytes of a record's header
 
-// What stands on disk cannot be used as it is. The text names file and offset.
+// Data on disk is not as it was written. The text names file and offset.
 struct damaged : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -36,10 +36,10 @@
 struct segment_header {
   std::uint32_t version = format::records;
   std::uint64_t number = 0;
-  std::int64_t created = 0;          // ns, in the time of the store's owner
-  std::uint64_t previous = 0;        // number; 0 = none
-  std::uint64_t previous_end = 0;    // bytes of it that count
-  std::int64_t previous_expiry = 0;  // when all in it has aged
+  std::int64_t created = 0;          // ns, on the clock of the store's owner
+  std::uint64_t previous = 0;        // number of the previous segment; 0 = none
+  std::uint64_t previous_end = 0;    // valid bytes of the previous segment
+  std::int64_t previous_expiry = 0;  // when all records of the previous segment have expired
   std::uint64_t salt = 0;            // the same in all segments of a folder
 };
 
@@ -48,35 +48,37 @@
   std::string body;
 };
 
-// Room that a record takes, with a frame of its own at worst.
 constexpr std::uint64_t padded(std::uint64_t size) {
   return (size + 7) / 8 * 8;
 }
+// Bytes on disk of a record in a frame of its own: the most that a record takes.
 constexpr std::uint64_t room_for(std::uint64_t body) {
   return frame_head + record_head + padded(body);
 }
 
-std::string encode_header(const segment_header& h);
-// Throws damaged, also for a version above `known`; `file` names it in the text.
+std::string encode_header(const segment_header& header);
+// Throws damaged, also for a version above `newest_format`. `file` is the name in the error text.
 segment_header decode_header(std::string_view bytes, const std::string& file,
-                             std::uint32_t known = format::newest);
+                             std::uint32_t newest_format = format::newest);
 
-// One frame; `offsets` gets where each record stands in it.
+// Encodes one frame; `offsets` receives the offset of each record in the frame.
 std::string encode_frame(std::uint64_t segment, std::uint64_t sequence, std::span<const record> records,
                          std::vector<std::uint64_t>& offsets);
 
-// The body of a record as it stands on disk. Throws damaged.
-std::string_view decode_record(std::string_view bytes, std::uint32_t& type, const std::string& where);
+// Returns the body of a record that was read from disk. Throws damaged.
+std::string_view decode_record(std::string_view bytes, std::uint32_t& type, const std::string& location);
 
 struct scan_result {
-  std::uint64_t end = 0;  // behind the last whole frame
+  std::uint64_t end = 0;  // offset behind the last intact frame
   std::uint64_t frames = 0;
-  std::uint64_t torn = 0;  // bytes behind it that are no whole frame, and not zero
+  std::uint64_t torn_bytes = 0;  // bytes behind `end` up to the last one that is not zero
 };
-// Calls `each` with type, body, and the record's offset and size in the segment. Throws damaged where
-// something whole stands behind something that is not, or where `must_end` is given and is not reached.
+// Calls `visit` with type and body of each record, and its offset and size in the segment. Throws damaged if
+// an intact frame follows a damaged one, or if the intact frames end before `required_end` (0 = no such
+// bound).
 scan_result scan(
-    std::string_view segment, const segment_header& h, std::uint64_t must_end, const std::string& file,
-    const std::function<void(std::uint32_t, std::string_view, std::uint64_t, std::uint64_t)>& each);
+    std::string_view segment, const segment_header& header, std::uint64_t required_end,
+    const std::string& file,
+    const std::function<void(std::uint32_t, std::string_view, std::uint64_t, std::uint64_t)>& visit);
 
 }  // namespace marblewharf::store
--- a/src/store/store_command.cpp
+++ b/src/store/store_command.cpp
@@ -24,25 +24,26 @@
   return o;
 }
 
-// Guards against a typing error that makes a new store.
+// Without this check, a mistyped folder name would create a new store.
 void expect_store(file_system& fs, const std::string& folder) {
   for (const std::string& name : fs.list(folder))
     if (log::number_of(name)) return;
-  throw io_error(folder + ": no store of tables");
+  throw io_error(folder + ": not a store of tables, it has no segments");
 }
 
-void print(const inspected& i) {
+void print(const inspected& content) {
   std::printf("segments=%" PRIu64 " commits=%" PRIu64 " records=%" PRIu64 " torn_bytes=%" PRIu64 "\n",
-              i.log.segments, i.log.frames, i.log.records, i.log.torn_bytes);
-  if (i.older > 0) std::printf("older_records=%" PRIu64 "\n", i.older);
-  for (const auto& [table, keys] : i.keys) std::printf("table=%s keys=%zu\n", printable(table).c_str(), keys);
-  if (!i.checkpoint) {
+              content.log.segments, content.log.frames, content.log.records, content.log.torn_bytes);
+  if (content.older > 0) std::printf("older_records=%" PRIu64 "\n", content.older);
+  for (const auto& [table, keys] : content.keys)
+    std::printf("table=%s keys=%zu\n", printable(table).c_str(), keys);
+  if (!content.checkpoint) {
     std::printf("checkpoint=none\n");
-  } else if (!i.checkpoint->fault.empty()) {
+  } else if (!content.checkpoint->fault.empty()) {
     std::printf("checkpoint=damaged\n");
   } else {
-    std::printf("checkpoint=whole entries=%" PRIu64 " from_segment=%" PRIu64 "\n", i.checkpoint->entries,
-                i.checkpoint->from.segment);
+    std::printf("checkpoint=whole entries=%" PRIu64 " from_segment=%" PRIu64 "\n",
+                content.checkpoint->entries, content.checkpoint->replay_from.segment);
   }
 }
 
@@ -57,10 +58,10 @@
 void verify_store(const store_query& q) {
   posix_file_system fs;
   expect_store(fs, q.folder);
-  const inspected i =
+  const inspected content =
       inspect_tables(fs, q.folder, now(), [](const auto&, const auto&, const auto&, std::int64_t) {});
-  print(i);
-  if (i.checkpoint && !i.checkpoint->fault.empty()) throw damaged(i.checkpoint->fault);
+  print(content);
+  if (content.checkpoint && !content.checkpoint->fault.empty()) throw damaged(content.checkpoint->fault);
 }
 
 void dump_store(const store_query& q) {
@@ -79,13 +80,13 @@
   posix_file_system fs;
   expect_store(fs, q.folder);
   tables t(fs, options_of(q), now());
-  const std::uint64_t before = t.show().disk.used;
+  const std::uint64_t used_before = t.show().disk.used;
   while (t.clean_step(now())) std::fprintf(stderr, "\r%" PRIu64 " bytes used", t.show().disk.used);
   while (t.checkpoint_step(now())) {
   }
   const tables::figures f = t.show();
   std::fprintf(stderr, "\n");
-  std::printf("used_before=%" PRIu64 " used=%" PRIu64 " live=%" PRIu64 " copied=%" PRIu64 "\n", before,
+  std::printf("used_before=%" PRIu64 " used=%" PRIu64 " live=%" PRIu64 " copied=%" PRIu64 "\n", used_before,
               f.disk.used, f.disk.live, f.copied);
 }
 
--- a/src/store/store_command.hpp
+++ b/src/store/store_command.hpp
@@ -1,4 +1,4 @@
-// `marblewharf store`: what a folder of tables holds, while no process has it.
+// The command `marblewharf store`: inspects and maintains a folder of tables that no process has locked.
 #pragma once
 
 #include <cstdint>
@@ -7,19 +7,20 @@
 namespace marblewharf::store {
 
 struct store_query {
-  std::string folder, to;
-  std::string table;                               // of dump; empty: all
-  std::uint64_t segment = std::uint64_t{8} << 20;  // of compact: as the store's owner has them
-  std::uint64_t space = std::uint64_t{1} << 30;
+  std::string folder, to;                          // `to`: the target of backup and restore
+  std::string table;                               // for dump; empty = all tables
+  std::uint64_t segment = std::uint64_t{8} << 20;  // bytes; for compact and backup: the same as in the
+                                                   // settings of the store's owner
+  std::uint64_t space = std::uint64_t{1} << 30;    // bytes; the same
   double amplification = 2;
 };
 
-// Each prints to standard output and throws store::io_error or store::damaged.
-void show_store(const store_query& q);     // figures, from reading all of it
-void verify_store(const store_query& q);   // every sum, and the checkpoint against the log
-void dump_store(const store_query& q);     // a line a key
-void compact_store(const store_query& q);  // cleans until nothing is left to gain, then writes a checkpoint
-void backup_store(const store_query& q);   // to `to`, which holds nothing
-void restore_store(const store_query& q);  // from `folder` to `to`, which holds nothing
+// Each function prints to standard output and throws store::io_error or store::damaged.
+void show_store(const store_query& q);     // counts, after reading the whole folder
+void verify_store(const store_query& q);   // verifies all checksums, and the checkpoint against the log
+void dump_store(const store_query& q);     // one line per key
+void compact_store(const store_query& q);  // cleans until cleaning is not needed, then writes a checkpoint
+void backup_store(const store_query& q);   // to the empty folder `to`
+void restore_store(const store_query& q);  // from the backup in `folder` to the empty folder `to`
 
 }  // namespace marblewharf::store
--- a/src/store/table_records.hpp
+++ b/src/store/table_records.hpp
@@ -1,7 +1,8 @@
-// What a store of tables writes into its log and its checkpoints: records to bytes and back. No files here.
+// The records that a store of tables writes into its log and its checkpoints: encoding and decoding. No file
+// I/O.
 //
-// A body: the length of the table's name (16 bits) and of the key (32 bits), when it ages (64 bits), the
-// name, the key, and the value; little-endian.
+// A record's body is, little-endian: the length of the table's name (16 bits), the length of the key (32
+// bits), the expiry (64 bits), the name, the key, and the value.
 #pragma once
 
 #include <cstdint>
@@ -16,24 +17,24 @@
 enum class table_record : std::uint32_t {
   put = 0x1001,
   erase = 0x1002,
-  entry = 0x2001,  // of a checkpoint: what stands where
-  end = 0x2002,    // of a checkpoint: it is whole
+  entry = 0x2001,  // of a checkpoint: the position of a row in the log
+  end = 0x2002,    // of a checkpoint: marks it as complete
 };
 
 struct row {
   std::string_view table, key, value;
-  std::int64_t expiry = 0;
+  std::int64_t expiry = 0;  // ns; 0 = never
 };
 
-constexpr std::size_t row_head = 2 + 4 + 8;
+constexpr std::size_t row_head = 2 + 4 + 8;  // bytes before the name
 std::string encode_row(const row& r);
-// None: the bytes are no row.
+// Returns nothing if the bytes are not a row.
 std::optional<row> decode_row(std::string_view body);
 
-// The value of a checkpoint's entry.
+// The value of a checkpoint entry.
 std::string encode_position(const position& p);
 std::optional<position> decode_position(std::string_view bytes);
 
-constexpr std::size_t longest_table_name = 255;
+constexpr std::size_t longest_table_name = 255;  // bytes
 
 }  // namespace marblewharf::store
--- a/src/store/table_service.hpp
+++ b/src/store/table_service.hpp
@@ -1,9 +1,9 @@
-// A store of tables with a thread of its own, so that nobody else has to wait for its disk: batches that are
-// asked for while a commit is under way go to disk together with the next (group commit). Its queue is
-// bounded; what does not fit is told.
+// A store of tables with a thread of its own, so that callers do not block on disk I/O. Batches that are
+// requested during a commit are written together by the next commit (group commit). The queue is bounded; a
+// request that does not fit is refused at once.
 //
-// Background work is done in slices by whoever calls for them, beside the thread: the two take turns, so a
-// commit waits for a slice at most.
+// Background work runs in slices on the thread of the caller of step(). The two threads take turns, so a
+// commit waits for one slice at most.
 #pragma once
 
 #include <cstdint>
@@ -21,10 +21,9 @@
 namespace marblewharf::store {
 
 struct table_service_options {
-  std::size_t queue = 4096;  // requests waiting, at most
-  std::size_t group = 256;   // batches in one commit
-  std::chrono::nanoseconds retry =
-      std::chrono::milliseconds(500);  // after a failure, until the disk is tried again
+  std::size_t queue = 4096;                                         // requests that wait, at most
+  std::size_t group = 256;                                          // batches in one commit, at most
+  std::chrono::nanoseconds retry = std::chrono::milliseconds(500);  // delay after a disk failure
 };
 
 class table_service {
@@ -34,62 +33,64 @@
     std::uint64_t ticket = 0;
     kind what = kind::commit;
     verdict v;                         // of a commit
-    std::optional<std::string> value;  // of a get; none: not there
-    std::string fault;                 // not empty: in doubt, or not read
+    std::optional<std::string> value;  // of a get; nothing: no such key
+    std::string fault;                 // not empty: the commit is in doubt, or the read failed
   };
-  // As of what collect() gave so far, and of the slices before.
+  // The state after the requests that collect() returned and after all earlier slices.
   struct condition {
     bool writable = false;
-    std::string fault;  // why not
+    std::string fault;  // why the store is not writable
     sizes disk;
-    cleaning rules;  // rules.of(disk, ...): whether something may be written
+    cleaning rules;  // rules.of(disk, ...) decides whether a batch is accepted
   };
   enum class work { clean, checkpoint, age };
   struct slice {
     bool more = false;
-    std::uint64_t read = 0, written = 0;  // bytes: of the segment to be cleaned, of copies
-    std::string fault;                    // not empty: tried again later
+    std::uint64_t read = 0, written = 0;  // bytes of the segment that is cleaned, bytes copied
+    std::string fault;                    // not empty: the slice failed and is repeated later
   };
 
-  // `fs` and `folder`: as the tables have them. `now`: the owner's clock; `notify`: something can be
-  // collected. Both from the thread, `now` also from who calls for slices, which may outlive the owner's own
-  // end: so `fs` is shared.
-  table_service(std::shared_ptr<file_system> fs, std::string folder, std::unique_ptr<tables> t,
-                table_service_options o, std::function<std::int64_t()> now, std::function<void()> notify);
+  // `fs` and `folder`: the same as those of the tables. `now`: the owner's clock. `notify`: called when
+  // collect() has something to return. Both are called from the service's thread, and `now` also from the
+  // callers of step(). `fs` is shared because a slice may still run when the owner has been destroyed.
+  table_service(std::shared_ptr<file_system> fs, std::string folder, std::unique_ptr<tables> tables,
+                table_service_options options, std::function<std::int64_t()> now,
+                std::function<void()> notify);
   ~table_service();
-  // What was asked for is done first, and what waits in memory is written; from then on `notify` is not
-  // called, and commit() and get() take nothing. For an owner that goes while a slice of somebody else's
-  // still has this.
+  // Completes all accepted requests and flushes the buffered batches. Afterwards `notify` is not called, and
+  // commit() and get() refuse all requests. For an owner that is destroyed while another thread's slice still
+  // refers to this object.
   void stop();
   table_service(const table_service&) = delete;
   table_service& operator=(const table_service&) = delete;
 
-  // From any thread. False: the queue is full, nothing was taken. A batch that never may be written throws
-  // std::invalid_argument here.
-  bool commit(std::uint64_t ticket, batch b, durability how);
+  // From any thread. False: the queue is full, and the request was not accepted. commit() throws
+  // std::invalid_argument for a batch that can never be accepted.
+  bool commit(std::uint64_t ticket, batch changes, durability mode);
   bool get(std::uint64_t ticket, std::string table, std::string key);
-  // Moves to `out` what has been done since the last call, in the order it was asked for. From one thread.
-  condition collect(std::vector<done>& out);
+  // Moves the requests completed since the last call to `completed`, in the order of the requests. From one
+  // thread.
+  condition collect(std::vector<done>& completed);
 
-  // One slice, from any one thread at a time.
-  slice step(work what);
+  // Runs one slice. From any thread, but one at a time.
+  slice step(work work_kind);
   tables::figures show() const;
 
  private:
   struct task {
     std::uint64_t ticket = 0;
-    kind what = kind::commit;
-    batch writes;
-    durability how = durability::now;
+    kind operation = kind::commit;
+    batch changes;
+    durability mode = durability::now;
     std::string table, key;
   };
 
-  std::unique_lock<std::mutex> hold() const;
+  std::unique_lock<std::mutex> lock_tables() const;
   void serve();
-  void look_after(bool leaving);
-  bool flush_wanted() const;
-  void report(std::vector<done> out);
-  std::vector<done> carry_out(std::vector<task>& all);
+  void maintain(bool stopping);
+  bool flush_is_due() const;
+  void report(std::vector<done> completed);
+  std::vector<done> execute(std::vector<task>& tasks);
 
   std::uint64_t read_ahead();
 
@@ -99,17 +100,17 @@
   const std::function<std::int64_t()> now_;
   const std::function<void()> notify_;
 
-  // Held by whoever waits for the tables: a mutex alone is not fair, and slices on end would keep the commits
-  // out.
-  mutable std::mutex turn_;
-  mutable std::mutex tables_guard_;
-  std::unique_ptr<tables> tables_;  // under tables_guard_
+  // Locked while a thread waits for tables_mutex_. A mutex alone is not fair, and continuous slices would
+  // starve the commits.
+  mutable std::mutex turn_mutex_;
+  mutable std::mutex tables_mutex_;
+  std::unique_ptr<tables> tables_;  // under tables_mutex_
 
   task_queue<task> queue_;
-  std::mutex guard_;
-  std::vector<done> done_;  // under guard_
-  condition condition_;     // under guard_
-  std::string fault_;       // the last one; under tables_guard_
+  std::mutex mutex_;
+  std::vector<done> done_;  // under mutex_
+  condition condition_;     // under mutex_
+  std::string fault_;       // the last error; under tables_mutex_
   std::thread thread_;
 };
 
--- a/src/store/tables.hpp
+++ b/src/store/tables.hpp
@@ -1,14 +1,15 @@
-// A store of tables: binary keys and values in a folder, with batches that are whole or not there, snapshots,
-// ordered scans, ageing by table, cleaning in slices, checkpoints and backups. Design and format:
+// A store of tables with binary keys and values in a folder: atomic batches, snapshots, ordered scans, expiry
+// per table, incremental cleaning (log compaction), checkpoints and backups. Design and format:
 // docs/store.md.
 //
-// Blocks on the disk; owned by one thread at a time. Moments are nanoseconds of the owner's clock (Unix time
-// for what ages); one that was set back is held at the latest moment that the folder knows of.
+// Calls block on disk I/O. Not thread-safe: owned by one thread at a time. Times are nanoseconds on the
+// owner's clock (Unix time where rows expire). If the clock was set back, the store uses the latest time that
+// it knows instead.
 //
-// Promises: what commit() reported durable is there after any crash; a batch is there whole or not at all;
-// after a crash the store is as it was after some batch, in the order of commits, no earlier than the last
-// durable one. A commit that throws is in doubt until the next one succeeds: then nothing of it counts. Two
-// processes never have one folder.
+// Guarantees: a batch that commit() reported as durable survives any crash. Batches are atomic. After a crash
+// the store has the state after one of its batches, in commit order, and never an earlier one than the last
+// durable batch. A commit that throws is in doubt until the next one succeeds; then it has no effect. Two
+// processes never open the same folder.
 #pragma once
 
 #include <chrono>
@@ -33,219 +34,226 @@
 struct tables_options {
   std::string folder;
   cleaning_rules disk;
-  std::map<std::string, std::chrono::nanoseconds> life = {};  // by table, after a put; none: for ever
+  std::map<std::string, std::chrono::nanoseconds> life = {};  // by table: time from a put to its expiry;
+                                                              // rows of other tables never expire
   std::size_t most_keys = 1'000'000;
-  std::size_t longest_key = 4096;  // bytes
-  std::uint64_t lazy_bytes = std::uint64_t{256}
-                             << 10;  // that wait in memory, at most; never over a quarter of a segment
-  std::chrono::nanoseconds lazy_time = std::chrono::seconds(1);  // that a lazy batch waits, at most
-  std::chrono::nanoseconds longest_snapshot = std::chrono::minutes(1);
-  std::size_t slice = 256;                              // keys in a slice of a checkpoint or of ageing
+  std::size_t max_key_bytes = 4096;
+  // Lazy batches buffered in memory, at most; never more than a quarter of a segment.
+  std::uint64_t max_buffered_bytes = std::uint64_t{256} << 10;
+  std::chrono::nanoseconds max_buffered_time = std::chrono::seconds(1);  // of a lazy batch
+  std::chrono::nanoseconds max_snapshot_age = std::chrono::minutes(1);   // then it is closed
+  std::size_t slice_keys = 256;                         // visited in a slice of a checkpoint or of expiry
   std::uint64_t slice_bytes = std::uint64_t{64} << 10;  // copied in a slice of cleaning
-  std::uint64_t salt = 0;                               // for a new folder
-  // Of records that are no tables', in their order: the folder was an older program's (format::records). What
-  // of them is to stay their owner puts into tables, and marks that it has; cleaning takes them away. None:
-  // they are damage.
+  std::uint64_t salt = 0;                               // used for a new folder only
+  // Gets the records of an older program in the folder (format::records), in their order. The owner copies
+  // the data that it still needs into tables and notes there that it has done so; cleaning then deletes the
+  // old records. If this is not set, such records are treated as damage.
   std::function<void(std::uint32_t type, std::string_view body)> older = {};
 };
 
-// Changes of several keys in any tables; of one key the last one counts.
+// A batch of changes to keys of any tables. The last change to a key wins.
 class batch {
  public:
   void put(const std::string& table, const std::string& key, std::string value) {
-    all_[{table, key}] = std::move(value);
+    changes_[{table, key}] = std::move(value);
   }
-  void erase(const std::string& table, const std::string& key) { all_[{table, key}] = std::nullopt; }
-  bool empty() const { return all_.empty(); }
+  void erase(const std::string& table, const std::string& key) { changes_[{table, key}] = std::nullopt; }
+  bool empty() const { return changes_.empty(); }
   const std::map<std::pair<std::string, std::string>, std::optional<std::string>>& all() const {
-    return all_;
+    return changes_;
   }
 
  private:
-  std::map<std::pair<std::string, std::string>, std::optional<std::string>> all_;
+  std::map<std::pair<std::string, std::string>, std::optional<std::string>> changes_;
 };
 
 enum class durability {
   now,     // on disk when commit() returns
-  lazily,  // with the next that is, or within the settings' bounds; order is kept
+  lazily,  // written with the next durable batch, or when max_buffered_bytes or max_buffered_time is reached;
+           // commit order is preserved
 };
 
 class tables {
  public:
-  // Takes the folder and reads what a checkpoint does not say already. Throws held, io_error, damaged, or
-  // std::invalid_argument for options that cannot be kept.
-  tables(file_system& fs, tables_options o, std::int64_t now);
-  // What waits in memory goes with it: flush() first.
+  // Locks the folder and recovers the state from the checkpoint and the log. Throws held, io_error, damaged,
+  // or std::invalid_argument for options that contradict each other.
+  tables(file_system& fs, tables_options options, std::int64_t now);
+  // Buffered batches are lost: call flush() first.
   ~tables();
 
-  // Whether a batch may be written now; of one that may not, when to come back. Throws std::invalid_argument
-  // for a batch that never may: a key or a name too long, more than a quarter of a segment.
-  verdict may_write(const batch& b) const;
-  // Throws std::invalid_argument for a batch that never may. From any thread: it looks at the options alone.
-  void expect_possible(const batch& b) const { bytes_of(b); }
-  // As may_write(); then writes. Throws io_error: in doubt.
-  verdict commit(const batch& b, durability how, std::int64_t now);
-  // Several durable ones with as few syncs as frames hold them (group commit), each whole or not there by
-  // itself; as if each had been committed in turn. Throws nothing of the disk's: `fault` says it;
-  // std::invalid_argument as may_write(), then none is written.
+  // Whether a batch would be accepted now, and if not, when to retry. Throws std::invalid_argument for a
+  // batch that can never be accepted: a key or a table name is too long, or the batch exceeds a quarter of a
+  // segment.
+  verdict check_admission(const batch& changes) const;
+  // Throws std::invalid_argument like check_admission(). From any thread: it reads only the options.
+  void require_valid(const batch& changes) const { bytes_of(changes); }
+  // Writes the batch if check_admission() accepts it. After io_error the batch is in doubt.
+  verdict commit(const batch& changes, durability mode, std::int64_t now);
+  // Commits several batches durably with one sync per frame (group commit), in their order. Each batch is
+  // atomic by itself. Disk errors are returned in `fault` and not thrown. Throws std::invalid_argument like
+  // check_admission(); then no batch was written.
   struct committed {
     verdict v;
-    std::string fault;  // not empty: in doubt
+    std::string fault;  // not empty: the batch is in doubt
   };
-  std::vector<committed> commit_all(const std::vector<const batch*>& all, std::int64_t now);
-  // What waits in memory goes to disk. Throws io_error: it still waits.
+  std::vector<committed> commit_all(const std::vector<const batch*>& group, std::int64_t now);
+  // Writes the buffered batches to disk. After io_error they are still buffered.
   void flush(std::int64_t now);
-  // When flush() is due; none: nothing waits.
+  // When flush() is due; nothing if no batch is buffered.
   std::optional<std::int64_t> flush_due() const;
 
   using snapshot = std::uint64_t;
-  // Throws io_error or damaged. `of`: as of a snapshot; one that ended throws std::out_of_range.
+  // The value of a key, now or in a snapshot. Throws io_error or damaged, and std::out_of_range if the
+  // snapshot is closed.
   std::optional<std::string> get(const std::string& table, const std::string& key, std::int64_t now,
-                                 std::optional<snapshot> of = std::nullopt) const;
-  // Keys from `from` to before `to` (empty: to the last), in order, until `each` returns false; it must not
-  // write.
-  void scan(const std::string& table, const std::string& from, const std::string& to, std::int64_t now,
-            std::optional<snapshot> of,
-            const std::function<bool(const std::string&, const std::string&)>& each) const;
-  // Every key of a table with the moment at which it ages (0: never), in order; no value is read.
+                                 std::optional<snapshot> as_of = std::nullopt) const;
+  // Visits the rows with keys in [first, end) in order, until `visit` returns false. An empty `end` means no
+  // bound. `visit` must not write to the store.
+  void scan(const std::string& table, const std::string& first, const std::string& end, std::int64_t now,
+            std::optional<snapshot> as_of,
+            const std::function<bool(const std::string&, const std::string&)>& visit) const;
+  // Visits the keys of a table in order, with their expiry (0 = never), without reading values.
   void each_key(const std::string& table, std::int64_t now,
-                const std::function<void(const std::string& key, std::int64_t expiry)>& each) const;
+                const std::function<void(const std::string& key, std::int64_t expiry)>& visit) const;
   snapshot open_snapshot(std::int64_t now);
-  void close_snapshot(snapshot s);
+  void close_snapshot(snapshot id);
 
-  // One slice each of background work; false: nothing to do now. Throws io_error; the slice is done anew
-  // later.
+  // Each ..._step() performs one slice of background work and returns false when there is nothing to do now.
+  // After io_error, a later call repeats the slice.
   bool clean_step(std::int64_t now);
-  // Reading the segment that is to be cleaned may be done beside, without holding up commits: where
-  // oldest_wanted() names one, read_segment() on any thread, and take() what it gave before the next
+  // The segment to be cleaned can be read concurrently, without delaying commits: segment_to_clean() names
+  // it, read_segment() reads it on any thread, and accept_read_ahead() hands the data over before the next
   // clean_step().
   struct read_ahead {
     std::uint64_t number = 0;
     std::string bytes;
     std::vector<position> puts;
   };
-  struct wanted_segment {
-    std::uint64_t number = 0, end = 0;  // 0: none
+  struct segment_range {
+    std::uint64_t number = 0, end = 0;  // number 0 = no segment; `end`: valid bytes
   };
-  wanted_segment oldest_wanted() const;
-  static read_ahead read_segment(file_system& fs, const std::string& folder, const wanted_segment& which);
-  void take(read_ahead r, std::int64_t now);
-  bool checkpoint_step(
-      std::int64_t now);  // begins one where none is under way; false: it counts now, or nothing is new
-  // Lets go of keys that have aged; false: once round, or too soon for another: a sixteenth of the shortest
-  // life goes by between the begins of two rounds, so that a walk through all keys is paid for by enough of
-  // them.
-  bool age_step(std::int64_t now);
-  bool backup_step(std::int64_t now);  // after begin_backup(); false: it is whole
-  // Into a folder that holds nothing. Cleaning waits until it is whole or ended. Throws io_error.
+  segment_range segment_to_clean() const;
+  static read_ahead read_segment(file_system& fs, const std::string& folder, const segment_range& segment);
+  void accept_read_ahead(read_ahead segment, std::int64_t now);
+  // Begins a checkpoint if none is in progress. False: it is complete, or nothing changed since the last one.
+  bool checkpoint_step(std::int64_t now);
+  // Removes expired keys from the index. False: the pass over all keys is complete, or the next one is not
+  // due. Passes start a sixteenth of the shortest lifetime apart, so that each pass finds enough expired keys
+  // to be worth its cost.
+  bool expire_step(std::int64_t now);
+  bool backup_step(std::int64_t now);  // after begin_backup(); false: the backup is complete
+  // Begins a backup into an empty folder. Cleaning is suspended until it is complete or ended. Throws
+  // io_error.
   void begin_backup(const std::string& folder);
   void end_backup() { backup_.reset(); }
 
   struct figures {
     std::size_t keys = 0, snapshots = 0;
     sizes disk;
-    std::uint64_t waiting = 0;              // bytes in memory only
-    std::uint64_t written = 0, copied = 0;  // bytes of records since the start: by writers, by cleaning
-    std::uint64_t frames = 0;               // written by commits and flushes, a sync each
-    std::uint64_t cleaned = 0, checkpoints = 0;
-    std::uint64_t read = 0;        // records read at the start
-    std::string checkpoint_fault;  // why the one found at the start did not count
-    bool cleaning_wanted = false, held_by_snapshot = false;
+    std::uint64_t buffered_bytes = 0;            // in memory only
+    std::uint64_t written = 0, copied = 0;       // bytes of records written by commits and copied by cleaning
+    std::uint64_t frames = 0;                    // written by commits and flushes, with one sync each
+    std::uint64_t cleaned = 0, checkpoints = 0;  // segments, checkpoints completed
+    std::uint64_t replayed = 0;                  // log records read at recovery
+    std::string checkpoint_fault;                // why recovery ignored the checkpoint; empty = it did not
+    bool cleaning_needed = false, blocked_by_snapshot = false;
   };
   figures show() const;
   std::uint64_t salt() const { return log_->salt(); }
-  std::int64_t latest() const { return latest_; }  // the latest moment that the folder knows of
-  // A segment is open for writes. After a failure the next write opens one, or this. Throws io_error.
+  std::int64_t latest() const { return latest_time_; }  // the latest time that the store knows
+  // Whether a segment is open for writes. After a failure, retry_open() or the next write opens one.
   bool writable() const { return log_->is_open(); }
-  void mend(std::int64_t now) { reopen(now); }
-  // The decision on what may be written, as it is now, for whoever asks before a batch is made.
+  void retry_open(std::int64_t now) { reopen(now); }  // throws io_error
+  // The current admission decision, for callers that ask before they build a batch.
   const cleaning& rules() const { return cleaning_; }
 
  private:
+  // A row that is to be written.
   struct pending {
     std::string table, key;
-    entry what;
-    sequence seq = 0;
-    std::int64_t expiry = 0;  // 0: never
+    entry logged;
+    sequence commit = 0;
+    std::int64_t expiry = 0;  // 0 = never
     bool erased = false;
   };
-  // The oldest segment, while it is cleaned.
+  // The oldest segment while it is cleaned.
   struct cleaned_segment {
     read_ahead read;
-    std::uint64_t copied = 0;
-    std::int64_t since = 0;
-    std::size_t at = 0;  // of puts, the next to look at
+    std::uint64_t copied = 0;  // bytes
+    std::int64_t started = 0;  // time
+    std::size_t next_put = 0;  // index into read.puts
   };
   struct backup {
     std::string folder;
-    std::uint64_t last = 0;  // segment copied
+    std::uint64_t last_copied = 0;  // segment
   };
 
-  void recover(std::uint32_t type, std::string_view body, const position& at);
-  std::uint64_t bytes_of(const batch& b) const;
-  verdict verdict_of(const batch& b, std::uint64_t beside, std::int64_t growing,
-                     std::size_t fresh_keys) const;
+  void recover(std::uint32_t type, std::string_view body, const position& location);
+  std::uint64_t bytes_of(const batch& changes) const;
+  verdict verdict_of(const batch& changes, std::uint64_t group_bytes, std::int64_t group_growth,
+                     std::size_t group_keys) const;
+  // The change in live bytes and the number of new keys.
   struct growth {
     std::int64_t bytes = 0;
     std::size_t keys = 0;
   };
-  growth growth_of(const batch& b) const;
-  std::vector<pending> records_of(const batch& b, sequence seq) const;
-  std::int64_t moment(std::int64_t now) const;
+  growth growth_of(const batch& changes) const;
+  std::vector<pending> records_of(const batch& changes, sequence commit) const;
+  std::int64_t monotonic(std::int64_t now) const;
   sizes disk() const;
-  void append(const std::vector<pending>& all, std::int64_t now);
+  void append(const std::vector<pending>& rows, std::int64_t now);
   void reopen(std::int64_t now);
-  void end_old_snapshots(std::int64_t now);
-  std::string value_at(const place& p) const;
-  const place* visible(const place* p, std::int64_t now) const;
-  std::optional<sequence> sequence_of(std::optional<snapshot> of) const;
-  std::uint64_t lazy_most() const;
+  void close_old_snapshots(std::int64_t now);
+  std::string read_value(const value_ref& value) const;
+  const value_ref* unexpired(const value_ref* value, std::int64_t now) const;
+  std::optional<sequence> sequence_of(std::optional<snapshot> id) const;
+  std::uint64_t buffer_limit() const;
 
   file_system& fs_;
   tables_options options_;
   cleaning cleaning_;
   versions index_;
   std::unique_ptr<log> log_;
-  std::optional<checkpoint_found> found_;
-  std::int64_t latest_ = 0;
+  std::optional<checkpoint_found> recovered_;  // the checkpoint that recovery found
+  std::int64_t latest_time_ = 0;
 
-  std::vector<pending> waiting_;
-  std::uint64_t waiting_bytes_ = 0;
-  std::int64_t waiting_since_ = 0;
-  sequence last_ = 0;
+  std::vector<pending> buffered_;
+  std::uint64_t buffered_bytes_ = 0;
+  std::int64_t buffered_since_ = 0;
+  sequence last_commit_ = 0;
 
-  struct open_snapshot_one {
-    sequence of = 0;
-    std::int64_t since = 0;
+  struct snapshot_info {
+    sequence commit = 0;  // the last one that it sees
+    std::int64_t opened = 0;
   };
-  std::map<snapshot, open_snapshot_one> snapshots_;
+  std::map<snapshot, snapshot_info> snapshots_;
   snapshot last_snapshot_ = 0;
 
   std::optional<cleaned_segment> cleaned_;
-  bool held_by_snapshot_ = false;
+  bool blocked_by_snapshot_ = false;
   std::unique_ptr<checkpoint_writer> checkpoint_;
-  position checkpoint_from_,
-      checkpointed_;  // the log's end at the begin of the one under way, and of the last whole one
-  std::pair<std::string, std::string> checkpoint_at_, age_at_;
-  std::int64_t next_round_ = 0;  // of ageing
+  // The log's end when the checkpoint in progress and the last complete one began.
+  position checkpoint_from_, checkpointed_;
+  std::pair<std::string, std::string> checkpoint_cursor_, expiry_cursor_;  // table and key
+  std::int64_t next_expiry_pass_ = 0;                                      // time
   std::optional<backup> backup_;
   figures figures_;
 };
 
-// What a folder holds that no process has, as of `now`; nothing in it changes. Throws held, io_error or
-// damaged.
+// Reads and verifies a folder that no process has locked, and changes nothing in it. Rows that have expired
+// by `now` are skipped. Throws held, io_error or damaged.
 struct inspected {
   recovered_counts log;
-  std::uint64_t older = 0;                  // records of the format before tables
+  std::uint64_t older = 0;                  // records of the format that preceded tables
   std::map<std::string, std::size_t> keys;  // by table
   std::optional<checkpoint_found> checkpoint;
 };
-inspected inspect_tables(file_system& fs, const std::string& folder, std::int64_t now,
-                         const std::function<void(const std::string& table, const std::string& key,
-                                                  const std::string& value, std::int64_t expiry)>& each = {});
+inspected inspect_tables(
+    file_system& fs, const std::string& folder, std::int64_t now,
+    const std::function<void(const std::string& table, const std::string& key, const std::string& value,
+                             std::int64_t expiry)>& visit = {});
 
-// Reads all of a backup, copies it into a folder that holds nothing, and reads that. Throws io_error or
-// damaged.
+// Verifies a backup, copies it into an empty folder, and verifies the copy. Throws io_error or damaged.
 void restore_tables(file_system& fs, const std::string& backup, const std::string& folder, std::int64_t now);
 
 }  // namespace marblewharf::store
--- a/src/store/task_queue.hpp
+++ b/src/store/task_queue.hpp
@@ -1,5 +1,5 @@
-// The bounded queue before a thread that a disk blocks: whoever asks never waits, and hears at once where it
-// is full.
+// A bounded queue for a thread that blocks on disk I/O. Producers never wait: push() fails at once if the
+// queue is full.
 #pragma once
 
 #include <chrono>
@@ -14,31 +14,32 @@
 template <typename Task>
 class task_queue {
  public:
-  explicit task_queue(std::size_t most) : most_(most) {}
+  explicit task_queue(std::size_t capacity) : capacity_(capacity) {}
 
-  // From any thread. False: it is full, or stopped; nothing was taken.
-  bool push(Task t) {
+  // From any thread. False: the queue is full or stopped, and the task was not added.
+  bool push(Task task) {
     bool first = false;
     {
-      const std::lock_guard lock(guard_);
-      if (stopped_ || queue_.size() >= most_) return false;
+      const std::lock_guard lock(mutex_);
+      if (stopped_ || queue_.size() >= capacity_) return false;
       first = queue_.empty();
-      queue_.push_back(std::move(t));
+      queue_.push_back(std::move(task));
     }
-    if (first) asked_.notify_one();  // else the thread is at work, and looks again before it waits
+    if (first) task_added_.notify_one();  // otherwise the thread is busy and checks the queue before it waits
     return true;
   }
 
-  // The serving thread's: waits so long for a task, then moves to `out` the first and all behind it that
-  // `fits(task, taken)` says yes to, up to the first no. False: stopped, and all is served.
+  // From the consuming thread. Waits up to `timeout` for a task, then moves tasks to `batch` until
+  // `fits(task, number of tasks moved)` returns false for one. Returns false once the queue is stopped and
+  // empty.
   template <typename Fits>
-  bool take(std::vector<Task>& out, std::chrono::nanoseconds wait, Fits&& fits) {
-    out.clear();
-    std::unique_lock lock(guard_);
-    asked_.wait_for(lock, wait, [this] { return stopped_ || !queue_.empty(); });
+  bool pop_batch(std::vector<Task>& batch, std::chrono::nanoseconds timeout, Fits&& fits) {
+    batch.clear();
+    std::unique_lock lock(mutex_);
+    task_added_.wait_for(lock, timeout, [this] { return stopped_ || !queue_.empty(); });
     if (stopped_ && queue_.empty()) return false;
-    while (!queue_.empty() && fits(queue_.front(), out.size())) {
-      out.push_back(std::move(queue_.front()));
+    while (!queue_.empty() && fits(queue_.front(), batch.size())) {
+      batch.push_back(std::move(queue_.front()));
       queue_.pop_front();
     }
     return true;
@@ -46,18 +47,18 @@
 
   void stop() {
     {
-      const std::lock_guard lock(guard_);
+      const std::lock_guard lock(mutex_);
       stopped_ = true;
     }
-    asked_.notify_all();
+    task_added_.notify_all();
   }
 
  private:
-  const std::size_t most_;
-  std::mutex guard_;
-  std::condition_variable asked_;
-  std::deque<Task> queue_;  // under guard_
-  bool stopped_ = false;    // under guard_
+  const std::size_t capacity_;
+  std::mutex mutex_;
+  std::condition_variable task_added_;
+  std::deque<Task> queue_;  // under mutex_
+  bool stopped_ = false;    // under mutex_
 };
 
 }  // namespace marblewharf::store
--- a/src/store/versions.cpp
+++ b/src/store/versions.cpp
@@ -15,99 +15,100 @@
   return const_cast<chain*>(std::as_const(*this).chain_of(table, key));
 }
 
-void versions::count(const version& v, int sign) {
-  if (!v.where) return;
+void versions::count(const version& counted, int sign) {
+  if (!counted.value) return;
   keys_ += static_cast<std::size_t>(sign);
-  live_ += static_cast<std::uint64_t>(sign) * v.where->bytes;
+  live_bytes_ += static_cast<std::uint64_t>(sign) * counted.value->record_bytes;
 }
 
-// Whether a snapshot sees what stands from `since` to before `before`.
-bool versions::seen(sequence since, sequence before) const {
+// Whether a snapshot sees a version that is current in [since, end).
+bool versions::seen_by_snapshot(sequence since, sequence end) const {
   const auto s = snapshots_.lower_bound(since);
-  return s != snapshots_.end() && *s < before;
+  return s != snapshots_.end() && *s < end;
 }
 
-// Lets go of what no snapshot sees. True: nothing of the key is left.
+// Removes older versions that no snapshot sees. Returns true if the key has no versions left.
 bool versions::prune(chain& c) const {
   std::vector<version> kept;
   for (std::size_t i = 0; i < c.older.size(); ++i) {
-    const sequence until = i + 1 < c.older.size() ? c.older[i + 1].since : c.now.since;
-    // An erasure is the same as nothing where nothing older is left.
-    if (seen(c.older[i].since, until) && (c.older[i].where || !kept.empty()))
+    const sequence until = i + 1 < c.older.size() ? c.older[i + 1].since : c.current.since;
+    // An erasure without an older version is the same as no version at all.
+    if (seen_by_snapshot(c.older[i].since, until) && (c.older[i].value || !kept.empty()))
       kept.push_back(std::move(c.older[i]));
   }
   c.older = std::move(kept);
-  return c.older.empty() && !c.now.where;
+  return c.older.empty() && !c.current.value;
 }
 
-void versions::set(const std::string& table, const std::string& key, version v) {
-  last_ = std::max(last_, v.since);
+void versions::set(const std::string& table, const std::string& key, version next) {
+  last_ = std::max(last_, next.since);
   table_map& t = tables_[table];
   const auto [at, fresh] = t.try_emplace(key);
   chain& c = at->second;
-  count(v, 1);
+  count(next, 1);
   if (!fresh) {
-    count(c.now, -1);
-    c.older.push_back(std::move(c.now));
+    count(c.current, -1);
+    c.older.push_back(std::move(c.current));
   }
-  c.now = std::move(v);
+  c.current = std::move(next);
   if (prune(c)) {
-    with_older_.erase({table, key});
+    keys_with_older_.erase({table, key});
     t.erase(at);
     if (t.empty()) tables_.erase(table);
   } else if (!c.older.empty()) {
-    with_older_.emplace(table, key);
+    keys_with_older_.emplace(table, key);
   }
 }
 
-void versions::put(const std::string& table, const std::string& key, place where, sequence s) {
-  set(table, key, {s, std::move(where)});
+void versions::put(const std::string& table, const std::string& key, value_ref value, sequence commit) {
+  set(table, key, {commit, std::move(value)});
 }
 
-void versions::erase(const std::string& table, const std::string& key, sequence s) {
-  set(table, key, {s, std::nullopt});
+void versions::erase(const std::string& table, const std::string& key, sequence commit) {
+  set(table, key, {commit, std::nullopt});
 }
 
-void versions::on_disk(const std::string& table, const std::string& key, sequence s, const position& at) {
+void versions::mark_on_disk(const std::string& table, const std::string& key, sequence commit,
+                            const position& location) {
   chain* c = chain_of(table, key);
   if (c == nullptr) return;
-  const auto settle = [&](version& v) {
-    if (v.since != s || !v.where) return;
-    v.where->at = at;
-    v.where->waiting = nullptr;
+  const auto mark = [&](version& v) {
+    if (v.since != commit || !v.value) return;
+    v.value->location = location;
+    v.value->buffered = nullptr;
   };
-  settle(c->now);
-  for (version& v : c->older) settle(v);
+  mark(c->current);
+  for (version& v : c->older) mark(v);
 }
 
-const place* versions::as_of(const chain& c, std::optional<sequence> s) {
-  const version* v = &c.now;
-  if (s && c.now.since > *s) {
+const value_ref* versions::as_of(const chain& c, std::optional<sequence> snapshot) {
+  const version* v = &c.current;
+  if (snapshot && c.current.since > *snapshot) {
     v = nullptr;
     for (const version& o : c.older)
-      if (o.since <= *s) v = &o;
+      if (o.since <= *snapshot) v = &o;
   }
-  return v != nullptr && v->where ? &*v->where : nullptr;
+  return v != nullptr && v->value ? &*v->value : nullptr;
 }
 
-const place* versions::find(const std::string& table, const std::string& key,
-                            std::optional<sequence> s) const {
+const value_ref* versions::find(const std::string& table, const std::string& key,
+                                std::optional<sequence> snapshot) const {
   const chain* c = chain_of(table, key);
-  return c == nullptr ? nullptr : as_of(*c, s);
+  return c == nullptr ? nullptr : as_of(*c, snapshot);
 }
 
-void versions::scan(const std::string& table, const std::string& from, const std::string& to,
-                    std::optional<sequence> s, const visitor& each) const {
+void versions::scan(const std::string& table, const std::string& first, const std::string& end,
+                    std::optional<sequence> snapshot, const visitor& visit) const {
   const auto t = tables_.find(table);
   if (t == tables_.end()) return;
-  for (auto i = t->second.lower_bound(from); i != t->second.end() && (to.empty() || i->first < to); ++i) {
-    const place* p = as_of(i->second, s);
-    if (p != nullptr && !each(i->first, *p)) return;
+  for (auto i = t->second.lower_bound(first); i != t->second.end() && (end.empty() || i->first < end); ++i) {
+    const value_ref* p = as_of(i->second, snapshot);
+    if (p != nullptr && !visit(i->first, *p)) return;
   }
 }
 
-std::optional<std::pair<std::string, std::string>> versions::behind(const std::string& table,
-                                                                    const std::string& key) const {
+std::optional<std::pair<std::string, std::string>> versions::next_key(const std::string& table,
+                                                                      const std::string& key) const {
   for (auto t = tables_.lower_bound(table); t != tables_.end(); ++t) {
     const auto i = t->first == table ? t->second.upper_bound(key) : t->second.begin();
     if (i != t->second.end()) return std::pair(t->first, i->first);
@@ -115,36 +116,38 @@
   return std::nullopt;
 }
 
-versions::standing versions::at(const std::string& table, const std::string& key, const position& p) const {
+versions::liveness versions::liveness_of(const std::string& table, const std::string& key,
+                                         const position& location) const {
   const chain* c = chain_of(table, key);
-  if (c == nullptr) return standing::none;
-  const auto is = [&](const version& v) {
-    return v.where && v.where->waiting == nullptr && v.where->at == p;
+  if (c == nullptr) return liveness::dead;
+  const auto is_at = [&](const version& v) {
+    return v.value && v.value->buffered == nullptr && v.value->location == location;
   };
-  if (is(c->now)) return standing::current;
-  return std::any_of(c->older.begin(), c->older.end(), is) ? standing::seen_by_snapshot : standing::none;
+  if (is_at(c->current)) return liveness::current;
+  return std::any_of(c->older.begin(), c->older.end(), is_at) ? liveness::snapshot_only : liveness::dead;
 }
 
-void versions::move(const std::string& table, const std::string& key, const position& to) {
-  if (chain* c = chain_of(table, key); c != nullptr && c->now.where) c->now.where->at = to;
+void versions::relocate(const std::string& table, const std::string& key, const position& location) {
+  if (chain* c = chain_of(table, key); c != nullptr && c->current.value)
+    c->current.value->location = location;
 }
 
-void versions::forget(const std::string& table, const std::string& key) {
+void versions::discard(const std::string& table, const std::string& key) {
   const chain* c = chain_of(table, key);
   if (c == nullptr) return;
-  count(c->now, -1);
-  with_older_.erase({table, key});
+  count(c->current, -1);
+  keys_with_older_.erase({table, key});
   const auto t = tables_.find(table);
   t->second.erase(key);
   if (t->second.empty()) tables_.erase(t);
 }
 
-void versions::forget_before(std::uint64_t segment) {
-  std::vector<std::pair<std::string, std::string>> gone;
+void versions::discard_before(std::uint64_t segment) {
+  std::vector<std::pair<std::string, std::string>> discarded;
   for (const auto& [table, keys] : tables_)
     for (const auto& [key, c] : keys)
-      if (c.now.where && c.now.where->at.segment < segment) gone.emplace_back(table, key);
-  for (const auto& [table, key] : gone) forget(table, key);
+      if (c.current.value && c.current.value->location.segment < segment) discarded.emplace_back(table, key);
+  for (const auto& [table, key] : discarded) discard(table, key);
 }
 
 sequence versions::open_snapshot() {
@@ -152,21 +155,21 @@
   return last_;
 }
 
-void versions::close_snapshot(sequence s) {
-  const auto at = snapshots_.find(s);
+void versions::close_snapshot(sequence snapshot) {
+  const auto at = snapshots_.find(snapshot);
   if (at == snapshots_.end()) return;
   snapshots_.erase(at);
-  for (auto i = with_older_.begin(); i != with_older_.end();) {
+  for (auto i = keys_with_older_.begin(); i != keys_with_older_.end();) {
     const auto t = tables_.find(i->first);
     const auto found = t->second.find(i->second);
-    const bool gone = prune(found->second);
-    if (!gone && !found->second.older.empty()) {
+    const bool removed = prune(found->second);
+    if (!removed && !found->second.older.empty()) {
       ++i;
       continue;
     }
-    if (gone) t->second.erase(found);
+    if (removed) t->second.erase(found);
     if (t->second.empty()) tables_.erase(t);
-    i = with_older_.erase(i);
+    i = keys_with_older_.erase(i);
   }
 }
 
--- a/src/store/versions.hpp
+++ b/src/store/versions.hpp
@@ -1,8 +1,8 @@
-// The index of a store of tables: which keys there are, in order, and where the value of each stands, now and
-// as of each snapshot that is open.
+// The index of a store of tables: an ordered map from keys to the log positions of their values, with the
+// current version and the versions that open snapshots see.
 //
-// Free of I/O and clocks. Not thread-safe: owned by one thread. A key costs one node of a tree: about 200
-// bytes, and its own bytes beyond 15.
+// No I/O, no clock. Not thread-safe: owned by one thread. A key takes one tree node of about 200 bytes, plus
+// the bytes of the key beyond 15.
 #pragma once
 
 #include <cstdint>
@@ -20,79 +20,81 @@
 
 namespace marblewharf::store {
 
-using sequence = std::uint64_t;  // of commits, in their order; starts anew with the process
+using sequence = std::uint64_t;  // increases with each commit; restarts with the process
 
-// Where a value is.
-struct place {
-  position at;                                 // counts where `waiting` is empty
-  std::int64_t expiry = 0;                     // it is there before that moment only
-  std::uint64_t bytes = 0;                     // its record takes on disk
-  std::shared_ptr<const std::string> waiting;  // the value itself, while it is not on disk
+// Refers to a value, on disk or in memory.
+struct value_ref {
+  position location;                            // valid if `buffered` is null
+  std::int64_t expiry = 0;                      // ns; 0 = never
+  std::uint64_t record_bytes = 0;               // size of its record on disk
+  std::shared_ptr<const std::string> buffered;  // the value itself, until it is written to disk
 };
 
 class versions {
  public:
-  // `s` is no lower than any before.
-  void put(const std::string& table, const std::string& key, place where, sequence s);
-  void erase(const std::string& table, const std::string& key, sequence s);
-  // The value of commit `s` is on disk now, unless nobody can see it any more.
-  void on_disk(const std::string& table, const std::string& key, sequence s, const position& at);
+  // `commit` must not be lower than in any earlier call.
+  void put(const std::string& table, const std::string& key, value_ref value, sequence commit);
+  void erase(const std::string& table, const std::string& key, sequence commit);
+  // Records that the value written by `commit` is on disk now. No effect if that version has been removed.
+  void mark_on_disk(const std::string& table, const std::string& key, sequence commit,
+                    const position& location);
 
-  // As of a snapshot, or now. None: not there; whether it has aged is the caller's to see.
-  const place* find(const std::string& table, const std::string& key,
-                    std::optional<sequence> as_of = std::nullopt) const;
-  // Keys from `from` to before `to` (empty: to the last), in order, until `each` returns false.
-  using visitor = std::function<bool(const std::string& key, const place&)>;
-  void scan(const std::string& table, const std::string& from, const std::string& to,
-            std::optional<sequence> as_of, const visitor& each) const;
-  // The first key behind this one, over all tables; none: that was the last.
-  std::optional<std::pair<std::string, std::string>> behind(const std::string& table,
-                                                            const std::string& key) const;
+  // The value as of a snapshot, or the current one. Null: no such key. Does not check the expiry; that is up
+  // to the caller.
+  const value_ref* find(const std::string& table, const std::string& key,
+                        std::optional<sequence> as_of = std::nullopt) const;
+  // Visits the keys in [first, end) in order, until `visit` returns false. An empty `end` means no bound.
+  using visitor = std::function<bool(const std::string& key, const value_ref&)>;
+  void scan(const std::string& table, const std::string& first, const std::string& end,
+            std::optional<sequence> as_of, const visitor& visit) const;
+  // The next table and key after this one, in the order of all tables; nothing after the last one.
+  std::optional<std::pair<std::string, std::string>> next_key(const std::string& table,
+                                                              const std::string& key) const;
 
-  // What is at this place of the log: the value of a key as it is now, one that only a snapshot sees, or
-  // nothing.
-  enum class standing { none, seen_by_snapshot, current };
-  standing at(const std::string& table, const std::string& key, const position& p) const;
-  // The current value was copied.
-  void move(const std::string& table, const std::string& key, const position& to);
-  // Has aged: there is none any more, for nobody.
-  void forget(const std::string& table, const std::string& key);
-  // Keys whose place is in a segment before this one.
-  void forget_before(std::uint64_t segment);
+  // Whether the record at a log position is the current value of its key, is seen by a snapshot only, or is
+  // dead.
+  enum class liveness { dead, snapshot_only, current };
+  liveness liveness_of(const std::string& table, const std::string& key, const position& location) const;
+  // Records that the current value was copied to another position.
+  void relocate(const std::string& table, const std::string& key, const position& location);
+  // Removes a key with all its versions.
+  void discard(const std::string& table, const std::string& key);
+  // Removes the keys whose current value is in an earlier segment than this one.
+  void discard_before(std::uint64_t segment);
 
-  // Sees all up to the last commit.
+  // A snapshot sees everything up to the last commit.
   sequence open_snapshot();
-  void close_snapshot(sequence s);
+  void close_snapshot(sequence snapshot);
   std::size_t snapshots() const { return snapshots_.size(); }
 
-  std::size_t keys() const { return keys_; }          // there now
-  std::uint64_t live_bytes() const { return live_; }  // of their records
+  std::size_t keys() const { return keys_; }                // that have a current value
+  std::uint64_t live_bytes() const { return live_bytes_; }  // of their records on disk
   sequence last() const { return last_; }
 
  private:
   struct version {
     sequence since = 0;
-    std::optional<place> where;  // none: erased
+    std::optional<value_ref> value;  // nothing: erased
   };
   struct chain {
-    version now;
-    std::vector<version> older;  // oldest first; only what a snapshot sees
+    version current;
+    std::vector<version> older;  // oldest first; only versions that a snapshot sees
   };
   using table_map = std::map<std::string, chain>;
 
-  void set(const std::string& table, const std::string& key, version v);
-  void count(const version& v, int sign);
-  bool seen(sequence since, sequence before) const;
+  void set(const std::string& table, const std::string& key, version next);
+  void count(const version& counted, int sign);
+  bool seen_by_snapshot(sequence since, sequence end) const;
   bool prune(chain& c) const;
   const chain* chain_of(const std::string& table, const std::string& key) const;
   chain* chain_of(const std::string& table, const std::string& key);
-  static const place* as_of(const chain& c, std::optional<sequence> s);
+  static const value_ref* as_of(const chain& c, std::optional<sequence> snapshot);
 
   std::map<std::string, table_map> tables_;
-  std::set<std::pair<std::string, std::string>> with_older_;  // or erased and still here
+  std::set<std::pair<std::string, std::string>> keys_with_older_;  // versions, also erased keys
   std::multiset<sequence> snapshots_;
   std::size_t keys_ = 0;
-  std::uint64_t live_ = 0;
+  std::uint64_t live_bytes_ = 0;
   sequence last_ = 0;
 };
 
--- a/tests/idempotency/key_table_test.cpp
+++ b/tests/idempotency/key_table_test.cpp
@@ -59,10 +59,10 @@
     now += 1000;
     if (!disk->is_open()) open();
     try {
-      disk->tidy(now);
+      disk->reclaim(now);
     } catch (const store::io_error&) {
     }
-    table.set_disk({disk->is_open(), disk->room(), disk->next_ageing()});
+    table.set_disk({disk->is_open(), disk->reserved_free_bytes(), disk->next_expiry()});
     const key_id key{n, n};
     const key_claim claim = table.claim(key, n, 1, std::chrono::nanoseconds(far_off), now);
     if (claim.status == claim_status::no_capacity) return {told::rejected, ""};
@@ -290,14 +290,14 @@
   small_node node(fs, ran, 5000);
   std::uint64_t n = 0;
   while (node.write(n + 1).first == small_node::told::served) CHECK(++n < 10000);
-  CHECK(node.disk->used() <= 40960);
+  CHECK(node.disk->used_bytes() <= 40960);
   CHECK(node.write(1).first == small_node::told::served && ran[1] == 1);  // repeats go on
   const std::uint64_t first = n;
   node.now += 2 * far_off;
   node.table.expire(node.now);
   CHECK(node.table.size() == 0);
   CHECK(node.write(n + 1).first == small_node::told::served);
-  CHECK(node.disk->used() <= 40960);
+  CHECK(node.disk->used_bytes() <= 40960);
   while (node.write(n + 1).first == small_node::told::served) CHECK(++n < 10000);
   CHECK(n > first + first / 2);
 }
@@ -331,7 +331,7 @@
       node->table.expire(now);
       before = segments();
       try {
-        node->disk->tidy(now);
+        node->disk->reclaim(now);
       } catch (const store::io_error&) {
       }
       if (fail_at == 0) CHECK(segments() < before);
@@ -356,7 +356,7 @@
       node->table.expire(now);
       for (int i = 0; i < 40; ++i) node->write(++n);
     }
-    CHECK(node->disk->used() <= 40960);
+    CHECK(node->disk->used_bytes() <= 40960);
     std::size_t names = 0;
     for (const auto& [path, bytes] : fs.image()) names += path.ends_with(".aged");
     CHECK(names <= 12);
--- a/tests/store/processes_test.cpp
+++ b/tests/store/processes_test.cpp
@@ -26,7 +26,7 @@
   o.folder = folder;
   o.disk = {16 << 10, 16 * (16 << 10), 1.5};
   o.slice_bytes = 2 << 10;
-  o.lazy_bytes = 2 << 10;
+  o.max_buffered_bytes = 2 << 10;
   return o;
 }
 
--- a/tests/store/tables_test.cpp
+++ b/tests/store/tables_test.cpp
@@ -33,8 +33,8 @@
   o.folder = "f";
   o.disk = {segment, 16 * segment, 1.5};
   o.life = {{"short", std::chrono::seconds(5)}};
-  o.lazy_bytes = segment / 8;
-  o.slice = 4;
+  o.max_buffered_bytes = segment / 8;
+  o.slice_keys = 4;
   o.slice_bytes = segment / 8;
   o.salt = 7;
   return o;
@@ -163,7 +163,7 @@
           break;
         }
         case 11: checkpoints += t->checkpoint_step(now) ? 0 : 1; break;
-        case 12: t->age_step(now); break;
+        case 12: t->expire_step(now); break;
         case 13: now += static_cast<std::int64_t>(more % 4) * second; break;
         case 14:
           if (snapshots.size() < 3) snapshots[t->open_snapshot(now)] = may.back();
@@ -432,7 +432,7 @@
 void snapshot_holds_cleaning() {
   crash::fs fs;
   tables_options o = options();
-  o.longest_snapshot = std::chrono::seconds(10);
+  o.max_snapshot_age = std::chrono::seconds(10);
   tables t(fs, o, second);
   batch b;
   b.put("for-ever", "k", "first");
@@ -443,7 +443,7 @@
   }
   while (t.clean_step(second)) {
   }
-  CHECK(t.show().held_by_snapshot && t.get("for-ever", "k", second, s) == "first");
+  CHECK(t.show().blocked_by_snapshot && t.get("for-ever", "k", second, s) == "first");
   CHECK(!t.commit(b, durability::now, second).may);
   while (t.clean_step(12 * second)) {
   }
@@ -476,9 +476,9 @@
     tables t(fs, options(), 120 * second);
     CHECK(t.show().keys == 61 && !t.get("short", "s", 120 * second));
     if (!with)
-      without = t.show().read;
+      without = t.show().replayed;
     else
-      CHECK(without == 120 && t.show().read == 0);
+      CHECK(without == 120 && t.show().replayed == 0);
     // The folder knows of 120 s.
     crash::fs later;
     later.load(fs.image());
@@ -656,7 +656,7 @@
   tables t(fs, o, second);
   const auto never = [&](const batch& b) {
     try {
-      t.may_write(b);
+      t.check_admission(b);
     } catch (const std::invalid_argument&) {
       return true;
     }
@@ -825,7 +825,7 @@
   disk->out = false;
   const table_service::condition c = until_writable(true);
   CHECK(c.fault.empty() && c.rules.of(c.disk, 1000, 1000).may);
-  CHECK(!c.rules.of(c.disk, 1000, static_cast<std::int64_t>(c.rules.most_live()) + 1).may);
+  CHECK(!c.rules.of(c.disk, 1000, static_cast<std::int64_t>(c.rules.max_live_bytes()) + 1).may);
   CHECK(s.commit(2, b, durability::now));
   std::vector<table_service::done> all;
   while (all.empty()) {
@@ -845,7 +845,7 @@
   tables t(fs, options(), second);  // "short": 5 s
   const auto round = [&](std::int64_t now) {
     int slices = 0;
-    while (t.age_step(now)) CHECK(++slices < 1000);
+    while (t.expire_step(now)) CHECK(++slices < 1000);
   };
   for (int i = 0; i < 40; ++i) {
     batch b;
--- a/tests/store/versions_test.cpp
+++ b/tests/store/versions_test.cpp
@@ -53,8 +53,9 @@
       const auto check = [&](const state& expected, std::optional<sequence> as_of) {
         for (const char* t : table_names) {
           std::map<std::string, std::uint32_t> seen, wanted;
-          index.scan(t, "", "", as_of,
-                     [&](const std::string& k, const place& p) { return seen[k] = p.at.offset, true; });
+          index.scan(t, "", "", as_of, [&](const std::string& k, const value_ref& p) {
+            return seen[k] = p.location.offset, true;
+          });
           for (const auto& [where, offset] : expected)
             if (where.first == t) wanted[where.second] = offset;
           RC_ASSERT(seen == wanted);
@@ -68,11 +69,11 @@
     for (const auto& [snapshot, at] : open) index.close_snapshot(snapshot);
     // Nothing but what is there now is left: each place of the past is nobody's.
     std::size_t left = 0;
-    for (auto next = index.behind("", ""); next; next = index.behind(next->first, next->second)) ++left;
+    for (auto next = index.next_key("", ""); next; next = index.next_key(next->first, next->second)) ++left;
     RC_ASSERT(left == history.back().size());
     for (const auto& [where, offset] : history.back())
       for (std::uint32_t o = 1; o <= s; ++o)
-        RC_ASSERT((index.at(where.first, where.second, {1, o, 8}) == versions::standing::current) ==
+        RC_ASSERT((index.liveness_of(where.first, where.second, {1, o, 8}) == versions::liveness::current) ==
                   (o == offset));
   }));
 }
@@ -91,12 +92,12 @@
     const std::uint64_t room = (rules.space - used) / segment * (segment - segment / 4 - 80);
     const sizes s{used, live, room};
     const verdict v = c.of(s, bytes, static_cast<std::int64_t>(bytes));
-    if (v.may) RC_ASSERT(room >= c.reserve() + bytes && live + bytes <= c.most_live());
-    if (!v.may && !v.come_back) RC_ASSERT(live + bytes > c.most_live());
-    if (!c.wanted(s) && live + bytes <= c.most_live()) RC_ASSERT(v.may);
+    if (v.may) RC_ASSERT(room >= c.reserve() + bytes && live + bytes <= c.max_live_bytes());
+    if (!v.may && !v.come_back) RC_ASSERT(live + bytes > c.max_live_bytes());
+    if (!c.is_needed(s) && live + bytes <= c.max_live_bytes()) RC_ASSERT(v.may);
     RC_ASSERT(c.of({used, live, rules.space}, bytes, -1).may || rules.space < c.reserve() + bytes);
-    RC_ASSERT(
-        !c.wanted({static_cast<std::uint64_t>(rules.amplification * static_cast<double>(live)), live, room}));
+    RC_ASSERT(!c.is_needed(
+        {static_cast<std::uint64_t>(rules.amplification * static_cast<double>(live)), live, room}));
   }));
   CHECK(cleaning({1000, 100'000, 2}).of({96'000, 10'000, 2100}, 100, 100).may);
   CHECK(!cleaning({1000, 100'000, 2}).of({96'000, 10'000, 2099}, 100, 100).may);
