--- a/src/idempotency/deferred_service.hpp
+++ b/src/idempotency/deferred_service.hpp
@@ -1,6 +1,6 @@
-// An idempotency store that is not open yet: until it is given the durable service, it rejects each keyed
-// request with the time to return. No key can be recorded, so nothing keyed may run. Not synchronized: owned
-// by the dispatcher's thread.
+// An idempotency store that is not open yet: until it gets the durable service, it rejects each keyed request
+// with a retry-after time. Without a store no key can be recorded, so no keyed request may run. Not
+// thread-safe: owned by the dispatcher's thread.
 #pragma once
 
 #include "core/idempotency_store.hpp"
@@ -10,22 +10,24 @@
 
 class deferred_service : public idempotency_store {
  public:
-  // `retry_after`: what rejected requests are advised. `counters` outlives this object.
+  // `retry_after`: for rejected requests. `counters` must outlive this object.
   deferred_service(duration retry_after, telemetry::counters& counters)
       : retry_after_(retry_after), counters_(counters) {}
 
-  // From now on all calls go to `store`, which outlives this object.
+  // Forwards all calls to `store` from now on. `store` must outlive this object.
   void take(idempotency_store& store) { store_ = &store; }
   bool open() const { return store_ != nullptr; }
 
-  claim_result claim(request_id id, const request& what) override {
-    if (store_ != nullptr) return store_->claim(id, what);
+  claim_result claim(request_id id, const request& claimant) override {
+    if (store_ != nullptr) return store_->claim(id, claimant);
     ++counters_.no_room;
     return {.status = claim_status::no_capacity, .retry_after = retry_after_};
   }
 
-  // Called for requests with a claim only, and there are none before the store is open.
-  void write_intent(request_id primary, const request& what) override { store_->write_intent(primary, what); }
+  // Called only for requests that have claimed a key, which is impossible before the store is open.
+  void write_intent(request_id primary, const request& claimant) override {
+    store_->write_intent(primary, claimant);
+  }
   bool record_result(request_id primary, bool succeeded, std::string_view result) override {
     return store_->record_result(primary, succeeded, result);
   }
--- a/src/idempotency/durable_service.cpp
+++ b/src/idempotency/durable_service.cpp
@@ -9,18 +9,18 @@
 
 namespace {
 
-std::size_t longest(const std::vector<std::string>& names) {
-  std::size_t most = 0;
-  for (const std::string& name : names) most = std::max(most, name.size());
-  return most;
+std::size_t longest_name_bytes(const std::vector<std::string>& names) {
+  std::size_t max_bytes = 0;
+  for (const std::string& name : names) max_bytes = std::max(max_bytes, name.size());
+  return max_bytes;
 }
 
 key_table_options table_options_of(const durable_service_options& options) {
   key_table_options table;
   table.entries = options.entries;
   table.open = options.open;
-  table.max_intent_bytes =
-      max_intent_bytes(options.longest_key, longest(options.tenants), longest(options.classes));
+  table.max_intent_bytes = max_intent_bytes(options.longest_key, longest_name_bytes(options.tenants),
+                                            longest_name_bytes(options.classes));
   table.max_result_bytes = max_result_bytes(options.largest_result);
   table.retry_disk = options.retry_disk;
   table.inquiry_tries = options.inquiry_tries;
@@ -38,19 +38,19 @@
       options_(std::move(options)),
       now_(options_.steady_now) {
   std::unique_ptr<store::log> opened = open_log(files);
-  log("results", "%s: %zu keys known, %zu in doubt, %llu segments", options_.folder.c_str(), table_.size(),
-      table_.outcomes_unknown(), static_cast<unsigned long long>(found_.segments));
-  if (found_.torn_bytes > 0)
-    log("results", "%llu bytes of a commit that a crash cut short were cut off",
-        static_cast<unsigned long long>(found_.torn_bytes));
+  log("results", "%s: recovered %zu keys, %zu of them in doubt, from %llu segments", options_.folder.c_str(),
+      table_.size(), table_.outcomes_unknown(), static_cast<unsigned long long>(recovered_.segments));
+  if (recovered_.torn_bytes > 0)
+    log("results", "truncated %llu bytes of a torn commit at the end of the log, written before a crash",
+        static_cast<unsigned long long>(recovered_.torn_bytes));
   start_committer(std::move(opened), std::move(notify));
   step(now_);
 }
 
 durable_service::~durable_service() = default;
 
-// The time is known only when all records have been read, since the latest of them may set it. So all of them
-// are recovered, and those that have expired are removed then.
+// The current time is known only after all records have been read, as the clock must not be behind the latest
+// record. Therefore all records are recovered first, and expired keys are removed afterwards.
 std::unique_ptr<store::log> durable_service::open_log(store::file_system& files) {
   store::log_options log_options;
   log_options.folder = options_.folder;
@@ -59,19 +59,19 @@
   log_options.salt = options_.salt;
   aging_time latest = 0;
   const auto expiry_of = [&latest](std::uint32_t type, std::string_view body) {
-    const std::optional<key_record> found = decode(type, body);
-    if (!found) return aging_time{0};
-    latest = std::max(latest, found->written_at);
-    return found->expiry;
+    const std::optional<key_record> record = decode(type, body);
+    if (!record) return aging_time{0};
+    latest = std::max(latest, record->written_at);
+    return record->expiry;
   };
   const auto recover_each = [this](std::uint32_t type, std::string_view body,
                                    const store::position& position) {
-    if (const std::optional<key_record> found = decode(type, body)) recover(*found, position);
+    if (const std::optional<key_record> record = decode(type, body)) recover(*record, position);
   };
   auto opened = std::make_unique<store::log>(files, log_options, expiry_of, recover_each);
-  found_ = opened->counts();
+  recovered_ = opened->counts();
   salt_ = opened->salt();
-  clock_ = aging_clock(options_.unix_now, std::chrono::nanoseconds(std::max(latest, found_.latest_time)),
+  clock_ = aging_clock(options_.unix_now, std::chrono::nanoseconds(std::max(latest, recovered_.latest_time)),
                        options_.steady_now);
   table_.finish_recovery();
   table_.expire(now());
@@ -79,22 +79,22 @@
   return opened;
 }
 
-void durable_service::recover(const key_record& found, const store::position& position) {
+void durable_service::recover(const key_record& record, const store::position& position) {
   constexpr aging_time nothing_expired = 0;
-  switch (found.type) {
+  switch (record.type) {
     case record_type::intent:
-      table_.recover_intent(found.key, found.fingerprint, found.expiry, nothing_expired);
+      table_.recover_intent(record.key, record.fingerprint, record.expiry, nothing_expired);
       break;
     case record_type::result:
-      table_.recover_result(found.key, found.fingerprint, found.expiry, position, nothing_expired);
+      table_.recover_result(record.key, record.fingerprint, record.expiry, position, nothing_expired);
       break;
-    case record_type::release: table_.recover_release(found.key); break;
+    case record_type::release: table_.recover_release(record.key); break;
   }
 }
 
 void durable_service::start_committer(std::unique_ptr<store::log> log, std::function<void()> notify) {
   store::committer_options committer_options;
-  committer_options.queue = 2 * options_.open + options_.reads;  // an intent and a result of each open key
+  committer_options.queue = 2 * options_.open + options_.reads;  // an intent and a result for each open key
   committer_options.batch = options_.commit_records;
   committer_options.retry = options_.retry_disk;
   const auto clock_now = [clock = clock_] {
@@ -108,30 +108,30 @@
 
 void durable_service::step(time_point steady_now) {
   now_ = std::max(now_, steady_now);
-  std::vector<store::committer::done> all_done;
-  const store::committer::disk_status disk = committer_->collect(all_done);
-  table_.set_disk({disk.writable, disk.free_bytes, disk.next_expiry});
-  counters_.results_bytes = disk.used_bytes;
-  counters_.results_commits = disk.commits;
-  for (const store::committer::done& done : all_done) {
+  std::vector<store::committer::done> completed;
+  const store::committer::disk_status status = committer_->collect(completed);
+  table_.set_disk({status.writable, status.free_bytes, status.next_expiry});
+  counters_.results_bytes = status.used_bytes;
+  counters_.results_commits = status.commits;
+  for (const store::committer::done& done : completed) {
     if (done.operation == store::committer::kind::write) {
       on_written(done.ticket, done);
     } else {
       on_read(done.ticket, done);
     }
   }
-  update_disk_state(disk);
+  update_disk_state(status);
   if (expiry_is_due(now_)) table_.expire(now());
   publish_key_counts();
 }
 
-void durable_service::update_disk_state(const store::committer::disk_status& disk) {
-  if (writable_ != disk.writable) {
-    writable_ = disk.writable;
-    log("results", "%s", disk.writable ? "the disk takes writes again" : disk.fault.c_str());
+void durable_service::update_disk_state(const store::committer::disk_status& status) {
+  if (writable_ != status.writable) {
+    writable_ = status.writable;
+    log("results", "%s", status.writable ? "the disk is writable again" : status.fault.c_str());
   }
-  if (!disk.writable) return;
-  for (pending_write& each : std::exchange(failed_results_, {})) submit(std::move(each));
+  if (!status.writable) return;
+  for (pending_write& result : std::exchange(failed_results_, {})) submit(std::move(result));
 }
 
 // ---- Requests ---------------------------------------------------------------------------------------------
@@ -140,11 +140,11 @@
   return tenant < options_.tenants.size() ? std::string_view(options_.tenants[tenant]) : std::string_view();
 }
 
-claim_result durable_service::claim(request_id id, const request& what) {
-  const std::chrono::nanoseconds window = options_.windows.at(what.request_class);
-  const key_id key =
-      key_id_of(tenant_name(what.tenant), options_.classes.at(what.request_class), what.key, salt_);
-  const key_claim claim = claim_key(id, key, what.fingerprint, window, now());
+claim_result durable_service::claim(request_id id, const request& claimant) {
+  const std::chrono::nanoseconds window = options_.windows.at(claimant.request_class);
+  const key_id key = key_id_of(tenant_name(claimant.tenant), options_.classes.at(claimant.request_class),
+                               claimant.key, salt_);
+  const key_claim claim = claim_key(id, key, claimant.fingerprint, window, now());
   if (claim.status == claim_status::completed) readers_[id] = {key, claim.result_at};
   return to_result(claim);
 }
@@ -163,7 +163,8 @@
   submit({record.type, primary, claimed.key, {encode(record), claimed.expiry}});
 }
 
-// The committer's queue has room for all that the table admits. Where it has not, the write counts as failed.
+// The committer's queue is large enough for all keys that the table admits. If it is full nevertheless, the
+// write is treated as failed.
 void durable_service::submit(pending_write write) {
   const std::uint64_t ticket = ++last_ticket_;
   const bool accepted = committer_->write(ticket, write.entry);
@@ -171,13 +172,13 @@
   if (!accepted) on_written(ticket, {});
 }
 
-void durable_service::write_intent(request_id primary, const request& what) {
+void durable_service::write_intent(request_id primary, const request& claimant) {
   const claimed_key& claimed = primary_key(primary);
   table_.begin_intent(claimed.key);
   key_record record = record_of(record_type::intent, claimed);
-  record.tenant = tenant_name(what.tenant);
-  record.request_class = options_.classes.at(what.request_class);
-  record.client_key = what.key;
+  record.tenant = tenant_name(claimant.tenant);
+  record.request_class = options_.classes.at(claimant.request_class);
+  record.client_key = claimant.key;
   write(primary, claimed, record);
 }
 
@@ -191,8 +192,8 @@
   return true;
 }
 
-// A release is not tried again when its write fails: the key may be claimed anew by then, and a late release
-// would free it. Lost with it is only that after a crash the key's outcome is unknown.
+// A failed write of a release is not repeated: the key may have been claimed again by then, and a late
+// release would free it. The only consequence is that the key's outcome is unknown after a crash.
 void durable_service::release_key(request_id primary) {
   const claimed_key& claimed = primary_key(primary);
   if (!table_.contains(claimed.key)) return;
@@ -215,7 +216,7 @@
   if (accepted) return;
   reads_.erase(ticket);
   readers_.erase(reader);
-  log("results", "too many repeats at once: one was failed");
+  log("results", "too many concurrent reads of results: failed one duplicate request");
   reply_unreadable(id);
 }
 
@@ -223,7 +224,7 @@
   observer().on_result_fetched(id, {.outcome = fetch_outcome::unreadable});
 }
 
-// ---- What the disk did ------------------------------------------------------------------------------------
+// ---- Disk completions -------------------------------------------------------------------------------------
 
 void durable_service::on_written(std::uint64_t ticket, const store::committer::done& done) {
   const auto found = writes_.find(ticket);
@@ -249,7 +250,7 @@
     table_.intent_written(write.key);
   } else {
     table_.release(write.key);
-    log("results", "an intent could not be written, its request is refused");
+    log("results", "could not write an intent to disk: rejected its request");
   }
   observer().on_intent_written(write.primary, durable);
 }
@@ -266,7 +267,8 @@
   std::optional<key_record> record;
   if (done.ok) record = decode(static_cast<std::uint32_t>(record_type::result), done.body);
   if (!record || !(record->key == key)) {
-    log("results", "a kept result cannot be read: %s", done.ok ? "it is another one's" : done.body.c_str());
+    log("results", "could not read a stored result: %s",
+        done.ok ? "the record belongs to another key" : done.body.c_str());
     reply_unreadable(id);
     return;
   }
--- a/src/idempotency/durable_service.hpp
+++ b/src/idempotency/durable_service.hpp
@@ -1,6 +1,6 @@
-// Stores the results of keyed requests in a folder, across restarts: the key table decides, the committer's
-// thread writes and reads, and this class passes on what either has to tell the other and the dispatcher. Not
-// synchronized: owned by the dispatcher's thread, which calls step().
+// Stores the results of keyed requests in a folder, so that they survive restarts. The key table holds the
+// states of the keys, the committer's thread writes and reads records, and this class connects both with the
+// dispatcher. Not thread-safe: owned by the dispatcher's thread, which calls step().
 #pragma once
 
 #include <functional>
@@ -19,55 +19,55 @@
 
 struct durable_service_options {
   std::string folder;
-  std::vector<std::chrono::nanoseconds> windows;  // by class: how long a duplicate may arrive; 0 = not keyed
-  // Names by number. Keys are scoped by name, so that numbers may change between restarts.
+  // By request class: how long after the first arrival duplicates are recognized; 0 = not keyed.
+  std::vector<std::chrono::nanoseconds> windows;
+  // Names by number. Keys are scoped by names, so that numbers may change between restarts.
   std::vector<std::string> classes;
   std::vector<std::string> tenants;
-  std::size_t longest_key = 255;                   // bytes
-  std::size_t largest_result = 4096;               // bytes
-  std::size_t entries = 1'000'000;                 // keys known at once
-  std::size_t open = 1024;                         // keyed requests between their arrival and their result
-  std::size_t reads = 1024;                        // results being read at once
-  std::uint64_t segment = std::uint64_t{8} << 20;  // bytes of a file
-  std::uint64_t space = std::uint64_t{1} << 30;    // bytes of the folder
-  std::chrono::nanoseconds retry_disk = std::chrono::milliseconds(500);  // after a failed write
-  std::size_t commit_records = 1024;                                     // in one commit, at most
-  unsigned inquiry_tries = 0;                // 0 = no backend can be asked for outcomes
-  std::chrono::nanoseconds inquiry_pause{};  // after the first inquiry
-  std::uint64_t salt = 0;                    // random; used for a folder that is new
-  std::chrono::nanoseconds unix_now{};       // the system's clock and the steady clock at the same moment
+  std::size_t longest_key = 255;      // bytes
+  std::size_t largest_result = 4096;  // bytes
+  std::size_t entries = 1'000'000;    // known keys, at most
+  std::size_t open = 1024;            // open keys, at most: from the arrival of a request to its result
+  std::size_t reads = 1024;           // concurrent reads of results, at most
+  std::uint64_t segment = std::uint64_t{8} << 20;                        // bytes of a segment file
+  std::uint64_t space = std::uint64_t{1} << 30;                          // bytes of the folder
+  std::chrono::nanoseconds retry_disk = std::chrono::milliseconds(500);  // delay after a failed write
+  std::size_t commit_records = 1024;                                     // records in one commit, at most
+  unsigned inquiry_tries = 0;                                            // 0 = no backend supports inquiries
+  std::chrono::nanoseconds inquiry_pause{};                              // pause after the first inquiry
+  std::uint64_t salt = 0;                                                // random; used for a new folder only
+  std::chrono::nanoseconds unix_now{};  // system clock and steady clock, read at the same moment
   std::chrono::nanoseconds steady_now{};
 };
 
 class durable_service : public key_table_service {
  public:
-  // Reads what the folder holds. `notify`: step() has something to do; called from the committer's thread.
-  // Throws store::io_error or store::damaged where the folder cannot be used.
+  // Recovers the keys from the folder. `notify`: called from the committer's thread when step() has something
+  // to do. Throws store::io_error or store::damaged if the folder cannot be used.
   durable_service(store::file_system& files, durable_service_options options, telemetry::counters& counters,
                   std::function<void()> notify);
   ~durable_service() override;
 
-  // Takes in what the disk did since the last call, gives the dispatcher its replies, and removes what has
-  // expired.
+  // Processes the completed writes and reads, sends replies to the dispatcher, and removes expired keys.
   void step(time_point steady_now);
 
   // ---- idempotency_store ----------------------------------------------------------------------------------
-  claim_result claim(request_id id, const request& what) override;
-  void write_intent(request_id primary, const request& what) override;
+  claim_result claim(request_id id, const request& claimant) override;
+  void write_intent(request_id primary, const request& claimant) override;
   bool record_result(request_id primary, bool succeeded, std::string_view result) override;
   void release_key(request_id primary) override;
   duration schedule_inquiry_retry(request_id primary) override;
   void fetch_result(request_id id) override;
 
-  // What the folder held at the start.
-  const store::recovered_counts& found() const { return found_; }
+  // The counts of what recovery read from the folder.
+  const store::recovered_counts& recovered() const { return recovered_; }
 
  private:
   struct pending_write {
     record_type type{};
     request_id primary = 0;
     key_id key;
-    store::entry entry;  // of a result: tried again until it is on disk
+    store::entry entry;  // a result is written again until it is on disk
   };
   struct result_reader {
     key_id key;
@@ -75,7 +75,7 @@
   };
 
   std::unique_ptr<store::log> open_log(store::file_system& files);
-  void recover(const key_record& found, const store::position& position);
+  void recover(const key_record& record, const store::position& position);
   void start_committer(std::unique_ptr<store::log> log, std::function<void()> notify);
   aging_time now() const { return clock_.at(now_); }
   std::string_view tenant_name(unsigned tenant) const;
@@ -90,16 +90,16 @@
 
   const durable_service_options options_;
   aging_clock clock_;
-  time_point now_;  // steady
-  store::recovered_counts found_;
+  time_point now_;  // on the steady clock
+  store::recovered_counts recovered_;
   std::uint64_t salt_ = 0;
-  std::unordered_map<request_id, result_reader> readers_;  // of stored results
+  std::unordered_map<request_id, result_reader> readers_;  // requests that will fetch a result
   std::map<std::uint64_t, pending_write> writes_;          // by ticket
   std::unordered_map<std::uint64_t, request_id> reads_;    // by ticket
-  std::vector<pending_write> failed_results_;              // to be written once the disk takes writes again
+  std::vector<pending_write> failed_results_;              // to be written again once the disk is writable
   std::uint64_t last_ticket_ = 0;
   bool writable_ = true;
-  std::unique_ptr<store::committer> committer_;  // the last member: its thread ends first
+  std::unique_ptr<store::committer> committer_;  // the last member, so that its thread ends first
 };
 
 }  // namespace marblewharf::idempotency
--- a/src/idempotency/fingerprint.cpp
+++ b/src/idempotency/fingerprint.cpp
@@ -11,9 +11,9 @@
   return hash;
 }
 
-const char* fault_of_key(std::string_view key, std::size_t longest) {
+const char* fault_of_key(std::string_view key, std::size_t max_bytes) {
   if (key.empty()) return "no key";
-  return key.size() > longest ? "a key that is too long" : nullptr;
+  return key.size() > max_bytes ? "a key that is too long" : nullptr;
 }
 
 }  // namespace marblewharf::idempotency
--- a/src/idempotency/fingerprint.hpp
+++ b/src/idempotency/fingerprint.hpp
@@ -1,5 +1,5 @@
-// The hash of what a request asks for: each duplicate of a request has the same, and a request that uses
-// another's key for something else has not.
+// The hash of a request's content. Duplicates of a request have the same fingerprint; a request that reuses
+// the key of another request with other content has a different one.
 #pragma once
 
 #include <cstdint>
@@ -8,10 +8,11 @@
 
 namespace marblewharf::idempotency {
 
-// Of the parts in their order. The border between two parts counts, too.
+// The hash of all parts, in order. It also depends on the boundaries between parts.
 std::uint64_t fingerprint_of(std::span<const std::string_view> parts);
 
-// Why a client's key cannot be used, in words for its sender; null: it can. Any bytes may occur in a key.
-const char* fault_of_key(std::string_view key, std::size_t longest);
+// Returns why a client's key is invalid, as a text for the client, or null if it is valid. A key may contain
+// any bytes.
+const char* fault_of_key(std::string_view key, std::size_t max_bytes);
 
 }  // namespace marblewharf::idempotency
--- a/src/idempotency/key_table.cpp
+++ b/src/idempotency/key_table.cpp
@@ -9,7 +9,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::int64_t unknown_window = 0;  // the expiry queue of recovered keys
+constexpr std::int64_t unknown_window = 0;  // the window of the queue for recovered keys
 constexpr std::chrono::nanoseconds min_retry_after = 1s;
 constexpr unsigned max_pause_doublings = 10;
 
@@ -17,7 +17,8 @@
 
 // ---- Recovery ---------------------------------------------------------------------------------------------
 
-// A key may have expired or been released, and have come again within one folder: the later record holds.
+// A key may have several records in one folder, if it expired or was released and was claimed again. The
+// latest record applies.
 void key_table::recover_intent(const key_id& key, std::uint64_t fingerprint, aging_time expiry,
                                aging_time now) {
   if (expiry <= now) return;
@@ -99,22 +100,22 @@
 }
 
 bool key_table::can_reserve(std::uint64_t bytes) const {
-  return disk_.writable && reserved_bytes_ + bytes <= disk_.room;
+  return disk_.writable && reserved_bytes_ + bytes <= disk_.free_bytes;
 }
 
-// The advice is when capacity may be back: the disk is tried again, a segment frees its room, or some of the
-// open keys have completed.
+// Advises when capacity may be available again: when the disk is tried again, when a segment frees its space,
+// or after a short time, in which open keys may complete.
 key_claim key_table::no_capacity(aging_time now) const {
   std::chrono::nanoseconds wait = min_retry_after;
   if (!disk_.writable) {
     wait = std::max(wait, options_.retry_disk);
-  } else if (open_ < options_.open && disk_.next_ageing > now) {
-    wait = std::max(wait, std::chrono::nanoseconds(disk_.next_ageing - now));
+  } else if (open_ < options_.open && disk_.next_segment_expiry > now) {
+    wait = std::max(wait, std::chrono::nanoseconds(disk_.next_segment_expiry - now));
   }
   return {.status = claim_status::no_capacity, .retry_after = wait};
 }
 
-// ---- Steps ------------------------------------------------------------------------------------------------
+// ---- Transitions ------------------------------------------------------------------------------------------
 
 std::uint64_t key_table::bytes_to_reserve(key_state state) const {
   switch (state) {
@@ -166,7 +167,7 @@
   if (found == entries_.end() || found->second.state != key_state::recording_result) return false;
   found->second.result_at = result_at;
   enter(found->second, key_state::completed);
-  if (found->second.expiry <= now) erase(found);  // it expired while it was open
+  if (found->second.expiry <= now) erase(found);  // the key expired while it was open
   return true;
 }
 
@@ -183,7 +184,8 @@
   return true;
 }
 
-// After the last try, the next duplicate begins anew, though not before a pause that goes on growing.
+// After the last failed inquiry, the next duplicate starts inquiries again, but only after a pause that keeps
+// growing.
 std::chrono::nanoseconds key_table::schedule_inquiry_retry(const key_id& key, aging_time now) {
   const auto found = entries_.find(key);
   if (found == entries_.end() || found->second.state != key_state::inquiring) return 0ns;
@@ -191,7 +193,8 @@
   const unsigned doublings = std::min<unsigned>(inquired.inquiries_failed, max_pause_doublings);
   const std::chrono::nanoseconds pause = options_.inquiry_pause * (1u << doublings);
   if (++inquired.inquiries_failed < options_.inquiry_tries) return pause;
-  constexpr unsigned max_failed = std::numeric_limits<std::uint8_t>::max() - 1;  // one more still fits
+  // The counter is incremented once more before it is limited again.
+  constexpr unsigned max_failed = std::numeric_limits<std::uint8_t>::max() - 1;
   inquired.inquiries_failed =
       static_cast<std::uint8_t>(std::min<unsigned>(inquired.inquiries_failed, max_failed));
   inquired.inquire_after = now + pause.count();
--- a/src/idempotency/key_table_service.hpp
+++ b/src/idempotency/key_table_service.hpp
@@ -1,6 +1,6 @@
-// What the idempotency services with a key table have in common: the primaries' keys, the statistics and the
-// observer. Where results are stored is up to the derived class. Not synchronized: owned by the dispatcher's
-// thread.
+// The base class of the idempotency services with a key table: keeps the keys of primaries, the statistics
+// and the observer. The derived class decides where results are stored. Not thread-safe: owned by the
+// dispatcher's thread.
 #pragma once
 
 #include <chrono>
@@ -15,7 +15,7 @@
 
 class key_table_service : public idempotency_store {
  public:
-  // To be called before the first request; `observer` outlives this object.
+  // Must be called before the first request. `observer` must outlive this object.
   void set_observer(idempotency_observer& observer) { observer_ = &observer; }
 
   void mark_outcome_unknown(request_id primary) override;
@@ -24,7 +24,7 @@
   const key_table& known() const { return table_; }
 
  protected:
-  // A key whose request runs or inquires.
+  // The key of a primary, which runs the request or inquires about its outcome.
   struct claimed_key {
     key_id key;
     std::uint64_t fingerprint = 0;
@@ -39,12 +39,12 @@
                       std::chrono::nanoseconds window, aging_time now);
   static claim_result to_result(const key_claim& claim);
 
-  // Of a primary that is not closed; throws std::out_of_range otherwise.
+  // The key of a primary. Throws std::out_of_range if it is closed or not a primary.
   const claimed_key& primary_key(request_id primary) const { return primaries_.at(primary); }
   bool is_primary(request_id id) const { return primaries_.contains(id); }
   idempotency_observer& observer() { return *observer_; }
 
-  // Whether expired keys are to be looked for; at most once in a fixed interval.
+  // Whether expired keys should be removed now; true at most once per interval.
   bool expiry_is_due(time_point now);
   void publish_key_counts();
 
--- a/src/idempotency/memory_service.cpp
+++ b/src/idempotency/memory_service.cpp
@@ -8,8 +8,8 @@
 namespace marblewharf::idempotency {
 namespace {
 
-constexpr std::uint64_t no_fingerprint = 0;         // it is a part of the key
-constexpr std::size_t table_bytes_per_entry = 512;  // beside a result's own bytes
+constexpr std::uint64_t no_fingerprint = 0;         // the fingerprint is part of the key
+constexpr std::size_t table_bytes_per_entry = 512;  // in addition to the bytes of the result
 
 key_table_options table_options_of(const memory_service_options& options) {
   key_table_options table;
@@ -23,30 +23,30 @@
 
 memory_service::memory_service(memory_service_options options, telemetry::counters& counters)
     : key_table_service(table_options_of(options), counters), options_(std::move(options)) {
-  publish_room();
+  publish_free_memory();
 }
 
 std::size_t memory_service::size_of(const stored_result& result) {
   return result.bytes.size() + table_bytes_per_entry;
 }
 
-// The table reserves memory for results as it would on a disk.
-void memory_service::publish_room() {
-  const std::size_t room = options_.memory - std::min(options_.memory, bytes_);
+// The table reserves memory for results in the same way as space on a disk.
+void memory_service::publish_free_memory() {
+  const std::size_t free_bytes = options_.memory - std::min(options_.memory, bytes_);
   aging_time next_expiry = 0;
   if (!expiry_queue_.empty()) next_expiry = expiry_queue_.front().expiry + options_.longest_wait.count();
-  table_.set_disk({.writable = true, .room = room, .next_ageing = next_expiry});
+  table_.set_disk({.writable = true, .free_bytes = free_bytes, .next_segment_expiry = next_expiry});
 }
 
-// The window is counted from arrivals, whenever the requests are read.
-claim_result memory_service::claim(request_id id, const request& what) {
-  const duration window = options_.windows.at(what.request_class);
-  const std::string tenant = std::to_string(what.tenant);
-  const std::string request_class = std::to_string(what.request_class);
-  const std::string client_key = what.key + std::to_string(what.fingerprint);
+// The window is measured between arrivals, no matter when the requests are read.
+claim_result memory_service::claim(request_id id, const request& claimant) {
+  const duration window = options_.windows.at(claimant.request_class);
+  const std::string tenant = std::to_string(claimant.tenant);
+  const std::string request_class = std::to_string(claimant.request_class);
+  const std::string client_key = claimant.key + std::to_string(claimant.fingerprint);
   const key_id key = key_id_of(tenant, request_class, client_key, options_.salt);
-  const key_claim claim = claim_key(id, key, no_fingerprint, window, what.arrived.count());
-  if (claim.status == claim_status::completed) readers_[id] = {key, what.arrived};
+  const key_claim claim = claim_key(id, key, no_fingerprint, window, claimant.arrived.count());
+  if (claim.status == claim_status::completed) readers_[id] = {key, claimant.arrived};
   return to_result(claim);
 }
 
@@ -59,7 +59,7 @@
   const key_id key = primary_key(primary).key;
   if (!table_.begin_recording(key)) return false;
   const aging_time expiry = table_.expiry_of(key);
-  // The result of an expired key may still be there when the key has been claimed anew.
+  // The result of an expired key may still be stored when the key is claimed again.
   if (const auto old = results_.find(key); old != results_.end()) bytes_ -= size_of(old->second);
   stored_result& stored = results_[key];
   stored = {succeeded, std::string(result), expiry};
@@ -87,7 +87,7 @@
   }
   for (const request_id id : std::exchange(requested_results_, {})) reply_to_reader(id);
   if (expiry_is_due(now_)) remove_expired();
-  publish_room();
+  publish_free_memory();
   publish_key_counts();
   counters_.results_bytes = bytes_;
 }
@@ -108,7 +108,7 @@
 void memory_service::remove_expired() {
   const aging_time horizon = expiry_horizon();
   table_.expire(horizon);
-  std::erase_if(readers_, [horizon](const auto& each) { return each.second.arrived.count() <= horizon; });
+  std::erase_if(readers_, [horizon](const auto& reader) { return reader.second.arrived.count() <= horizon; });
   while (!expiry_queue_.empty() && expiry_queue_.front().expiry <= horizon) {
     const expiring_key next = expiry_queue_.front();
     expiry_queue_.pop_front();
--- a/src/idempotency/memory_service.hpp
+++ b/src/idempotency/memory_service.hpp
@@ -1,11 +1,11 @@
-// Stores the results of keyed requests in memory until their idempotency window has passed: for a node whose
-// settings name keyed classes and whose operator's file names no folder. A restart loses them.
+// Stores the results of keyed requests in memory until their idempotency window has passed, for a node whose
+// settings have keyed classes but whose operator's file has no folder. A restart loses the results.
 //
-// The fingerprint of a request is a part of its key here. Only the backend can tell whose request it is, so
-// one with another's key and other content is neither a duplicate nor a conflict: both run.
+// Here the fingerprint of a request is part of its key. Only the backend can authenticate a client, so a
+// request with the same key and other content is neither a duplicate nor a conflict: both requests run.
 //
-// Free of I/O and clocks. Replies to the dispatcher are given by the next step(), never in the call itself.
-// Not synchronized: owned by the dispatcher's thread.
+// No I/O, no clock. The dispatcher gets its replies from the next step(), never during the call itself. Not
+// thread-safe: owned by the dispatcher's thread.
 #pragma once
 
 #include <cstdint>
@@ -19,35 +19,35 @@
 namespace marblewharf::idempotency {
 
 struct memory_service_options {
-  std::vector<duration> windows;  // by class: how long after the first arrival a duplicate may arrive; 0 =
-                                  // not keyed
-  duration longest_wait{};        // between a request's arrival and the time when it is read, at most
-  std::size_t memory = 0;         // bytes of all entries and results together
+  // By request class: how long after the first arrival duplicates are recognized; 0 = not keyed.
+  std::vector<duration> windows;
+  duration longest_wait{};            // from the arrival of a request until it is read, at most
+  std::size_t memory = 0;             // bytes of all entries and results together
   std::size_t largest_result = 4096;  // bytes
-  std::size_t open = 1024;            // keyed requests between their arrival and their result
-  std::uint64_t salt = 0;             // random, so that nobody outside can choose keys that collide
+  std::size_t open = 1024;            // open keys, at most: from the arrival of a request to its result
+  std::uint64_t salt = 0;             // random, so that clients cannot choose keys that collide
 };
 
 class memory_service : public key_table_service {
  public:
   memory_service(memory_service_options options, telemetry::counters& counters);
 
-  // Gives the replies that are pending and removes what has expired.
+  // Sends the pending replies and removes expired keys and results.
   void step(time_point now);
-  // Replies are pending: step() is wanted at once.
+  // Whether replies are pending, so that step() should be called at once.
   bool has_pending_replies() const {
     return !written_intents_.empty() || !recorded_results_.empty() || !requested_results_.empty();
   }
 
   // ---- idempotency_store ----------------------------------------------------------------------------------
-  claim_result claim(request_id id, const request& what) override;
-  void write_intent(request_id primary, const request& what) override;
+  claim_result claim(request_id id, const request& claimant) override;
+  void write_intent(request_id primary, const request& claimant) override;
   bool record_result(request_id primary, bool succeeded, std::string_view result) override;
   void release_key(request_id primary) override;
   duration schedule_inquiry_retry(request_id) override { return {}; }
   void fetch_result(request_id id) override { requested_results_.push_back(id); }
 
-  // Of the stored results, with their share of the tables.
+  // The memory taken by the stored results, including their share of the tables.
   std::size_t bytes() const { return bytes_; }
 
  private:
@@ -66,19 +66,21 @@
   };
 
   static std::size_t size_of(const stored_result& result);
-  // What expired before this can no longer be asked for: requests that arrived earlier have all been read.
+  // Keys that expired before this time are no longer needed: all requests that arrived earlier have been
+  // read.
   aging_time expiry_horizon() const { return (now_ - options_.longest_wait).count(); }
-  void publish_room();
+  void publish_free_memory();
   void remove_expired();
   void reply_to_reader(request_id id);
 
   memory_service_options options_;
   time_point now_{};
-  std::unordered_map<request_id, result_reader> readers_;  // of results, unless their clients cancel before
+  // Requests that will fetch a result, unless their client cancels.
+  std::unordered_map<request_id, result_reader> readers_;
   std::unordered_map<key_id, stored_result, key_id_hash> results_;
-  std::deque<expiring_key> expiry_queue_;  // of results, in the order in which they were stored
+  std::deque<expiring_key> expiry_queue_;  // of results, in order of storing
   std::size_t bytes_ = 0;
-  // Replies for the next step.
+  // Replies that the next step() sends.
   std::vector<request_id> written_intents_;
   std::vector<request_id> recorded_results_;
   std::vector<request_id> requested_results_;
--- a/src/idempotency/records.cpp
+++ b/src/idempotency/records.cpp
@@ -9,8 +9,8 @@
 
 using text_size = std::uint16_t;
 
-constexpr std::size_t fixed_size = 48;  // bytes before the texts of an intent, or the result
-constexpr std::size_t intent_texts = 3;
+constexpr std::size_t fixed_size = 48;  // bytes before the texts of an intent, or before the result
+constexpr std::size_t texts_per_intent = 3;
 
 template <typename T>
 void append_value(std::string& out, T value) {
@@ -99,7 +99,7 @@
 
 std::uint64_t max_intent_bytes(std::size_t longest_key, std::size_t longest_tenant,
                                std::size_t longest_class) {
-  return store::room_for(fixed_size + intent_texts * sizeof(text_size) + longest_key + longest_tenant +
+  return store::room_for(fixed_size + texts_per_intent * sizeof(text_size) + longest_key + longest_tenant +
                          longest_class);
 }
 
--- a/src/idempotency/records.hpp
+++ b/src/idempotency/records.hpp
@@ -1,5 +1,5 @@
-// The records of idempotency keys on disk: typed values to bytes and back. Each record has all that recovery
-// needs of it, so that a segment may be removed whatever other segments hold.
+// The on-disk records of idempotency keys: encoding and decoding. Each record is complete by itself, so that
+// segments can be deleted independently of each other.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace marblewharf::idempotency {
 
-// The values are on disk.
+// The values are part of the on-disk format.
 enum class record_type : std::uint32_t { intent = 1, result = 2, release = 3 };
 
 struct key_record {
@@ -21,22 +21,22 @@
   std::uint64_t fingerprint = 0;
   aging_time expiry = 0;
   aging_time written_at = 0;
-  bool succeeded = false;  // of a result; else the run failed
+  bool succeeded = false;  // of a result; false = the run failed
   // Of an intent: the key as the client sent it, and its scope.
   std::string_view tenant{}, request_class{}, client_key{};
   std::string_view result{};  // of a result
 };
 
 store::record encode(const key_record& written);
-// None: the bytes are not a record of this type. Their checksums were right, so another program wrote them.
-// The views point into `body`.
+// Returns nothing if the bytes are not a record of this type; since their checksums are valid, another
+// program wrote them. The views in the record point into `body`.
 std::optional<key_record> decode(std::uint32_t type, std::string_view body);
 
-// The hash by which a key is known in its scope.
+// The hash that identifies a key in its scope.
 key_id key_id_of(std::string_view tenant, std::string_view request_class, std::string_view client_key,
                  std::uint64_t salt);
 
-// Bytes on disk of the largest record.
+// The size on disk of the largest possible record.
 std::uint64_t max_intent_bytes(std::size_t longest_key, std::size_t longest_tenant,
                                std::size_t longest_class);
 std::uint64_t max_result_bytes(std::size_t largest_result);
--- a/src/idempotency/results_command.cpp
+++ b/src/idempotency/results_command.cpp
@@ -14,7 +14,7 @@
 
 constexpr aging_time ns_per_second = 1'000'000'000;
 
-// A key as its records in the folder tell it.
+// The state of a key according to its records in the folder.
 struct recorded_key {
   std::string tenant, request_class, client_key;
   aging_time expiry = 0;
--- a/src/idempotency/results_command.hpp
+++ b/src/idempotency/results_command.hpp
@@ -1,5 +1,5 @@
-// The command `marblewharf results`: what the folder of a stopped node holds. Each function prints to
-// standard output and throws store::io_error or store::damaged. No process may have the folder open.
+// The command `marblewharf results`: inspects the folder of a stopped node. Each function prints to standard
+// output and throws store::io_error or store::damaged. The folder must not be open in any process.
 #pragma once
 
 #include <string>
@@ -8,18 +8,18 @@
 
 struct results_query {
   std::string folder;
-  std::string tenant, request_class, key;  // of show_result()
-  std::string segment;                     // of set_segment_aside(): the file's name
+  std::string tenant, request_class, key;  // for show_result()
+  std::string segment;                     // for set_segment_aside(): the file name
 };
 
-// A line for each key.
+// Prints one line per key.
 void list_results(const results_query& query);
-// The stored result, byte for byte. False: the key is not known, or its outcome is not; standard error says
-// which.
+// Prints the stored result byte for byte. False: the key is unknown, or its outcome is; the reason is printed
+// to standard error.
 bool show_result(const results_query& query);
-// Counts of what was read, once all of it was found to be intact.
+// Verifies all records and prints their counts.
 void verify_results(const results_query& query);
-// Takes a damaged segment out of use: the keys in it are forgotten and may run again.
+// Renames a damaged segment so that it is ignored: its keys are forgotten, and their requests may run again.
 void set_segment_aside(const results_query& query);
 
 }  // namespace marblewharf::idempotency
