--- a/src/store/checkpoint.cpp
+++ b/src/store/checkpoint.cpp
@@ -58,11 +58,11 @@
   fs_.sync_folder(folder_);
 }
 
-std::optional<checkpoint_found> read_checkpoint(file_system& fs, const std::string& folder,
-                                                const std::function<void(std::string_view)>& visit) {
+std::optional<recovered_checkpoint> read_checkpoint(file_system& fs, const std::string& folder,
+                                                    const std::function<void(std::string_view)>& visit) {
   if (!exists(fs, folder, checkpoint_name)) return std::nullopt;
   const std::string path = folder + checkpoint_name;
-  checkpoint_found found;
+  recovered_checkpoint found;
   try {
     const std::string bytes = fs.read(path, 0, fs.size_of(path));
     const segment_header header = decode_header(std::string_view(bytes).substr(0, header_size), path);
--- a/src/store/checkpoint.hpp
+++ b/src/store/checkpoint.hpp
@@ -30,8 +30,8 @@
   // An unfinished file is left behind; the next writer deletes it.
   ~checkpoint_writer() = default;
 
-  // Writes a slice of entries: rows as of encode_row(), whose value is as of encode_position(). Throws
-  // io_error.
+  // Writes a slice of entries. Each entry is a row from encode_row() with a value from encode_position().
+  // Throws io_error.
   void add(const std::vector<std::string>& entries);
   // Completes the checkpoint after the last entry; it is valid and durable on return. Throws io_error.
   void finish();
@@ -46,7 +46,7 @@
   std::uint64_t end_ = 0, frames_ = 0, entries_ = 0;
 };
 
-struct checkpoint_found {
+struct recovered_checkpoint {
   position replay_from;  // recovery replays the log from here
   std::uint64_t entries = 0;
   std::uint64_t salt = 0;
@@ -54,7 +54,7 @@
 };
 // Returns nothing if the folder has no checkpoint. `visit` gets the entries only if the checkpoint is intact.
 // Throws io_error.
-std::optional<checkpoint_found> read_checkpoint(file_system& fs, const std::string& folder,
-                                                const std::function<void(std::string_view)>& visit);
+std::optional<recovered_checkpoint> read_checkpoint(file_system& fs, const std::string& folder,
+                                                    const std::function<void(std::string_view)>& visit);
 
 }  // namespace marblewharf::store
--- a/src/store/cleaning.cpp
+++ b/src/store/cleaning.cpp
@@ -29,12 +29,12 @@
   return static_cast<std::uint64_t>(static_cast<double>(usable) / rules_.amplification);
 }
 
-bool cleaning::is_needed(const sizes& disk) const {
+bool cleaning::is_needed(const disk_sizes& disk) const {
   const auto allowed = static_cast<std::uint64_t>(rules_.amplification * static_cast<double>(disk.live));
   return disk.used > allowed + slack_segments * rules_.segment;
 }
 
-verdict cleaning::of(const sizes& disk, std::uint64_t bytes, std::int64_t growth) const {
+verdict cleaning::of(const disk_sizes& disk, std::uint64_t bytes, std::int64_t growth) const {
   if (growth > 0 && disk.live + static_cast<std::uint64_t>(growth) > max_live_bytes())
     return {false, std::nullopt};
   if (disk.room >= reserve() + bytes) return {true, std::nullopt};
--- a/src/store/cleaning.hpp
+++ b/src/store/cleaning.hpp
@@ -22,13 +22,13 @@
   // Bytes of all segments together. A checkpoint takes additional space: about 80 bytes plus the key for each
   // key, and twice that while a new one is written.
   std::uint64_t space = std::uint64_t{1} << 30;
-  // Space amplification A: bytes on disk per live byte, at most; above 1. While the log is cleaned once
-  // around, writing one byte costs A / (A - 1) bytes of disk writes.
+  // Space amplification A: bytes on disk per live byte, at most; above 1. Including the copies made by
+  // cleaning, a written byte costs A / (A - 1) bytes of disk writes over one pass through the log.
   double amplification = 2;
 };
 
 // The current sizes on disk, in bytes.
-struct sizes {
+struct disk_sizes {
   std::uint64_t used = 0;  // of all segments
   std::uint64_t live = 0;  // of records that are the current value of a key
   std::uint64_t room = 0;  // of frames that can certainly still be written
@@ -52,9 +52,9 @@
   std::uint64_t reserve() const { return 2 * rules_.segment; }
 
   // Whether a segment should be cleaned now.
-  bool is_needed(const sizes& disk) const;
+  bool is_needed(const disk_sizes& disk) const;
   // Decides on a batch of this many bytes that changes the live bytes by `growth` (negative if it erases).
-  verdict of(const sizes& disk, std::uint64_t bytes, std::int64_t growth) const;
+  verdict of(const disk_sizes& disk, std::uint64_t bytes, std::int64_t growth) const;
 
   // A segment of `freed` bytes was cleaned, of which `copied` bytes were written again; it took this long.
   void on_cleaned(std::uint64_t freed, std::uint64_t copied, std::chrono::nanoseconds took);
--- a/src/store/log_folder_scan.hpp
+++ b/src/store/log_folder_scan.hpp
@@ -31,7 +31,7 @@
 
 // A segment of the log.
 struct found_segment {
-  std::uint64_t number = 0, end = 0, size = 0;  // valid bytes, bytes of the file
+  std::uint64_t number = 0, end = 0, size = 0;  // `end`: valid bytes; `size`: bytes of the file
   std::int64_t expiry = 0;
   segment_header header;
 };
@@ -41,8 +41,8 @@
   recovered_counts counts;
   bool spare = false;
   std::uint64_t highest = 0;  // the highest segment number in any file name
-  // Marker files of deleted segments, by number: the expiry in the header of the next segment, 0 = none
-  // found.
+  // Marker files of deleted segments: the expiry from the header of the next segment, by number; 0 = there is
+  // no such header.
   std::map<std::uint64_t, std::int64_t> retired;
 };
 
--- a/src/store/store_command.cpp
+++ b/src/store/store_command.cpp
@@ -31,7 +31,7 @@
   throw io_error(folder + ": not a store of tables, it has no segments");
 }
 
-void print(const inspected& content) {
+void print(const store_content& content) {
   std::printf("segments=%" PRIu64 " commits=%" PRIu64 " records=%" PRIu64 " torn_bytes=%" PRIu64 "\n",
               content.log.segments, content.log.frames, content.log.records, content.log.torn_bytes);
   if (content.older > 0) std::printf("older_records=%" PRIu64 "\n", content.older);
@@ -58,7 +58,7 @@
 void verify_store(const store_query& q) {
   posix_file_system fs;
   expect_store(fs, q.folder);
-  const inspected content =
+  const store_content content =
       inspect_tables(fs, q.folder, now(), [](const auto&, const auto&, const auto&, std::int64_t) {});
   print(content);
   if (content.checkpoint && !content.checkpoint->fault.empty()) throw damaged(content.checkpoint->fault);
--- a/src/store/table_service.hpp
+++ b/src/store/table_service.hpp
@@ -40,7 +40,7 @@
   struct condition {
     bool writable = false;
     std::string fault;  // why the store is not writable
-    sizes disk;
+    disk_sizes disk;
     cleaning rules;  // rules.of(disk, ...) decides whether a batch is accepted
   };
   enum class work { clean, checkpoint, age };
--- a/src/store/tables.cpp
+++ b/src/store/tables.cpp
@@ -143,7 +143,7 @@
   return std::min(options_.max_buffered_bytes, log_->max_frame_bytes() - frame_head);
 }
 
-sizes tables::disk() const {
+disk_sizes tables::disk() const {
   const std::uint64_t free = log_->total_free_bytes();
   return {log_->used_bytes(), index_.live_bytes(), free > buffered_bytes_ ? free - buffered_bytes_ : 0};
 }
@@ -183,7 +183,7 @@
   const growth g = growth_of(changes);
   if (g.keys > 0 && index_.keys() + group_keys + g.keys > options_.most_keys) return {false, std::nullopt};
   if (!log_->is_open()) return {false, retry_after};
-  sizes s = disk();
+  disk_sizes s = disk();
   s.room = s.room > group_bytes ? s.room - group_bytes : 0;
   return cleaning_.of(s, frame_head + bytes_of(changes),
                       g.bytes > 0 ? g.bytes + std::max<std::int64_t>(group_growth, 0) : g.bytes);
@@ -566,7 +566,7 @@
   const std::vector<std::string> names = fs.list(backup);
   for (const std::string& name : names)
     if (std::string_view(unfinished_marker).substr(1) == name) throw damaged(backup + ": incomplete backup");
-  const inspected expected = inspect_tables(fs, backup, now);
+  const store_content expected = inspect_tables(fs, backup, now);
   if (expected.log.segments == 0) throw damaged(backup + ": not a backup, it has no segments");
   expect_empty(fs, folder);
   for (const std::string& name : names) {
@@ -596,10 +596,10 @@
   return f;
 }
 
-inspected inspect_tables(file_system& fs, const std::string& folder, std::int64_t now,
-                         const std::function<void(const std::string&, const std::string&, const std::string&,
-                                                  std::int64_t)>& visit) {
-  inspected found;
+store_content inspect_tables(file_system& fs, const std::string& folder, std::int64_t now,
+                             const std::function<void(const std::string&, const std::string&,
+                                                      const std::string&, std::int64_t)>& visit) {
+  store_content found;
   versions from_log, from_checkpoint;
   sequence commit = 0;
   std::uint64_t oldest = 0;
--- a/src/store/tables.hpp
+++ b/src/store/tables.hpp
@@ -149,7 +149,7 @@
 
   struct figures {
     std::size_t keys = 0, snapshots = 0;
-    sizes disk;
+    disk_sizes disk;
     std::uint64_t buffered_bytes = 0;            // in memory only
     std::uint64_t written = 0, copied = 0;       // bytes of records written by commits and copied by cleaning
     std::uint64_t frames = 0;                    // written by commits and flushes, with one sync each
@@ -200,7 +200,7 @@
   growth growth_of(const batch& changes) const;
   std::vector<pending> records_of(const batch& changes, sequence commit) const;
   std::int64_t monotonic(std::int64_t now) const;
-  sizes disk() const;
+  disk_sizes disk() const;
   void append(const std::vector<pending>& rows, std::int64_t now);
   void reopen(std::int64_t now);
   void close_old_snapshots(std::int64_t now);
@@ -214,7 +214,7 @@
   cleaning cleaning_;
   versions index_;
   std::unique_ptr<log> log_;
-  std::optional<checkpoint_found> recovered_;  // the checkpoint that recovery found
+  std::optional<recovered_checkpoint> recovered_;  // the checkpoint that recovery found
   std::int64_t latest_time_ = 0;
 
   std::vector<pending> buffered_;
@@ -242,13 +242,13 @@
 
 // Reads and verifies a folder that no process has locked, and changes nothing in it. Rows that have expired
 // by `now` are skipped. Throws held, io_error or damaged.
-struct inspected {
+struct store_content {
   recovered_counts log;
   std::uint64_t older = 0;                  // records of the format that preceded tables
   std::map<std::string, std::size_t> keys;  // by table
-  std::optional<checkpoint_found> checkpoint;
+  std::optional<recovered_checkpoint> checkpoint;
 };
-inspected inspect_tables(
+store_content inspect_tables(
     file_system& fs, const std::string& folder, std::int64_t now,
     const std::function<void(const std::string& table, const std::string& key, const std::string& value,
                              std::int64_t expiry)>& visit = {});
--- a/src/store/versions.cpp
+++ b/src/store/versions.cpp
@@ -52,11 +52,11 @@
   }
   c.current = std::move(next);
   if (prune(c)) {
-    keys_with_older_.erase({table, key});
+    keys_with_history_.erase({table, key});
     t.erase(at);
     if (t.empty()) tables_.erase(table);
   } else if (!c.older.empty()) {
-    keys_with_older_.emplace(table, key);
+    keys_with_history_.emplace(table, key);
   }
 }
 
@@ -136,7 +136,7 @@
   const chain* c = chain_of(table, key);
   if (c == nullptr) return;
   count(c->current, -1);
-  keys_with_older_.erase({table, key});
+  keys_with_history_.erase({table, key});
   const auto t = tables_.find(table);
   t->second.erase(key);
   if (t->second.empty()) tables_.erase(t);
@@ -159,7 +159,7 @@
   const auto at = snapshots_.find(snapshot);
   if (at == snapshots_.end()) return;
   snapshots_.erase(at);
-  for (auto i = keys_with_older_.begin(); i != keys_with_older_.end();) {
+  for (auto i = keys_with_history_.begin(); i != keys_with_history_.end();) {
     const auto t = tables_.find(i->first);
     const auto found = t->second.find(i->second);
     const bool removed = prune(found->second);
@@ -169,7 +169,7 @@
     }
     if (removed) t->second.erase(found);
     if (t->second.empty()) tables_.erase(t);
-    i = keys_with_older_.erase(i);
+    i = keys_with_history_.erase(i);
   }
 }
 
--- a/src/store/versions.hpp
+++ b/src/store/versions.hpp
@@ -69,7 +69,7 @@
 
   std::size_t keys() const { return keys_; }                // that have a current value
   std::uint64_t live_bytes() const { return live_bytes_; }  // of their records on disk
-  sequence last() const { return last_; }
+  sequence last() const { return last_; }                   // the last commit
 
  private:
   struct version {
@@ -91,7 +91,7 @@
   static const value_ref* as_of(const chain& c, std::optional<sequence> snapshot);
 
   std::map<std::string, table_map> tables_;
-  std::set<std::pair<std::string, std::string>> keys_with_older_;  // versions, also erased keys
+  std::set<std::pair<std::string, std::string>> keys_with_history_;  // keys with older versions
   std::multiset<sequence> snapshots_;
   std::size_t keys_ = 0;
   std::uint64_t live_bytes_ = 0;
--- a/tests/idempotency/key_table_test.cpp
+++ b/tests/idempotency/key_table_test.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-constexpr aging_time far_off = 1'000'000'000;
+constexpr aging_time key_window = 1'000'000'000;  // ns
 
 // A node without sockets: a key table on a log, and a backend that counts executions per key.
 struct test_node {
@@ -55,7 +55,7 @@
 
   enum class answer_kind { served, rejected, failed, outcome_unknown };
   // Sends a write with the key n. Returns the kind of the answer and the result.
-  std::pair<answer_kind, std::string> write(std::uint64_t n, bool release_it = false) {
+  std::pair<answer_kind, std::string> write(std::uint64_t n, bool prove_never_ran = false) {
     now += 1000;
     if (!disk->is_open()) open();
     try {
@@ -64,7 +64,7 @@
     }
     table.set_disk({disk->is_open(), disk->reserved_free_bytes(), disk->next_expiry()});
     const key_id key{n, n};
-    const key_claim claim = table.claim(key, n, 1, std::chrono::nanoseconds(far_off), now);
+    const key_claim claim = table.claim(key, n, 1, std::chrono::nanoseconds(key_window), now);
     if (claim.status == claim_status::no_capacity) return {answer_kind::rejected, ""};
     if (claim.status == claim_status::outcome_unknown) return {answer_kind::outcome_unknown, ""};
     if (claim.status == claim_status::coalesced) {  // its result is not on disk yet
@@ -88,7 +88,7 @@
       return {answer_kind::rejected, ""};
     }
     CHECK(table.intent_written(key));
-    if (release_it) {  // the backend reports that the request never ran
+    if (prove_never_ran) {  // the backend reports that the request never ran
       k.type = record_type::release;
       CHECK(table.release(key));
       append(k);
@@ -129,11 +129,11 @@
 
 // Runs all writes with one injected fault, then sends them all again twice with a restart in between. No
 // write may be executed twice, and no answered result may be lost.
-std::uint64_t history(std::uint64_t fail_at, crash::fault fault_kind, bool stays, unsigned seed) {
+std::uint64_t run_with_fault(std::uint64_t fail_at, crash::fault fault_kind, bool permanent, unsigned seed) {
   crash::fs fs;
   fs.fail_at = fail_at;
   fs.how = fault_kind;
-  fs.stays_broken = stays;
+  fs.stays_broken = permanent;
   std::mt19937 random(seed);
   std::map<std::uint64_t, int> executions;
   std::map<std::uint64_t, std::string> served;
@@ -175,15 +175,15 @@
 }
 
 void each_file_system_call_fails() {
-  const std::uint64_t calls = history(0, crash::fault::none, false, 1);
+  const std::uint64_t calls = run_with_fault(0, crash::fault::none, false, 1);
   CHECK(calls > writes);
   std::uint64_t tried = 0;
   for (std::uint64_t at = 1; at <= calls; ++at) {
     for (const auto fault_kind : {crash::fault::error, crash::fault::cut_short, crash::fault::power_loss}) {
       for (unsigned seed = 1; seed <= (fault_kind == crash::fault::power_loss ? 6u : 1u); ++seed, ++tried)
-        history(at, fault_kind, false, seed);
+        run_with_fault(at, fault_kind, false, seed);
     }
-    history(at, crash::fault::error, true, 1);
+    run_with_fault(at, crash::fault::error, true, 1);
   }
   std::printf("%llu histories, each with one of %llu calls failing\n", static_cast<unsigned long long>(tried),
               static_cast<unsigned long long>(calls));
@@ -191,7 +191,7 @@
 
 // Recovers a folder: the size of the result by key, 0 for an unknown outcome. Nothing if the folder is
 // reported as damaged.
-std::optional<std::map<std::uint64_t, std::uint64_t>> recovered(
+std::optional<std::map<std::uint64_t, std::uint64_t>> recover_content(
     const std::map<std::string, std::string>& image) {
   crash::fs fs;
   fs.load(image);
@@ -226,7 +226,7 @@
 void truncation_at_each_byte() {
   const auto original = folder_after(30);
   std::vector<std::map<std::uint64_t, std::uint64_t>> states = {{}};
-  for (std::uint64_t n = 1; n <= 30; ++n) states.push_back(*recovered(folder_after(n)));
+  for (std::uint64_t n = 1; n <= 30; ++n) states.push_back(*recover_content(folder_after(n)));
   std::vector<std::string> segments;
   for (const auto& [path, bytes] : original) {
     if (path.ends_with(".seg")) segments.push_back(path);
@@ -238,28 +238,28 @@
     for (std::size_t size = 0; size < original.at(path).size(); ++size, ++tried) {
       auto image = original;
       image[path].resize(size);
-      const auto got = recovered(image);
+      const auto content = recover_content(image);
       if (!last) {
-        const bool counts = original.at(path).find_last_not_of('\0') >= size;
-        CHECK(!got || !counts || *got == states.back());
+        const bool cuts_valid_data = original.at(path).find_last_not_of('\0') >= size;
+        CHECK(!content || !cuts_valid_data || *content == states.back());
         continue;
       }
       if (size < store::header_size) {
-        CHECK(!got);
+        CHECK(!content);
         continue;
       }
-      CHECK(got);
+      CHECK(content);
       // The state must be that after some write, or after the intent of the next one.
-      bool was = false;
-      for (std::size_t i = 0; i < states.size() && !was; ++i) {
+      bool matches = false;
+      for (std::size_t i = 0; i < states.size() && !matches; ++i) {
         auto next = states[i];
-        was = *got == next;
+        matches = *content == next;
         if (i + 1 < states.size()) {
           next[i + 1] = 0;
-          was = was || *got == next;
+          matches = matches || *content == next;
         }
       }
-      CHECK(was);
+      CHECK(matches);
     }
   }
   std::printf("%llu truncations\n", static_cast<unsigned long long>(tried));
@@ -269,19 +269,19 @@
 // never be read as valid data.
 void corruption_of_each_byte() {
   const auto original = folder_after(30);
-  const auto expected_content = *recovered(original);
+  const auto expected_content = *recover_content(original);
   std::uint64_t damage = 0, torn = 0;
   for (const auto& [path, bytes] : original) {
     if (!path.ends_with(".seg")) continue;
     for (std::size_t at = 0; at < bytes.size(); ++at) {
       auto image = original;
       image[path][at] = static_cast<char>(image[path][at] ^ 0x41);
-      const auto got = recovered(image);
-      if (!got) {
+      const auto content = recover_content(image);
+      if (!content) {
         ++damage;
-      } else if (*got != expected_content) {
+      } else if (*content != expected_content) {
         ++torn;
-        for (const auto& [n, size] : *got) CHECK(expected_content.at(n) == size || size == 0);
+        for (const auto& [n, size] : *content) CHECK(expected_content.at(n) == size || size == 0);
       }
     }
   }
@@ -290,7 +290,9 @@
               static_cast<unsigned long long>(damage), static_cast<unsigned long long>(torn));
 }
 
-void expired_segments_free_their_room() {
+// A full folder rejects new keys but still answers duplicates. After all keys have expired, it has space for
+// as many keys again.
+void expired_segments_free_their_space() {
   crash::fs fs;
   std::map<std::uint64_t, int> executions;
   test_node node(fs, executions, 5000);
@@ -300,7 +302,7 @@
   CHECK(node.write(1).first == test_node::answer_kind::served &&
         executions[1] == 1);  // duplicates are still answered
   const std::uint64_t first = n;
-  node.now += 2 * far_off;
+  node.now += 2 * key_window;
   node.table.expire(node.now);
   CHECK(node.table.size() == 0);
   CHECK(node.write(n + 1).first == test_node::answer_kind::served);
@@ -312,7 +314,7 @@
 // Guards against a false report of a missing segment. An expired segment is deleted while its successor has
 // been open for long; recovery then knows no later time than the creation of the successor, at which the
 // segment had not expired. Each call fails in turn, also by a power loss.
-void segment_removed_before_a_later_header() {
+void expired_segment_is_not_reported_missing() {
   const auto run_all = [](std::uint64_t fail_at, crash::fault fault_kind, unsigned seed) {
     crash::fs fs;
     fs.fail_at = fail_at;
@@ -334,7 +336,7 @@
         node->write(++n);
         now = node->now;
       }
-      now = node->now += 2 * far_off;
+      now = node->now += 2 * key_window;
       node->table.expire(now);
       before = segments();
       try {
@@ -359,7 +361,7 @@
     }
     // The space is freed, and the marker files are deleted.
     for (int round = 0; round < 4; ++round) {
-      now = node->now += 2 * far_off;
+      now = node->now += 2 * key_window;
       node->table.expire(now);
       for (int i = 0; i < 40; ++i) node->write(++n);
     }
@@ -500,15 +502,16 @@
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {{"failing_calls", each_file_system_call_fails},
-                                                   {"truncation", truncation_at_each_byte},
-                                                   {"corruption", corruption_of_each_byte},
-                                                   {"expiry", expired_segments_free_their_room},
-                                                   {"segment_removal", segment_removed_before_a_later_header},
-                                                   {"clock", aging_clock_never_goes_back},
-                                                   {"transitions", only_documented_transitions},
-                                                   {"inquiry", inquiries_are_bounded_and_back_off},
-                                                   {"bounds", bounds_reject_new_keys_only}};
+  const std::map<std::string, void (*)()> tests = {
+      {"failing_calls", each_file_system_call_fails},
+      {"truncation", truncation_at_each_byte},
+      {"corruption", corruption_of_each_byte},
+      {"expiry", expired_segments_free_their_space},
+      {"segment_removal", expired_segment_is_not_reported_missing},
+      {"clock", aging_clock_never_goes_back},
+      {"transitions", only_documented_transitions},
+      {"inquiry", inquiries_are_bounded_and_back_off},
+      {"bounds", bounds_reject_new_keys_only}};
   tests.at(argv[1])();
   return 0;
 }
--- a/tests/idempotency/kill_test.cpp
+++ b/tests/idempotency/kill_test.cpp
@@ -25,8 +25,8 @@
   std::map<std::string, int> executed;                  // count by key
   std::map<std::string, std::set<std::string>> served;  // results by key
   std::map<std::string, int> answer_kinds;              // count by kind
-  std::atomic<bool> callers_stop = false;               // stops the callers
-  std::atomic<bool> servers_stop = false;               // stops the servers
+  std::atomic<bool> stop_callers = false;
+  std::atomic<bool> stop_servers = false;
   std::atomic<int> thrift_port = 0;
   int uwsgi_port = 0;
 
@@ -70,13 +70,13 @@
 // The runtime: outlives the node, runs each request that it is sent, and ends it after up to 8 ms.
 void run_runtime(shared_state& state, const runtime& door, unsigned seed) {
   std::mt19937 random(seed);
-  while (!state.servers_stop) {
+  while (!state.stop_servers) {
     if (!door.door.waiting(50)) continue;
     frail link = frail::accepted(door.door.fd());
     std::string in;
     int serial = 0;
     std::multimap<clock::time_point, std::string> ends;
-    while (!state.servers_stop) {
+    while (!state.stop_servers) {
       if (!link.more(in, 1) && !link.good()) break;
       for (std::size_t end; (end = in.find('\n')) != std::string::npos; in.erase(0, end + 1)) {
         const std::string line = in.substr(0, end);
@@ -103,7 +103,7 @@
 
 void run_uwsgi_server(shared_state& state, const listener& door, unsigned seed) {
   std::mt19937 random(seed);
-  while (!state.servers_stop) {
+  while (!state.stop_servers) {
     if (!door.waiting(50)) continue;
     frail c = frail::accepted(door.fd());
     std::string in;
@@ -168,7 +168,7 @@
   std::mt19937 random(seed);
   constexpr int keys_per_caller = 100000;
   int next = number * keys_per_caller, label_number = number * 10 * keys_per_caller + 1;
-  while (!state.callers_stop) {
+  while (!state.stop_callers) {
     // Uses a new key or repeats one of the last few keys, sometimes those of another caller.
     int n = next;
     if (random() % 2 == 0) {
@@ -226,7 +226,7 @@
     state.thrift_port = n->port;
   }
   std::this_thread::sleep_for(300ms);
-  state.callers_stop = true;
+  state.stop_callers = true;
   for (std::thread& t : callers) t.join();
   // Every key that was answered 'served' is answered 'served' again.
   std::vector<std::string> answered;
@@ -239,7 +239,7 @@
   for (std::size_t i = 0; i < answered.size(); i += 1 + answered.size() / 400, ++checked) {
     CHECK(send_request(state, std::atoi(answered[i].c_str() + 1), ++label_number) == "served");
   }
-  state.servers_stop = true;
+  state.stop_servers = true;
   for (std::thread& t : threads) t.join();
   int executed_twice = 0, with_two_results = 0, runs = 0;
   for (const auto& [key, times] : state.executed) {
--- a/tests/store/processes_test.cpp
+++ b/tests/store/processes_test.cpp
@@ -104,7 +104,7 @@
     std::uint64_t reported = w.last_reported(static_cast<int>(20 + random() % 400));
     reported = std::max(reported, w.kill());
     posix_file_system fs;
-    const inspected read = inspect_tables(fs, folder, now);  // also compares the checkpoint with the log
+    const store_content read = inspect_tables(fs, folder, now);  // also compares the checkpoint with the log
     tables t(fs, options(folder), now);
     const auto left = t.get("left", "last", now), right = t.get("right", "last", now);
     CHECK(left && left == right);
--- a/tests/store/tables_test.cpp
+++ b/tests/store/tables_test.cpp
@@ -61,11 +61,11 @@
     if (v.expiry == 0 || now < v.expiry) out[row_key] = v.value;
   return out;
 }
-std::map<std::pair<std::string, std::string>, std::string> read_all(const tables& t, std::int64_t now,
-                                                                    std::optional<tables::snapshot> of = {}) {
+std::map<std::pair<std::string, std::string>, std::string> read_all(
+    const tables& t, std::int64_t now, std::optional<tables::snapshot> as_of = {}) {
   std::map<std::pair<std::string, std::string>, std::string> out;
   for (const char* table : table_names)
-    t.scan(table, "", "", now, of, [&](const std::string& k, const std::string& v) {
+    t.scan(table, "", "", now, as_of, [&](const std::string& k, const std::string& v) {
       return out[{table, k}] = v, true;
     });
   return out;
@@ -144,14 +144,14 @@
             else
               b.put(table, key, std::to_string(seed++) + std::string(argument % 90, 'v'));
           }
-          const durability how = operation < 4 ? durability::now : durability::lazily;
+          const durability mode = operation < 4 ? durability::now : durability::lazily;
           const state next = after(possible.back(), b, now);
           in_doubt.push_back(next);
-          const verdict v = t->commit(b, how, now);
+          const verdict v = t->commit(b, mode, now);
           in_doubt.pop_back();
           if (!v.may) break;
           possible.push_back(next);
-          if (how == durability::now) durable();
+          if (mode == durability::now) durable();
           break;
         }
         case 7: t->flush(now); break;
@@ -298,6 +298,8 @@
   return std::nullopt;
 }
 
+// Truncates each file at each byte, or flips a bit of each byte. Guards against recovery that silently loses
+// committed batches or recovers a state that never existed.
 void recovery_with_damaged_byte(bool flip_bit) {
   const recorded r = record_history();
   const std::size_t last = r.states.size() - 1;
@@ -371,7 +373,7 @@
 
 // Cold keys among keys that are overwritten continuously: the space on disk and the bytes copied by cleaning
 // must stay within the bounds of the amplification.
-void amplification() {
+void amplification_stays_within_bound() {
   for (const double amplification_bound : {1.5, 2.0, 4.0}) {
     crash::fs fs;
     tables_options o = options(4096);
@@ -409,7 +411,7 @@
 // Without cleaning, writers are rejected with a retry time before the space that cleaning needs is used up,
 // and cleaning then frees space. At the limit of live bytes they are rejected without a retry time, until
 // keys are erased.
-void back_pressure() {
+void writers_are_rejected_before_space_runs_out() {
   crash::fs fs;
   tables t(fs, options(), second);
   batch b;
@@ -431,10 +433,10 @@
   CHECK(kept > 20 && kept < 10000);
   CHECK(t.commit(b, durability::now, second).may ||
         t.clean_step(second));  // existing keys can be overwritten
-  batch gone;
-  gone.erase("for-ever", "f0");
-  gone.erase("for-ever", "f1");
-  while (!t.commit(gone, durability::now, second).may) CHECK(t.clean_step(second));
+  batch erasures;
+  erasures.erase("for-ever", "f0");
+  erasures.erase("for-ever", "f1");
+  while (!t.commit(erasures, durability::now, second).may) CHECK(t.clean_step(second));
   batch fresh;
   fresh.put("for-ever", "one-more", std::string(100, 'v'));
   while (!(v = t.commit(fresh, durability::now, second)).may) CHECK(v.come_back && t.clean_step(second));
@@ -577,7 +579,7 @@
 
 // The disk fails and recovers: a failed commit must have no effect, and buffered batches are written
 // afterwards.
-void failing_disk() {
+void failed_commit_has_no_effect() {
   crash::fs fs;
   tables t(fs, options(), second);
   batch kept, lost, waiting;
@@ -613,7 +615,7 @@
 void cleaning_on_a_failing_disk() {
   std::size_t failed = 0;
   for (const bool permanent : {false, true})
-    for (const crash::fault how : {crash::fault::error, crash::fault::cut_short})
+    for (const crash::fault fault_kind : {crash::fault::error, crash::fault::cut_short})
       for (std::uint64_t call = 1; call <= 60; ++call) {
         crash::fs fs;
         state expected;
@@ -626,18 +628,18 @@
             if (!t.commit(b, durability::now, second).may) break;
             expected = after(expected, b, second);
           }
-          fs.how = how;
+          fs.how = fault_kind;
           fs.stays_broken = permanent;
           fs.calls = 0;
           fs.fail_at = call;
           int tries = 0;
-          for (bool argument = true; argument && tries < 50;) {
+          for (bool unfinished = true; unfinished && tries < 50;) {
             try {
               while (t.clean_step(second)) {
               }
               while (t.checkpoint_step(second)) {
               }
-              argument = false;
+              unfinished = false;
             } catch (const io_error&) {
               ++failed;
               CHECK(read_all(t, second) == visible(expected, second));
@@ -662,7 +664,7 @@
 }
 
 // Batches that can never be accepted throw; the limit of keys rejects only batches with new keys.
-void bounds() {
+void limits_reject_batches() {
   crash::fs fs;
   tables_options o = options();
   o.most_keys = 3;
@@ -701,7 +703,7 @@
 // The service's thread: concurrent commits share syncs and are completed in order; continuous slices do not
 // starve commits; a full queue refuses requests; buffered batches are written at the end; a failed frame puts
 // all batches of its group in doubt.
-void service() {
+void service_groups_commits_in_order() {
   char name[] = "/tmp/marblewharf-service-XXXXXX";
   CHECK(::mkdtemp(name) != nullptr);
   const std::string folder = name;
@@ -725,30 +727,30 @@
     std::thread slices([&] {
       while (!stop_slices) s.step(table_service::work::clean);
     });
-    std::uint64_t asked = 0, answered = 0, full = 0;
-    while (answered < 4000) {
+    std::uint64_t submitted = 0, completed = 0, full = 0;
+    while (completed < 4000) {
       batch b;
-      b.put("for-ever", "k" + std::to_string(asked % 200), std::to_string(asked));
-      if (asked < 4000) {
-        if (s.commit(asked, b, asked % 4 == 3 ? durability::lazily : durability::now))
-          ++asked;
+      b.put("for-ever", "k" + std::to_string(submitted % 200), std::to_string(submitted));
+      if (submitted < 4000) {
+        if (s.commit(submitted, b, submitted % 4 == 3 ? durability::lazily : durability::now))
+          ++submitted;
         else
           ++full;
       }
       std::vector<table_service::done> out;
       s.collect(out);
       for (const auto& d : out) {
-        CHECK(d.ticket == answered && d.v.may && d.fault.empty());  // in request order
-        ++answered;
+        CHECK(d.ticket == completed && d.v.may && d.fault.empty());  // in request order
+        ++completed;
       }
     }
     stop_slices = true;
     slices.join();
     const auto f = s.show();
     std::printf("%llu frames for %llu batches, queue full %llu times, %llu segments cleaned\n",
-                static_cast<unsigned long long>(f.frames), static_cast<unsigned long long>(asked),
+                static_cast<unsigned long long>(f.frames), static_cast<unsigned long long>(submitted),
                 static_cast<unsigned long long>(full), static_cast<unsigned long long>(f.cleaned));
-    CHECK(f.frames < asked / 2 && full > 0 && f.cleaned > 0);
+    CHECK(f.frames < submitted / 2 && full > 0 && f.cleaned > 0);
     CHECK(s.get(1, "for-ever", "k7") && s.get(2, "for-ever", "none"));
     batch last;
     last.put("for-ever", "last", "lazy");
@@ -787,26 +789,26 @@
   CHECK(t.get("for-ever", "two", second) == "2");
 }
 
-// The real file system, except that writes fail while `out` is set.
-class outage : public posix_file_system {
+// The real file system, except that writes fail while `failing` is set.
+class switchable_disk : public posix_file_system {
  public:
-  std::atomic<bool> out = false;
+  std::atomic<bool> failing = false;
   std::unique_ptr<file> create(const std::string& path, std::uint64_t size) override {
-    if (out) throw io_error(path + ": injected fault");
+    if (failing) throw io_error(path + ": injected fault");
     return std::make_unique<handle>(*this, posix_file_system::create(path, size));
   }
 
  private:
   struct handle : file {
-    handle(outage& d, std::unique_ptr<file> f) : disk(d), under(std::move(f)) {}
+    handle(switchable_disk& d, std::unique_ptr<file> f) : disk(d), file_below(std::move(f)) {}
     void write_at(std::uint64_t offset, std::string_view bytes) override {
-      if (disk.out) throw io_error("injected fault");
-      under->write_at(offset, bytes);
+      if (disk.failing) throw io_error("injected fault");
+      file_below->write_at(offset, bytes);
     }
-    void sync() override { under->sync(); }
-    void truncate(std::uint64_t size) override { under->truncate(size); }
-    outage& disk;
-    std::unique_ptr<file> under;
+    void sync() override { file_below->sync(); }
+    void truncate(std::uint64_t size) override { file_below->truncate(size); }
+    switchable_disk& disk;
+    std::unique_ptr<file> file_below;
   };
 };
 
@@ -816,7 +818,7 @@
 void service_detects_disk_recovery() {
   char name[] = "/tmp/marblewharf-outage-XXXXXX";
   CHECK(::mkdtemp(name) != nullptr);
-  const auto disk = std::make_shared<outage>();
+  const auto disk = std::make_shared<switchable_disk>();
   tables_options o = options(16 << 10);
   o.folder = name;
   table_service s(
@@ -824,7 +826,7 @@
       [] { return second; }, [] {});
   std::vector<table_service::done> out;
   CHECK(s.collect(out).writable);
-  const auto until_writable = [&](bool writable) {
+  const auto wait_until_writable_is = [&](bool writable) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
     table_service::condition c = s.collect(out);
     for (; c.writable != writable; c = s.collect(out)) {
@@ -833,13 +835,13 @@
     }
     return c;
   };
-  disk->out = true;
+  disk->failing = true;
   batch b;
   b.put("for-ever", "k", "v");
   CHECK(s.commit(1, b, durability::now));
-  CHECK(until_writable(false).fault.find("injected fault") != std::string::npos);
-  disk->out = false;
-  const table_service::condition c = until_writable(true);
+  CHECK(wait_until_writable_is(false).fault.find("injected fault") != std::string::npos);
+  disk->failing = false;
+  const table_service::condition c = wait_until_writable_is(true);
   CHECK(c.fault.empty() && c.rules.of(c.disk, 1000, 1000).may);
   CHECK(!c.rules.of(c.disk, 1000, static_cast<std::int64_t>(c.rules.max_live_bytes()) + 1).may);
   CHECK(s.commit(2, b, durability::now));
@@ -918,16 +920,16 @@
       {"truncation", [] { recovery_with_damaged_byte(false); }},
       {"corruption", [] { recovery_with_damaged_byte(true); }},
       {"foreign_files", missing_and_foreign_files_are_reported},
-      {"amplification", amplification},
-      {"back_pressure", back_pressure},
+      {"amplification", amplification_stays_within_bound},
+      {"back_pressure", writers_are_rejected_before_space_runs_out},
       {"snapshots", snapshot_blocks_cleaning},
       {"checkpoint", checkpoint_shortens_replay_and_clock_never_goes_back},
       {"checkpoint_with_buffered_values", checkpoint_ignores_buffered_values},
       {"backup", backup_and_restore},
-      {"failing_disk", failing_disk},
-      {"bounds", bounds},
+      {"failing_disk", failed_commit_has_no_effect},
+      {"bounds", limits_reject_batches},
       {"failing_cleaning", cleaning_on_a_failing_disk},
-      {"service", service},
+      {"service", service_groups_commits_in_order},
       {"group_commit", group_is_accepted_up_to_the_limits},
       {"disk_recovers", service_detects_disk_recovery},
       {"expiry_passes", expiry_passes}};
--- a/tests/store/versions_test.cpp
+++ b/tests/store/versions_test.cpp
@@ -92,7 +92,7 @@
     const auto live = *rc::gen::inRange<std::uint64_t>(0, used + 1);
     const std::uint64_t bytes = *rc::gen::inRange<std::uint64_t>(1, segment / 4 + 1);
     const std::uint64_t room = (rules.space - used) / segment * (segment - segment / 4 - 80);
-    const sizes disk{used, live, room};
+    const disk_sizes disk{used, live, room};
     const verdict v = c.of(disk, bytes, static_cast<std::int64_t>(bytes));
     if (v.may) RC_ASSERT(room >= c.reserve() + bytes && live + bytes <= c.max_live_bytes());
     if (!v.may && !v.come_back) RC_ASSERT(live + bytes > c.max_live_bytes());
@@ -105,7 +105,7 @@
   CHECK(!cleaning({1000, 100'000, 2}).of({96'000, 10'000, 2099}, 100, 100).may);
   // The retry time depends on the measured cleaning rate, within bounds.
   cleaning c({1000, 100'000, 2});
-  const sizes full{99'000, 10'000, 0};
+  const disk_sizes full{99'000, 10'000, 0};
   CHECK(c.of(full, 100, 100).come_back ==
         std::chrono::milliseconds(100));  // no rate measured yet: the minimum
   c.on_cleaned(1000, 500, std::chrono::seconds(1));
