--- a/src/store/tables.hpp
+++ b/src/store/tables.hpp
@@ -34,14 +34,14 @@
 struct tables_options {
   std::string folder;
   cleaning_rules disk;
-  std::map<std::string, std::chrono::nanoseconds> life = {};  // by table: time from a put to its expiry;
-                                                              // rows of other tables never expire
+  // By table: the time from a put to its expiry. Rows of tables that are not listed never expire.
+  std::map<std::string, std::chrono::nanoseconds> life = {};
   std::size_t most_keys = 1'000'000;
   std::size_t max_key_bytes = 4096;
   // Lazy batches buffered in memory, at most; never more than a quarter of a segment.
   std::uint64_t max_buffered_bytes = std::uint64_t{256} << 10;
   std::chrono::nanoseconds max_buffered_time = std::chrono::seconds(1);  // of a lazy batch
-  std::chrono::nanoseconds max_snapshot_age = std::chrono::minutes(1);   // then it is closed
+  std::chrono::nanoseconds max_snapshot_age = std::chrono::minutes(1);   // older snapshots are closed
   std::size_t slice_keys = 256;                         // visited in a slice of a checkpoint or of expiry
   std::uint64_t slice_bytes = std::uint64_t{64} << 10;  // copied in a slice of cleaning
   std::uint64_t salt = 0;                               // used for a new folder only
@@ -240,14 +240,15 @@
   figures figures_;
 };
 
-// Reads and verifies a folder that no process has locked, and changes nothing in it. Rows that have expired
-// by `now` are skipped. Throws held, io_error or damaged.
+// What inspect_tables() found in a folder.
 struct store_content {
   recovered_counts log;
   std::uint64_t older = 0;                  // records of the format that preceded tables
   std::map<std::string, std::size_t> keys;  // by table
   std::optional<recovered_checkpoint> checkpoint;
 };
+// Reads and verifies a folder that no process has locked, and changes nothing in it. Rows that have expired
+// by `now` are skipped. Throws held, io_error or damaged.
 store_content inspect_tables(
     file_system& fs, const std::string& folder, std::int64_t now,
     const std::function<void(const std::string& table, const std::string& key, const std::string& value,
--- a/tests/idempotency/crash_fs.hpp
+++ b/tests/idempotency/crash_fs.hpp
@@ -24,7 +24,7 @@
 
 class fs : public file_system {
  public:
-  std::uint64_t calls = 0;
+  std::uint64_t calls = 0;    // modifying calls so far
   std::uint64_t fail_at = 0;  // number of the modifying call that fails; 0 = none
   fault how = fault::none;
   bool stays_broken = false;  // all later modifying calls fail, too
--- a/tests/idempotency/durable_service_test.cpp
+++ b/tests/idempotency/durable_service_test.cpp
@@ -93,11 +93,11 @@
     dispatch.use(*service, 10s);
   }
   request_id submit(const std::string& key) {
-    request f;
-    f.payload = "price";
-    f.reserved_kb = 1;
-    f.key = key;
-    return dispatch.on_arrival(*this, *this, std::move(f));
+    request arriving;
+    arriving.payload = "price";
+    arriving.reserved_kb = 1;
+    arriving.key = key;
+    return dispatch.on_arrival(*this, *this, std::move(arriving));
   }
   void respond(request_id id, const answer& final) override {
     CHECK(!answers.contains(id));  // exactly one final answer per request
@@ -105,8 +105,8 @@
     results[id] = final.result;
   }
   void close_idle(duration) override {}
-  void run(request_id id, const request& what) override {
-    ++runs[what.key];
+  void run(request_id id, const request& started) override {
+    ++runs[started.key];
     running.push_back(id);
   }
   void pause(request_id) override { CHECK(false && "a keyed run must not be paused"); }
--- a/tests/idempotency/kill_test.cpp
+++ b/tests/idempotency/kill_test.cpp
@@ -107,15 +107,15 @@
     if (!door.waiting(50)) continue;
     frail c = frail::accepted(door.fd());
     std::string in;
-    const auto whole = [&] {
+    const auto complete = [&] {
       if (in.size() < 4) return false;
       const std::size_t vars =
           static_cast<std::uint8_t>(in[1]) | static_cast<std::size_t>(static_cast<std::uint8_t>(in[2])) << 8;
       return in.size() >= 4 + vars + 8;  // bodies have 8 bytes
     };
-    while (!whole() && c.more(in)) {
+    while (!complete() && c.more(in)) {
     }
-    if (!whole()) continue;
+    if (!complete()) continue;
     const std::string result = state.execute(in.substr(in.size() - 8));
     std::this_thread::sleep_for(std::chrono::microseconds(random() % 4000));
     c.send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(result.size()) + "\r\n\r\n" + result);
@@ -138,10 +138,10 @@
     fields f = usual(label_number, "kurs-meldung");
     f.emplace_back("key", key);
     c.send(execute(1, f, key));
-    const auto whole = [&] { return in.size() >= 4 && in.size() >= 4 + to_u32(in); };
-    while (!whole() && c.more(in)) {
+    const auto complete = [&] { return in.size() >= 4 && in.size() >= 4 + to_u32(in); };
+    while (!complete() && c.more(in)) {
     }
-    if (!whole()) return state.record_answer("cut off", key, "");
+    if (!complete()) return state.record_answer("cut off", key, "");
     const std::string p = in.substr(4);
     const std::size_t name = to_u32(std::string_view(p).substr(4));
     const reply r{"", 0, p.substr(12 + name)};
