--- a/src/admission_policy/overload_detector.cpp
+++ b/src/admission_policy/overload_detector.cpp
@@ -14,8 +14,8 @@
 constexpr double low_accepted_fraction = 0.5;
 // A read rate above this multiple of this server's quota indicates overload everywhere.
 constexpr double over_quota_factor = 1.1;
-// Excess over the quota, as a fraction of the quota, from which on every rejected request counts as rejected
-// everywhere.
+// Excess over the quota, as a fraction of the quota, from which on overloaded_everywhere returns true for
+// every rejected request.
 constexpr double certain_excess = 1.2;
 // From this multiple of the quota on, the cost of the reads explains why runs are slow.
 constexpr double flood_factor = 2;
@@ -42,7 +42,7 @@
   if (!retries_marked_) return reads_per_second_ > over_quota_factor * total_quota_;
   // Marked retries are rejected once their objective has passed, so a request that is retried at several
   // servers costs less. On a small server a small excess of reads may be random, and other servers may have
-  // capacity. Only a fraction of the rejected requests is therefore reported as rejected everywhere.
+  // capacity. The result is therefore true for a fraction of the rejected requests only.
   accumulated_excess_ += std::clamp((reads_per_second_ / total_quota_ - 1) / certain_excess, 0.0, 1.0);
   if (accumulated_excess_ < 1) return false;
   accumulated_excess_ -= 1;
--- a/src/admission_policy/service_time_estimator.cpp
+++ b/src/admission_policy/service_time_estimator.cpp
@@ -17,7 +17,8 @@
 // A run always counts as having at least this fraction of its work left, even if it takes longer than
 // estimated.
 constexpr double min_remaining_fraction = 0.3;
-// Until this many runs per core have ended at full speed, the best time is set to the current time.
+// Until this many runs per core have ended at full speed, the best time follows the current time per
+// unit.
 constexpr double learning_runs_per_core = 5;
 // Factor by which the best time grows in each control window, so that an outdated best time is forgotten.
 constexpr double best_time_growth = 1.001;
