--- a/tests/admission_policy/policy_test.cpp
+++ b/tests/admission_policy/policy_test.cpp
@@ -189,8 +189,8 @@
   EXPECT_EQ(harness.ids_of<start>(), (id_list{4}));
 }
 
-// Half of twelve cores are idle, so six more runs find a core. Growth by one run at a time would leave cores
-// idle for seconds while work is rejected.
+// Half of twelve cores wait for disk I/O, so six more runs find a core. Growth by one run at a time would
+// leave cores idle for seconds while work is rejected.
 TEST(Limit, GrowsByTheNumberOfIdleCores) {
   settings policy_settings = plain_settings();
   policy_settings.cores = 12;
@@ -237,8 +237,8 @@
   EXPECT_TRUE(harness.ids_of<reject>().empty());
 }
 
-// Runs that take several times their expected work make the server appear slow. It must still start one
-// request at a time; otherwise its estimate could never recover.
+// Runs that take 900 ms instead of the expected 200 ms make the server appear slow. The server must still
+// start one request at a time; otherwise its estimate could never recover.
 TEST(Shedding, SlowServerKeepsStartingOneRequestAtATime) {
   policy_harness harness(plain_settings());
   arrival attempt = make_arrival(1);
@@ -346,8 +346,8 @@
   }
 }
 
-// The limit grows on idle cores. Then runs take several times as long on busy cores: the limit is cut, but
-// never below the core count.
+// The limit of two cores grows while they are half idle and ten runs per second end. Then the cores are busy
+// and only one run per second ends: the limit is cut, but never below the core count.
 TEST(Limit, IsCutOnlyWhenRunsSlowDownOnBusyCores) {
   settings policy_settings = plain_settings();
   policy_settings.classes[0].latency_objective = 60s;
