--- a/src/admission_policy/dependency_call_admission.cpp
+++ b/src/admission_policy/dependency_call_admission.cpp
@@ -129,7 +129,8 @@
   best_round_trip_s_ -= gain > 0 ? gain * best_gain_fraction : -best_round_trip_s_ * best_growth_fraction;
 }
 
-// One call is always allowed while enough of the period's budget is left.
+// A quota below one call still allows one call at a time, while enough of the period's budget is left and no
+// overuse remains as debt.
 bool dependency_call_admission::may_place(unsigned in_flight) const {
   const double budget = period_budget();
   if (effective_in_flight(in_flight) + 1 > std::max(1.0, call_quota())) return false;
--- a/src/simulator_adapter/wire.hpp
+++ b/src/simulator_adapter/wire.hpp
@@ -44,12 +44,13 @@
   time_point now{};
 };
 
-// Throw bad_frame for invalid input.
+// Both functions throw bad_frame if the input is truncated or invalid.
 batch_header decode_header(std::string_view bytes);
 std::vector<record> decode_batch(std::string_view body);
 
-// Append a record to the reply.
+// Appends an action to the reply.
 void encode(std::string& reply, instance_id instance, const action& encoded);
+// Appends a report that the settings of the instance are invalid.
 void encode_fault(std::string& reply, instance_id instance, std::string_view text);
 // The header that is sent before the reply. It contains the size of the reply.
 std::string reply_header(std::size_t body_size);
