--- a/src/runtime/base64.hpp
+++ b/src/runtime/base64.hpp
@@ -1,4 +1,4 @@
-// Base64 with padding (RFC 4648), in which the runtime's lines carry bytes.
+// Base64 with padding (RFC 4648). The runtime's JSON messages carry binary data in this encoding.
 #pragma once
 
 #include <stdexcept>
@@ -7,7 +7,7 @@
 
 namespace marblewharf::runtime {
 
-// A text that is no base64; what() says why.
+// The text is not valid base64; what() says why.
 struct bad_base64 : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
--- a/src/runtime/command_sequence.hpp
+++ b/src/runtime/command_sequence.hpp
@@ -1,5 +1,5 @@
-// Sends commands to the runtime and notes in each run what it was told and which answer shows that it
-// arrived.
+// Sends commands to the runtime. Records in each run which command was sent last and which gauge query
+// confirms that the command has arrived.
 #pragma once
 
 #include <cstdint>
@@ -8,42 +8,43 @@
 
 #include "admission_policy/policy.hpp"
 #include "core/request.hpp"
-#include "runtime/gauge_questions.hpp"
+#include "runtime/gauge_queries.hpp"
 #include "runtime/messages.hpp"
 #include "runtime/tracked_run.hpp"
 #include "runtime/transport.hpp"
 
 namespace marblewharf::runtime {
 
-// Any command may find the connection lost; the transport's observer is told then. Owned by the reactor's
-// thread.
+// Sending a command can reveal that the connection is lost; the transport then notifies its observer. Used
+// only on the reactor's thread.
 class command_sequence {
  public:
-  // All that is passed in outlives this object.
+  // All arguments outlive this object.
   command_sequence(transport& connection, const limits& bounds,
                    const std::vector<admission_policy::class_settings>& classes);
 
   void sync(std::uint64_t last_serial);
-  // Asks for the gauges; returns the question's number.
-  std::uint64_t ask_for_gauges(time_point now);
+  // Requests the gauges; returns the number of the query.
+  std::uint64_t query_gauges(time_point now);
   void start(tracked_run& run);
-  // As the dispatcher last wanted it.
+  // Sends stop or continue, whichever the dispatcher requested last.
   void stop_or_continue(tracked_run& run);
-  // Pauses the run only to learn whether its start arrived.
+  // Stops the run only to find out whether its start command arrived.
   void probe(tracked_run& run);
-  // Stops a run for good that is tracked no longer.
+  // Sends a stop for a run without tracking its delivery.
   void stop(const std::string& label);
 
-  gauge_questions& questions() { return questions_; }
-  const gauge_questions& questions() const { return questions_; }
+  gauge_queries& queries() { return queries_; }
+  const gauge_queries& queries() const { return queries_; }
 
  private:
   void send(const any_command& command);
+  // Marks the run's last command as undelivered until the next gauge query is answered.
   void expect_delivery(tracked_run& run);
 
   transport& transport_;
   const std::vector<admission_policy::class_settings>& classes_;
-  gauge_questions questions_;
+  gauge_queries queries_;
 };
 
 }  // namespace marblewharf::runtime
--- a/src/runtime/link.cpp
+++ b/src/runtime/link.cpp
@@ -22,22 +22,24 @@
 
 link::~link() = default;
 
-// The runtime knows runs by label, and only one of each name. Of two requests with one label, the runtime's
-// answer shows which one made it up: this guards the honest one where the other came first.
-void link::run(request_id id, const request& what) {
-  const auto [position, added] = runs_.try_emplace(what.label);
+// The runtime identifies runs by label and accepts one run for each label. If two open requests have the same
+// label, the runtime's response shows which of them has a label that the runtime does not know. The second
+// request is kept until then, so that a request with an invented label cannot displace the genuine one by
+// arriving first.
+void link::run(request_id id, const request& details) {
+  const auto [position, inserted] = runs_.try_emplace(details.label);
   tracked_run& tracked = position->second;
-  labels_.emplace(id, what.label);
-  if (!added) {
-    log("bad-request", "a label that is open already: %s", what.label.c_str());
-    tracked.rivals.push_back({id, what});
-    if (tracked.start == start_progress::delivered) withdraw_rival(tracked, id);
+  labels_.emplace(id, details.label);
+  if (!inserted) {
+    log("bad-request", "label %s is already used by an open request", details.label.c_str());
+    tracked.conflicting_requests.push_back({id, details});
+    if (tracked.start == start_progress::delivered) reject_conflicting_request(tracked, id);
     return;
   }
   tracked.id = id;
-  tracked.label = what.label;
-  tracked.request_class = what.request_class;
-  tracked.payload = what.payload;
+  tracked.label = details.label;
+  tracked.request_class = details.request_class;
+  tracked.payload = details.payload;
   if (state_ == state::up) commands_.start(tracked);
 }
 
@@ -55,7 +57,7 @@
   const auto position = runs_.find(label->second);
   tracked_run& tracked = position->second;
   if (tracked.id != id) {
-    if (stop) withdraw_rival(tracked, id);
+    if (stop) reject_conflicting_request(tracked, id);
     return;
   }
   tracked.stop_wanted = stop;
@@ -66,27 +68,29 @@
   }
 }
 
-// The rival did not run, and never will.
-void link::withdraw_rival(tracked_run& run, request_id rival) {
-  std::erase_if(run.rivals, [&](const label_rival& candidate) { return candidate.id == rival; });
-  labels_.erase(rival);
+// The conflicting request was never sent to the runtime, so it ends as unknown.
+void link::reject_conflicting_request(tracked_run& run, request_id id) {
+  std::erase_if(run.conflicting_requests,
+                [&](const conflicting_request& candidate) { return candidate.id == id; });
+  labels_.erase(id);
   reactor_.wake();
-  dispatcher_.on_end(rival, run_end::unknown_request, {}, {});
+  dispatcher_.on_end(id, run_end::unknown_request, {}, {});
 }
 
-// Where the runtime did not know the run, its rivals may be the honest ones.
-void link::finish(run_table::iterator position, run_end how, std::string_view result, duration elapsed) {
+// If the runtime did not know the finished run, one of the conflicting requests may be the genuine one, so
+// they are started.
+void link::finish(run_table::iterator position, run_end end, std::string_view result, duration elapsed) {
   const tracked_run finished = std::move(position->second);
   labels_.erase(finished.id);
   runs_.erase(position);
   reactor_.wake();
-  dispatcher_.on_end(finished.id, how, result, elapsed);
-  for (const auto& [rival, what] : finished.rivals) {
-    labels_.erase(rival);
-    if (how == run_end::unknown_request) {
-      run(rival, what);
+  dispatcher_.on_end(finished.id, end, result, elapsed);
+  for (const auto& [id, details] : finished.conflicting_requests) {
+    labels_.erase(id);
+    if (end == run_end::unknown_request) {
+      run(id, details);
     } else {
-      dispatcher_.on_end(rival, run_end::unknown_request, {}, {});
+      dispatcher_.on_end(id, run_end::unknown_request, {}, {});
     }
   }
 }
@@ -98,20 +102,21 @@
   }
 }
 
-// What waits for all commands to arrive goes on with the answer.
-void link::ask_and_settle(time_point now) {
-  settling_question_ = commands_.ask_for_gauges(now);
+// Sends a gauge query whose answer confirms that all earlier commands have arrived. The state machine
+// continues when on_notice() receives the answer.
+void link::send_fence_query(time_point now) {
+  fence_query_ = commands_.query_gauges(now);
 }
 
-// What was decided while nothing could be sent. Ends where the connection is lost meanwhile: the rest stays
-// held back.
-void link::send_held_back() {
+// Sends the commands that were deferred while the link was not up. Stops if a send reveals that the
+// connection is lost; the remaining commands stay deferred.
+void link::send_deferred_commands() {
   state_ = state::up;
   for (auto& [label, run] : runs_) {
     if (state_ != state::up) return;
     if (run.start == start_progress::not_sent) {
       commands_.start(run);
-    } else if (run.stop_wanted != run.stop_told && !run.probing) {
+    } else if (run.stop_wanted != run.stop_sent && !run.probing) {
       commands_.stop_or_continue(run);
     }
   }
@@ -119,20 +124,21 @@
 
 time_point link::step(time_point now) {
   const limits& bounds = config_.bounds;
-  if (state_ == state::down && now >= next_attempt_) connect(now);
-  if (state_ == state::connecting && now > attempt_began_ + bounds.connect)
-    on_connection_lost("no answer to a connect");
-  if (state_ == state::handing_over && now > attempt_began_ + bounds.hand_over) keep_current_connection(now);
-  if (state_ == state::up && moving_ && now >= next_attempt_) begin_hand_over(now);
-  if (state_ == state::up && now >= commands_.questions().due()) commands_.ask_for_gauges(now);
-  if (state_ == state::down) return next_attempt_;
-  return state_ == state::up ? commands_.questions().due() : now + bounds.longest_poll;
+  if (state_ == state::down && now >= next_attempt_at_) connect(now);
+  if (state_ == state::connecting && now > attempt_started_at_ + bounds.connect)
+    on_connection_lost("connect timed out");
+  if (state_ == state::handing_over && now > attempt_started_at_ + bounds.hand_over)
+    keep_current_connection(now);
+  if (state_ == state::up && address_changed_ && now >= next_attempt_at_) begin_hand_over(now);
+  if (state_ == state::up && now >= commands_.queries().next_due()) commands_.query_gauges(now);
+  if (state_ == state::down) return next_attempt_at_;
+  return state_ == state::up ? commands_.queries().next_due() : now + bounds.longest_poll;
 }
 
 void link::connect(time_point now) {
-  next_attempt_ = now + config_.bounds.reconnect_every;
+  next_attempt_at_ = now + config_.bounds.reconnect_every;
   state_ = state::connecting;
-  attempt_began_ = now;
+  attempt_started_at_ = now;
   try {
     transport_.connect(address_);
   } catch (const Poco::Exception& error) {
@@ -144,22 +150,23 @@
 void link::move(const Poco::Net::SocketAddress& address) {
   if (address == address_) return;
   address_ = address;
-  transport_.close_successor();  // of an earlier move that is not done
-  moving_ = up();
+  transport_.close_successor();  // left over from an unfinished earlier move
+  address_changed_ = up();
   if (state_ == state::handing_over) keep_current_connection(net::steady_now());
-  next_attempt_ = {};
-  // On a connection that is not up only the sync was sent, which the next one repeats.
-  if (!moving_ && state_ != state::down) on_connection_lost("moved");
+  next_attempt_at_ = {};
+  // While the link is not up, the connection has carried only sync and gauge queries, which the next
+  // connection repeats.
+  if (!address_changed_ && state_ != state::down) on_connection_lost("address changed");
   reactor_.wake();
 }
 
 void link::begin_hand_over(time_point now) {
   state_ = state::handing_over;
-  attempt_began_ = now;
-  ask_and_settle(now);
+  attempt_started_at_ = now;
+  send_fence_query(now);
 }
 
-// All commands on the old connection have arrived.
+// Called once all commands on the old connection have arrived.
 void link::connect_successor(time_point now) {
   if (transport_.has_successor()) return;
   try {
@@ -170,15 +177,16 @@
   }
 }
 
-// The new address does not answer yet: what was held back goes to the old one as long as that lasts.
+// Called if the new address does not answer yet: deferred commands are sent on the old connection, which
+// stays in use until it is lost or an attempt succeeds.
 void link::keep_current_connection(time_point now) {
   transport_.close_successor();
-  next_attempt_ = now + config_.bounds.reconnect_every;
-  send_held_back();
+  next_attempt_at_ = now + config_.bounds.reconnect_every;
+  send_deferred_commands();
 }
 
 void link::on_connected() {
-  moving_ = false;
+  address_changed_ = false;
   state_ = state::syncing;
   sync_sent_at_ = net::steady_now();
   commands_.sync(last_serial_);
@@ -191,10 +199,10 @@
 void link::on_connection_lost(const char* reason) {
   if (state_ != state::connecting) {
     ++counters_.links_lost;
-    log("link-lost", "runtime: %s; %zu runs", reason, runs_.size());
+    log("link-lost", "runtime: %s; %zu runs open", reason, runs_.size());
   }
   state_ = state::down;
-  moving_ = false;
+  address_changed_ = false;
   transport_.close();
 }
 
@@ -212,15 +220,15 @@
   using finding = start_estimate::finding;
   const time_point now = net::steady_now();
   const finding found = runtime_start_.on_ready(sync_sent_at_, now, notice.uptime);
-  log("runtime", "%s, up for %lld ms, %zu runs", notice.starting ? "starting" : "running",
+  log("runtime", "%s, up for %lld ms, %zu runs open", notice.starting ? "starting" : "running",
       static_cast<long long>(notice.uptime / std::chrono::milliseconds(1)), runs_.size());
   if (found == finding::first_start) dispatcher_.on_server_up(notice.starting, now - notice.uptime);
   if (found == finding::restarted) {
-    last_serial_ = 0;  // its serials may begin anew
+    last_serial_ = 0;  // the restarted runtime may restart its serial numbers
     lose_all_runs();
   }
   state_ = state::catching_up;
-  ask_and_settle(net::steady_now());
+  send_fence_query(net::steady_now());
 }
 
 bool link::is_new(std::uint64_t serial) {
@@ -234,36 +242,38 @@
   const auto position = runs_.find(notice.label);
   if (position == runs_.end()) return;
   if (notice.result.size() > config_.bounds.result) {
-    log("bad-line", "a result of %zu bytes", notice.result.size());
+    log("bad-line", "runtime: result of %zu bytes exceeds the limit; run reported as lost",
+        notice.result.size());
     finish(position, run_end::lost, {}, notice.elapsed);
     return;
   }
   tracked_run& run = position->second;
   const bool probed = std::exchange(run.probing, false);
-  if (probed && notice.how == run_end::aborted && !run.stop_wanted) {  // the probe paused it: it goes on
+  if (probed && notice.outcome == run_end::aborted && !run.stop_wanted) {
+    // The probe paused the run, so it has to continue.
     run.start = start_progress::delivered;
-    run.stop_told = true;
+    run.stop_sent = true;
     if (state_ == state::up) commands_.stop_or_continue(run);
     return;
   }
-  finish(position, notice.how, notice.result, notice.elapsed);
+  finish(position, notice.outcome, notice.result, notice.elapsed);
 }
 
 void link::on_notice(const gauges_notice& notice) {
   const time_point now = net::steady_now();
-  const std::uint64_t question = commands_.questions().on_answer(notice, now);
-  // While catching up, earlier commands went over a connection that is lost: settle() decides on them.
-  if (state_ != state::catching_up) on_delivered(question);
-  if (state_ == state::catching_up && question >= settling_question_) settle();
-  if (state_ == state::handing_over && question >= settling_question_) connect_successor(now);
+  const std::uint64_t query = commands_.queries().on_answer(notice, now);
+  // While catching up, undelivered commands are those sent on the lost connection; finish_catching_up()
+  // recovers their runs.
+  if (state_ != state::catching_up) on_delivered(query);
+  if (state_ == state::catching_up && query >= fence_query_) finish_catching_up();
+  if (state_ == state::handing_over && query >= fence_query_) connect_successor(now);
 }
 
-// All commands sent before the question have been carried out.
-void link::on_delivered(std::uint64_t question) {
+void link::on_delivered(std::uint64_t query) {
   std::vector<std::string> labels;
   for (const auto& [label, run] : runs_) {
     const bool undelivered = run.start == start_progress::sent || !run.last_command_delivered;
-    if (run.fence <= question && undelivered) labels.push_back(label);
+    if (run.fence <= query && undelivered) labels.push_back(label);
   }
   for (const std::string& label : labels) {
     const auto position = runs_.find(label);
@@ -274,7 +284,7 @@
 void link::mark_delivered(run_table::iterator position) {
   tracked_run& run = position->second;
   run.last_command_delivered = true;
-  if (std::exchange(run.probing, false)) {  // the stop ended nothing: the run never started
+  if (std::exchange(run.probing, false)) {  // no end was reported for the stop: the run never started
     if (run.stop_wanted) {
       finish(position, run_end::never_started, {}, {});
     } else if (state_ == state::up) {
@@ -287,46 +297,47 @@
   if (run.start != start_progress::sent) return;
   run.start = start_progress::delivered;
   run.payload.clear();
-  while (!run.rivals.empty()) withdraw_rival(run, run.rivals.back().id);
+  while (!run.conflicting_requests.empty())
+    reject_conflicting_request(run, run.conflicting_requests.back().id);
 }
 
-// Every end until now is known. Where the connection is lost meanwhile, the next one settles what this one
-// left open.
-void link::settle() {
+// Called when all run ends up to now are known. If the connection is lost during the recovery, the recovery
+// after the next reconnect handles the remaining runs.
+void link::finish_catching_up() {
   state_ = state::up;
-  const std::vector<std::string> given_up = recover_runs();
-  for (const std::string& label : given_up) {
+  const std::vector<std::string> lost_labels = recover_runs();
+  for (const std::string& label : lost_labels) {
     if (state_ != state::up) return;
     commands_.stop(label);
     finish(runs_.find(label), run_end::lost, {}, {});
   }
   if (state_ != state::up) return;
-  send_held_back();
-  if (state_ == state::up) commands_.ask_for_gauges(net::steady_now());
+  send_deferred_commands();
+  if (state_ == state::up) commands_.query_gauges(net::steady_now());
 }
 
-// Returns the labels of those to give up.
+// Returns the labels of the runs to report as lost.
 std::vector<std::string> link::recover_runs() {
   const bool stops_pause = config_.settings.halt == admission_policy::halt_mode::pause;
-  std::vector<std::string> given_up;
+  std::vector<std::string> lost_labels;
   for (auto& [label, run] : runs_) {
-    if (state_ != state::up) return given_up;
+    if (state_ != state::up) return lost_labels;
     const auto effect = config_.settings.classes[run.request_class].effect;
     const bool may_run_twice = effect == admission_policy::request_effect::safe;
-    const recovery how = recovery_of(run, stops_pause, may_run_twice);
-    if (how == recovery::give_up) given_up.push_back(label);
-    recover(run, how);
+    const recovery action = recovery_action_for(run, stops_pause, may_run_twice);
+    if (action == recovery::report_lost) lost_labels.push_back(label);
+    recover(run, action);
   }
-  return given_up;
+  return lost_labels;
 }
 
-void link::recover(tracked_run& run, recovery how) {
-  switch (how) {
-    case recovery::nothing:
-    case recovery::give_up: return;
+void link::recover(tracked_run& run, recovery action) {
+  switch (action) {
+    case recovery::none:
+    case recovery::report_lost: return;
     case recovery::probe: commands_.probe(run); return;
-    case recovery::start_again:
-      run.start = start_progress::not_sent;  // sent with all that was held back
+    case recovery::restart:
+      run.start = start_progress::not_sent;  // sent with the deferred commands
       return;
     case recovery::repeat_stop: commands_.stop_or_continue(run); return;
   }
@@ -334,7 +345,7 @@
 
 void link::on_notice(const nack_notice& notice) {
   ++counters_.nacks;
-  log("nack", "runtime: %s of %s", notice.command.c_str(), notice.label.c_str());
+  log("nack", "runtime rejected %s of %s", notice.command.c_str(), notice.label.c_str());
   const auto position = runs_.find(notice.label);
   if (notice.command == start_command_name && position != runs_.end())
     finish(position, run_end::unknown_request, {}, {});
--- a/src/runtime/link.hpp
+++ b/src/runtime/link.hpp
@@ -1,24 +1,27 @@
-// The link to the runtime that owns the cores: runs what the dispatcher hands over, across lost connections.
+// The link to the runtime, the process that executes requests. Starts the runs that the dispatcher requests
+// and recovers them after a lost connection.
 //
-// A lost connection loses commands, not runs. The answer to a gauge question shows that every start before it
-// has arrived (runtime/gauge_questions.hpp). After a reconnect the same question, asked behind the repeated
-// notices, shows that every end until then is known; only then is settled what was in flight when the
-// connection broke (runtime/tracked_run.hpp).
+// A lost connection loses commands but not runs. The answer to a gauge query confirms that all commands sent
+// before the query have arrived (runtime/gauge_queries.hpp). After a reconnect the runtime first repeats its
+// notices. The link then sends a gauge query; its answer shows that all run ends up to that point are known.
+// Only then does the link recover the runs whose commands were in flight when the connection was lost
+// (runtime/tracked_run.hpp).
 //
-// A move to another address loses nothing: commands are held back, a question shows that all before it have
-// arrived, and only then the new connection takes the place of the old one.
+// A move of the runtime to another address loses no commands: the link defers new commands, waits for the
+// answer to a gauge query, which confirms that all earlier commands have arrived, and only then replaces the
+// old connection by the new one.
 //
 //   state         event                                               next state
 //   down          `reconnect_every` has passed since the last attempt  connecting
 //   connecting    the connection is open                               syncing
 //   connecting    no connection within `connect`                       down
 //   syncing       ready notice                                         catching_up
-//   catching_up   answer to the question behind the repeated notices   up
-//   up            a new address is to be tried                         handing_over
+//   catching_up   answer to the gauge query sent on the ready notice   up
+//   up            the address has changed and an attempt is due        handing_over
 //   handing_over  the new connection is open                           syncing
-//   handing_over  it fails, or is not open within `hand_over`          up
+//   handing_over  new connection fails or not open within `hand_over`  up
 //   any           ready notice                                         catching_up
-//   any           the connection is lost, or moved while not up        down
+//   any           connection lost, or address changed while not up     down
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -41,29 +44,29 @@
 
 namespace marblewharf::runtime {
 
-// Owned by the reactor's thread.
+// Used only on the reactor's thread.
 class link : public backend, private transport_observer {
  public:
-  // All that is passed in outlives the link. Throws bad_config where the runtime's host is unknown.
+  // All arguments outlive the link. Throws bad_config if the runtime's host name cannot be resolved.
   link(net::reactor& reactor, const config& settings, dispatcher& requests, telemetry::counters& counters);
   ~link() override;
 
   // backend
-  void run(request_id id, const request& what) override;
+  void run(request_id id, const request& details) override;
   void pause(request_id id) override;
   void resume(request_id id) override;
 
-  // From now on the runtime is at `address`. Runs and the serial of the last notice carry on.
+  // Switches to a new address of the runtime. Keeps the runs and the serial number of the last notice.
   void move(const Poco::Net::SocketAddress& address);
 
-  // Connects, asks for the gauges; returns when it wants to be called again.
+  // Connects, switches to a new address and queries the gauges when due. Returns the time of the next call.
   time_point step(time_point now);
 
-  // Whether the runtime has answered and runs what it is handed.
+  // Whether the runtime is connected and executes requests.
   bool up() const { return state_ == state::up || state_ == state::handing_over; }
 
-  // The last gauges; empty where they are too old to tell anything.
-  std::vector<double> gauges(time_point now) const { return commands_.questions().gauges(now); }
+  // The latest gauges; empty if they are older than `gauges_stale`.
+  std::vector<double> gauges(time_point now) const { return commands_.queries().gauges(now); }
 
  private:
   enum class state { down, connecting, syncing, catching_up, up, handing_over };
@@ -79,7 +82,7 @@
   void on_notice(const gauges_notice& notice);
   void on_notice(const nack_notice& notice);
   void on_notice(const info_notice& notice);
-  // False for a notice that was sent again, and read before.
+  // Records the serial number of a notice. Returns false for a repeated notice that was processed before.
   bool is_new(std::uint64_t serial);
 
   void connect(time_point now);
@@ -87,18 +90,19 @@
   void connect_successor(time_point now);
   void keep_current_connection(time_point now);
 
-  void ask_and_settle(time_point now);
-  void send_held_back();
+  void send_fence_query(time_point now);
+  void send_deferred_commands();
   void set_stop_wanted(request_id id, bool stop);
 
-  void on_delivered(std::uint64_t question);
+  // Marks the commands sent before a query as delivered.
+  void on_delivered(std::uint64_t query);
   void mark_delivered(run_table::iterator position);
-  void settle();
+  void finish_catching_up();
   std::vector<std::string> recover_runs();
-  void recover(tracked_run& run, recovery how);
+  void recover(tracked_run& run, recovery action);
   void lose_all_runs();
-  void withdraw_rival(tracked_run& run, request_id rival);
-  void finish(run_table::iterator position, run_end how, std::string_view result, duration elapsed);
+  void reject_conflicting_request(tracked_run& run, request_id id);
+  void finish(run_table::iterator position, run_end end, std::string_view result, duration elapsed);
 
   net::reactor& reactor_;
   const config& config_;
@@ -108,15 +112,15 @@
   transport transport_;
   command_sequence commands_;
   state state_ = state::down;
-  bool moving_ = false;  // up on a connection to an earlier address
+  bool address_changed_ = false;  // up, but connected to the previous address
   run_table runs_;
-  std::unordered_map<request_id, std::string> labels_;  // of runs and their rivals
-  std::uint64_t last_serial_ = 0;                       // of the notices read
-  std::uint64_t settling_question_ = 0;  // its answer ends catching_up, or lets the new connection begin
+  std::unordered_map<request_id, std::string> labels_;  // of runs and of their conflicting requests
+  std::uint64_t last_serial_ = 0;                       // of the notices processed
+  std::uint64_t fence_query_ = 0;  // its answer ends catching_up, or allows the new connection
   start_estimate runtime_start_;
   time_point sync_sent_at_{};
-  time_point next_attempt_{};  // to connect, or to hand over
-  time_point attempt_began_{};
+  time_point next_attempt_at_{};  // to connect or to switch to the new address
+  time_point attempt_started_at_{};
 };
 
 }  // namespace marblewharf::runtime
--- a/src/runtime/messages.cpp
+++ b/src/runtime/messages.cpp
@@ -9,12 +9,12 @@
 namespace marblewharf::runtime {
 namespace {
 
-constexpr double longest_elapsed_ms = 1e12;
+constexpr double max_elapsed_ms = 1e12;
 
 const json::value& member(const json::value& message, const char* name, json::kind kind) {
   const json::value* found = message.find(name);
   if (found == nullptr || found->what != kind)
-    throw bad_line(std::string("the field ") + name + " is missing or of another type");
+    throw bad_line(std::string("the field ") + name + " is missing or has the wrong type");
   return *found;
 }
 
@@ -26,7 +26,7 @@
   double parsed = 0;
   const char* end = number.text.data() + number.text.size();
   if (std::from_chars(number.text.data(), end, parsed).ec != std::errc{})
-    throw bad_line("a number out of range");
+    throw bad_line("a number is out of range");
   return parsed;
 }
 
@@ -34,22 +34,23 @@
   const std::string& digits = member(message, "serial", json::kind::number).text;
   std::uint64_t parsed = 0;
   const char* end = digits.data() + digits.size();
-  if (std::from_chars(digits.data(), end, parsed).ptr != end) throw bad_line("the field serial is no count");
+  if (std::from_chars(digits.data(), end, parsed).ptr != end)
+    throw bad_line("the field serial is not an unsigned integer");
   return parsed;
 }
 
 duration elapsed(const json::value& message) {
   const double ms = to_number(member(message, "duration", json::kind::number));
-  if (!(ms >= 0 && ms < longest_elapsed_ms)) throw bad_line("the field duration is out of range");
+  if (!(ms >= 0 && ms < max_elapsed_ms)) throw bad_line("the field duration is out of range");
   return std::chrono::duration_cast<duration>(std::chrono::duration<double, std::milli>(ms));
 }
 
-run_end how_of(const std::string& word) {
-  if (word == "fine") return run_end::succeeded;
-  if (word == "fault") return run_end::failed;
-  if (word == "broken_off") return run_end::aborted;
-  if (word == "late") return run_end::never_started;
-  throw bad_line("an end that is not known: " + word);
+run_end run_end_of(const std::string& value) {
+  if (value == "fine") return run_end::succeeded;
+  if (value == "fault") return run_end::failed;
+  if (value == "broken_off") return run_end::aborted;
+  if (value == "late") return run_end::never_started;
+  throw bad_line("the field how has an unknown value: " + value);
 }
 
 std::string decode_blob(const std::string& blob) {
@@ -62,7 +63,7 @@
 
 end_notice decode_end(const json::value& message) {
   end_notice decoded{
-      serial(message), text(message, "call"), how_of(text(message, "how")), elapsed(message), {}};
+      serial(message), text(message, "call"), run_end_of(text(message, "how")), elapsed(message), {}};
   const json::value* blob = message.find("blob");
   if (blob != nullptr && blob->what == json::kind::string) decoded.result = decode_blob(blob->text);
   return decoded;
@@ -92,24 +93,24 @@
   return "{\"msg\":\"" + std::string(name) + "\",\"call\":" + json::quote(label) + "}\n";
 }
 
-std::string encode_one(const sync_command& sync) {
+std::string encode_command(const sync_command& sync) {
   return "{\"msg\":\"sync\",\"serial\":" + std::to_string(sync.last_serial) + "}\n";
 }
 
-std::string encode_one(const start_command& start) {
+std::string encode_command(const start_command& start) {
   return "{\"msg\":\"" + std::string(start_command_name) + "\",\"call\":" + json::quote(start.label) +
          ",\"service\":" + json::quote(start.service) + ",\"blob\":\"" + to_base64(start.body) + "\"}\n";
 }
 
-std::string encode_one(const stop_command& stop) {
+std::string encode_command(const stop_command& stop) {
   return encode_about_run("stop", stop.label);
 }
 
-std::string encode_one(const continue_command& resumed) {
+std::string encode_command(const continue_command& resumed) {
   return encode_about_run("cont", resumed.label);
 }
 
-std::string encode_one(const gauges_command& gauges) {
+std::string encode_command(const gauges_command& gauges) {
   return "{\"msg\":\"gauges\",\"cookie\":" + json::quote(gauges.cookie) + "}\n";
 }
 
@@ -127,7 +128,7 @@
 }
 
 std::string encode(const any_command& command) {
-  return std::visit([](const auto& one) { return encode_one(one); }, command);
+  return std::visit([](const auto& typed_command) { return encode_command(typed_command); }, command);
 }
 
 }  // namespace marblewharf::runtime
--- a/src/runtime/messages.hpp
+++ b/src/runtime/messages.hpp
@@ -1,4 +1,4 @@
-// The messages between this process and the runtime, and their lines of JSON. Free of I/O.
+// The messages between this process and the runtime, encoded as one line of JSON each. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,51 +13,52 @@
 
 namespace marblewharf::runtime {
 
-// A line that is no message; what() says why.
+// The line is not a valid message; what() says why.
 struct bad_line : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// Notices from the runtime. Those with a serial are sent again after a reconnect, in the order of their
-// serials.
+// Notices are messages from the runtime. After a reconnect the runtime repeats the notices that have a serial
+// number, in the order of their serial numbers.
 
 // The first notice on a connection, in answer to sync_command.
 struct ready_notice {
-  bool starting = false;  // false: it was running already when this process connected
+  bool starting = false;  // false: the runtime was already running when this process connected
   duration uptime{};
 };
 // A run has ended.
 struct end_notice {
   std::uint64_t serial = 0;
   std::string label;
-  run_end how{};
+  run_end outcome{};
   duration elapsed{};
   std::string result;
 };
-// The answer to gauges_command; all commands before that one have been carried out.
+// The answer to a gauges_command. The runtime has executed all commands sent before that command.
 struct gauges_notice {
-  std::string cookie;  // the command's
+  std::string cookie;  // copied from the gauges_command
   std::vector<double> gauges;
 };
 // A command was rejected.
 struct nack_notice {
-  std::string command;  // its name on the wire
-  std::string label;    // of the run it was about; empty: none
+  std::string command;  // name of the rejected command on the wire
+  std::string label;    // of the run that the command refers to; empty: none
 };
-// A text for the log.
+// A text that this process writes to its log.
 struct info_notice {
   std::uint64_t serial = 0;
   std::string text;
 };
 using any_notice = std::variant<ready_notice, end_notice, gauges_notice, nack_notice, info_notice>;
 
-// Reads a line without its newline; none for a kind of message that is not known here. Throws bad_line.
+// Decodes a line, passed without its newline. Returns nullopt for an unknown kind of message. Throws
+// bad_line.
 std::optional<any_notice> decode(std::string_view line);
 
-// Commands to the runtime, which knows runs by label. The texts that they refer to outlive the call of
-// encode().
+// Commands are messages to the runtime, which identifies runs by label. The strings that a command refers to
+// outlive the call of encode().
 
-// The first command on a connection: asks for the notices behind this serial.
+// The first command on a connection: requests all notices with a serial number above `last_serial`.
 struct sync_command {
   std::uint64_t last_serial = 0;
 };
@@ -66,23 +67,24 @@
   std::string_view service;
   std::string_view body;
 };
-// Pauses a run or ends it for good, as the runtime's settings say.
+// Pauses or aborts a run; the runtime's settings determine which.
 struct stop_command {
   std::string_view label;
 };
-// Goes on with a run that was paused.
+// Resumes a paused run.
 struct continue_command {
   std::string_view label;
 };
+// Requests the gauges. The answer repeats the cookie.
 struct gauges_command {
   std::string cookie;
 };
 using any_command = std::variant<sync_command, start_command, stop_command, continue_command, gauges_command>;
 
-// The command's line with its newline.
+// Encodes a command as a line, including its newline.
 std::string encode(const any_command& command);
 
-// The name on the wire of a start_command, by which a nack_notice refers to it.
+// The name of start_command on the wire, which nack_notice::command refers to.
 inline constexpr std::string_view start_command_name = "start";
 
 }  // namespace marblewharf::runtime
--- a/src/runtime/start_estimate.hpp
+++ b/src/runtime/start_estimate.hpp
@@ -1,5 +1,5 @@
-// When the runtime started, as far as its ready notices tell: a later start means that its runs are lost.
-// Free of I/O.
+// Estimates from the ready notices when the runtime process started. A later start time means that the
+// runtime was restarted and has lost its runs. Performs no I/O.
 #pragma once
 
 #include "core/request.hpp"
@@ -8,18 +8,19 @@
 
 class start_estimate {
  public:
-  // What a ready notice shows.
+  // What a ready notice shows about the runtime process.
   enum class finding { first_start, same_start, restarted };
 
-  // `tolerance`: two estimates of one start differ by less.
+  // `tolerance`: two estimates of the same start time differ by less than this.
   explicit start_estimate(duration tolerance) : tolerance_(tolerance) {}
 
-  // The notice was sent after `asked_at` and read at `now`; its sender has run for `uptime`.
-  finding on_ready(time_point asked_at, time_point now, duration uptime);
+  // The runtime sent the notice after `sync_sent_at`, and this process read it at `now`. `uptime` is the time
+  // since the start of the runtime.
+  finding on_ready(time_point sync_sent_at, time_point now, duration uptime);
 
  private:
   const duration tolerance_;
-  time_point latest_start_{};  // the runtime started no later; 0: nothing is known yet
+  time_point latest_start_{};  // upper bound of the start time; 0: unknown
 };
 
 }  // namespace marblewharf::runtime
--- a/src/runtime/tracked_run.hpp
+++ b/src/runtime/tracked_run.hpp
@@ -1,4 +1,5 @@
-// What the link knows of one run at the runtime, and what a lost connection means for it. Free of I/O.
+// The state of one run at the runtime as seen by the link, and the recovery of the run after a lost
+// connection. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,47 +11,48 @@
 
 namespace marblewharf::runtime {
 
-// How far a run's start command is.
+// Delivery state of a run's start command.
 enum class start_progress { not_sent, sent, delivered };
 
-// A request with the label of another one that is open.
-struct label_rival {
+// A request whose label is already used by another open request.
+struct conflicting_request {
   request_id id{};
-  request what;
+  request details;
 };
 
 struct tracked_run {
   request_id id{};
   std::string label;
   unsigned request_class = 0;
-  std::string payload;  // kept until the start is delivered
+  std::string payload;  // kept until the start command is delivered
   start_progress start = start_progress::not_sent;
-  // The gauge question whose answer shows that every command about this run has arrived.
+  // The gauge query whose answer confirms that all commands for this run have arrived.
   std::uint64_t fence = 0;
-  bool stop_wanted = false;            // as the dispatcher last said ...
-  bool stop_told = false;              // ... and as the runtime was last told
-  bool last_command_delivered = true;  // of stop and continue
-  // Paused only to learn whether the start arrived before the connection was lost.
+  bool stop_wanted = false;            // last request of the dispatcher: true = stop, false = continue
+  bool stop_sent = false;              // last command sent to the runtime: true = stop, false = continue
+  bool last_command_delivered = true;  // whether the last stop or continue has arrived
+  // A stop was sent only to find out whether the start arrived before the connection was lost.
   bool probing = false;
-  std::vector<label_rival> rivals;  // until the runtime is known to run this one
+  std::vector<conflicting_request> conflicting_requests;  // kept until the start of this run is delivered
 };
 
 using run_table = std::unordered_map<std::string, tracked_run>;  // by label
 
-// What becomes of a run whose commands may have been lost with a connection. Known by then: each end before
-// the reconnect.
+// How to recover a run whose commands may have been lost with a connection. The action is chosen once all
+// ends before the reconnect are known.
 enum class recovery {
-  nothing,      // all commands have arrived, or none was sent
-  probe,        // pause it: if it runs, the runtime says so and it goes on; if not, it is started
-  start_again,  // it may run twice, which its effect allows
-  give_up,      // it may have run, and may not run twice: stop it and report it lost
+  none,         // all commands have arrived, or none was sent
+  probe,        // send a stop: a paused run is continued, a run that never started is started
+  restart,      // send the start again: the run may execute twice, which its effect allows
+  report_lost,  // the run may have started and must not execute twice: stop it and report it lost
   repeat_stop,  // send the last stop or continue again
 };
 
-// `stops_pause`: a stop only pauses at this runtime. `may_run_twice`: the request's effect is safe.
+// `stops_pause`: a stop command pauses a run at this runtime and does not abort it. `may_run_twice`: the
+// effect of the request is safe to repeat.
 //
-// A start that may have arrived is never just sent again: the run may end at this moment, and would begin
-// anew.
-recovery recovery_of(const tracked_run& run, bool stops_pause, bool may_run_twice);
+// With `stops_pause`, a start that may have arrived is probed instead of sent again: the run may be ending at
+// this moment, and a second start would execute it again.
+recovery recovery_action_for(const tracked_run& run, bool stops_pause, bool may_run_twice);
 
 }  // namespace marblewharf::runtime
--- a/src/runtime/transport.cpp
+++ b/src/runtime/transport.cpp
@@ -50,7 +50,8 @@
   close(connection_);
 }
 
-// A connection may be closed from its own callbacks: the reactor destroys it after the round.
+// A connection can be closed from its own callbacks, so the reactor destroys it only after the dispatch
+// round.
 void transport::close(std::shared_ptr<connection>& closed) {
   if (!closed) return;
   closed->close();
@@ -70,8 +71,8 @@
   const std::size_t newline = bytes.find('\n');
   if (newline == std::string_view::npos) {
     if (bytes.size() <= bounds_.runtime_line) return 0;
-    telemetry::log("bad-line", "runtime: a line without end");
-    observer_.on_connection_lost("a line without end");
+    telemetry::log("bad-line", "runtime: line too long; closing the connection");
+    observer_.on_connection_lost("line too long");
     return 0;
   }
   observer_.on_line(bytes.substr(0, newline));
--- a/src/runtime/transport.hpp
+++ b/src/runtime/transport.hpp
@@ -1,4 +1,5 @@
-// The connection to the runtime: lines both ways, and a second connection while the runtime moves.
+// The connection to the runtime, which carries lines in both directions. While the runtime moves to another
+// address, a successor connection is opened next to the current one.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -12,41 +13,42 @@
 
 namespace marblewharf::runtime {
 
-// What the owner of a transport is told, on the reactor's thread.
+// Callbacks of a transport to its owner, on the reactor's thread.
 class transport_observer {
  public:
   virtual ~transport_observer() = default;
-  // The connection is open; a successor has taken the place of the connection before it.
+  // A connection is open. If it was the successor, it has replaced the previous connection.
   virtual void on_connected() = 0;
-  // A whole line, without its newline. The observer may close the transport meanwhile.
+  // A complete line, without its newline. The observer may close the transport during the call.
   virtual void on_line(std::string_view line) = 0;
-  // The connection failed or was lost, or brought a line that is too long. It is still to be closed.
+  // The connection failed, was lost, or delivered a line that is too long. The observer has to call close().
   virtual void on_connection_lost(const char* reason) = 0;
-  // The same of a successor that was not open yet.
+  // The successor failed before it was open. The observer has to call close_successor().
   virtual void on_successor_lost() = 0;
 };
 
-// Owned by the reactor's thread.
+// Used only on the reactor's thread.
 class transport {
  public:
-  // All that is passed in by reference outlives the transport.
+  // All arguments outlive the transport.
   transport(net::reactor& reactor, const limits& bounds, transport_observer& observer);
   ~transport();
   transport(const transport&) = delete;
   transport& operator=(const transport&) = delete;
 
-  // Begins a connection; throws Poco::Exception where none can be begun.
+  // Starts to connect; throws Poco::Exception if that fails at once.
   void connect(const Poco::Net::SocketAddress& address);
-  // Begins a connection that replaces the present one once it is open; throws the same.
+  // Starts a connection that replaces the current one as soon as it is open. Throws Poco::Exception if that
+  // fails at once.
   void connect_successor(const Poco::Net::SocketAddress& address);
   bool has_successor() const { return successor_ != nullptr; }
 
-  // Sends a line that has its newline, or nothing where there is no connection: a send may find that the
-  // connection is lost, also between two lines.
+  // Sends a line, which includes its newline. Does nothing without a connection, because an earlier send may
+  // have found the connection lost.
   void send(const std::string& line);
 
   void close_successor();
-  // Closes both.
+  // Closes the connection and its successor.
   void close();
 
  private:
--- a/tests/net/node_test.cpp
+++ b/tests/net/node_test.cpp
@@ -468,7 +468,7 @@
   bad.send(execute(1, usual(1), "forged"));
   CHECK(r.expect("start") == label(1));
   good.send(execute(1, usual(1), "a"));
-  n.logged("open already");
+  n.logged("is already used by an open request");
   r.send("{\"msg\":\"nack\",\"how\":\"start\",\"call\":\"" + label(1) + "\"}");
   CHECK(read_reply(bad).kind == "failed");
   CHECK(r.expect("start") == label(1));
