--- a/src/thrift/codec.cpp
+++ b/src/thrift/codec.cpp
@@ -25,31 +25,32 @@
 
 constexpr std::uint32_t version_1 = 0x80010000;
 constexpr std::uint32_t version_mask = 0xffff0000;
-constexpr std::size_t length_size = 4;
-constexpr unsigned deepest = 16;  // of what is skipped: guards the stack
+constexpr std::size_t length_prefix_size = 4;
+constexpr unsigned max_skip_depth = 16;  // bounds the recursion, and so the stack, while a value is skipped
 
-struct cut_short : std::runtime_error {
-  cut_short() : std::runtime_error("cut short") {}
+struct truncated : std::runtime_error {
+  truncated() : std::runtime_error("cut short") {}
 };
-struct wrong : std::runtime_error {
+struct malformed : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// A field of a struct, by which its reader tells whether it is one it knows.
-struct field_head {
+// The header of a struct field, by which a reader recognizes the fields that it supports.
+struct field_header {
   std::int16_t id = 0;
   type kind{};
-  bool operator==(const field_head&) const = default;
+  bool operator==(const field_header&) const = default;
 };
 
-// Reads the protocol's types; throws cut_short, or wrong for a type that is unknown or nested too deeply.
+// Reads values of the protocol's types. Throws `truncated` at the end of the payload, and `malformed` for a
+// type that is unknown or nested too deeply. The texts of both are sent to the client.
 class reader {
  public:
   explicit reader(std::string_view payload) : bytes_(payload) {}
 
   std::string_view take(std::size_t count) {
     const std::optional<std::string_view> taken = bytes_.take(count);
-    if (!taken) throw cut_short();
+    if (!taken) throw truncated();
     return *taken;
   }
   std::uint8_t u8() { return integer<std::uint8_t>(); }
@@ -60,10 +61,10 @@
   std::string_view string() { return take(u32()); }
   bool at_end() const { return bytes_.at_end(); }
 
-  // Reads past a value of this type.
-  void skip(type skipped, unsigned depth = 0) {
-    if (depth > deepest) throw wrong("nested too deeply");
-    switch (skipped) {
+  // Skips a value of the given type.
+  void skip(type skipped_type, unsigned depth = 0) {
+    if (depth > max_skip_depth) throw malformed("nested too deeply");
+    switch (skipped_type) {
       case type::boolean:
       case type::byte: take(1); return;
       case type::i16: take(2); return;
@@ -77,7 +78,7 @@
       case type::map: {
         const type key = kind();
         const type item = kind();
-        for (std::uint32_t left = u32(); left > 0; --left) {
+        for (std::uint32_t remaining = u32(); remaining > 0; --remaining) {
           skip(key, depth + 1);
           skip(item, depth + 1);
         }
@@ -86,19 +87,19 @@
       case type::set:
       case type::list: {
         const type item = kind();
-        for (std::uint32_t left = u32(); left > 0; --left) skip(item, depth + 1);
+        for (std::uint32_t remaining = u32(); remaining > 0; --remaining) skip(item, depth + 1);
         return;
       }
       case type::stop: break;
     }
-    throw wrong("unknown type " + std::to_string(static_cast<unsigned>(skipped)));
+    throw malformed("unknown type " + std::to_string(static_cast<unsigned>(skipped_type)));
   }
 
-  // The head of the next field; none at the end of the struct.
-  std::optional<field_head> next_field() {
-    const type found = kind();
-    if (found == type::stop) return std::nullopt;
-    return field_head{i16(), found};
+  // Reads the header of the next field; nullopt at the end of the struct.
+  std::optional<field_header> next_field() {
+    const type field_type = kind();
+    if (field_type == type::stop) return std::nullopt;
+    return field_header{i16(), field_type};
   }
 
  private:
@@ -114,82 +115,82 @@
   const type key = in.kind();
   const type item = in.kind();
   const std::uint32_t count = in.u32();
-  if (count > bounds.fields) throw wrong("more than " + std::to_string(bounds.fields) + " fields");
-  if (count > 0 && (key != type::string || item != type::string)) throw wrong("fields that are no text");
+  if (count > bounds.fields) throw malformed("more than " + std::to_string(bounds.fields) + " fields");
+  if (count > 0 && (key != type::string || item != type::string)) throw malformed("fields that are no text");
   field_map fields;
   for (std::uint32_t i = 0; i < count; ++i) {
     const std::string_view name = in.string();
-    if (!fields.emplace(name, in.string()).second) throw wrong("a field given twice");
+    if (!fields.emplace(name, in.string()).second) throw malformed("a field given twice");
   }
   return fields;
 }
 
 execute read_execute(reader& in, const limits& bounds) {
-  execute e;
+  execute message;
   bool have_fields = false;
   bool have_body = false;
   while (const auto field = in.next_field()) {
-    if (*field == field_head{1, type::map}) {
-      e.fields = read_fields(in, bounds);
+    if (*field == field_header{1, type::map}) {
+      message.fields = read_fields(in, bounds);
       have_fields = true;
-    } else if (*field == field_head{2, type::string}) {
+    } else if (*field == field_header{2, type::string}) {
       const std::string_view body = in.string();
-      if (body.size() > bounds.body) throw wrong("a body of " + std::to_string(body.size()) + " bytes");
-      e.body = body;
+      if (body.size() > bounds.body) throw malformed("a body of " + std::to_string(body.size()) + " bytes");
+      message.body = body;
       have_body = true;
     } else {
       in.skip(field->kind);
     }
   }
-  if (!have_fields || !have_body) throw wrong("no fields or no body");
-  return e;
+  if (!have_fields || !have_body) throw malformed("no fields or no body");
+  return message;
 }
 
 interrupt read_interrupt(reader& in) {
-  std::optional<interrupt> found;
+  std::optional<interrupt> message;
   while (const auto field = in.next_field()) {
-    if (*field == field_head{1, type::i32}) {
-      found = interrupt{in.i32()};
+    if (*field == field_header{1, type::i32}) {
+      message = interrupt{in.i32()};
     } else {
       in.skip(field->kind);
     }
   }
-  if (!found) throw wrong("no sequence number");
-  return *found;
+  if (!message) throw malformed("no sequence number");
+  return *message;
 }
 
 check read_check(reader& in) {
-  check c;
+  check message;
   while (const auto field = in.next_field()) {
-    if (*field == field_head{1, type::boolean}) {
-      c.probe = in.u8() != 0;
+    if (*field == field_header{1, type::boolean}) {
+      message.probe = in.u8() != 0;
     } else {
       in.skip(field->kind);
     }
   }
-  return c;
+  return message;
 }
 
 class writer {
  public:
-  writer(message_type t, std::string_view method, std::int32_t seqid) {
-    out_.assign(length_size, '\0');
-    u32(version_1 | static_cast<std::uint32_t>(t));
+  writer(message_type sent_type, std::string_view method, std::int32_t seqid) {
+    out_.assign(length_prefix_size, '\0');
+    u32(version_1 | static_cast<std::uint32_t>(sent_type));
     string(method);
     i32(seqid);
   }
 
-  void u8(std::uint8_t v) { out_.push_back(static_cast<char>(v)); }
-  void u32(std::uint32_t v) {
-    for (int shift = 24; shift >= 0; shift -= 8) u8(static_cast<std::uint8_t>(v >> shift));
+  void u8(std::uint8_t value) { out_.push_back(static_cast<char>(value)); }
+  void u32(std::uint32_t value) {
+    for (int shift = 24; shift >= 0; shift -= 8) u8(static_cast<std::uint8_t>(value >> shift));
   }
-  void i32(std::int32_t v) { u32(static_cast<std::uint32_t>(v)); }
-  void string(std::string_view v) {
-    u32(static_cast<std::uint32_t>(v.size()));
-    out_ += v;
+  void i32(std::int32_t value) { u32(static_cast<std::uint32_t>(value)); }
+  void string(std::string_view text) {
+    u32(static_cast<std::uint32_t>(text.size()));
+    out_ += text;
   }
-  void field(std::uint8_t id, type t) {
-    u8(static_cast<std::uint8_t>(t));
+  void field(std::uint8_t id, type field_type) {
+    u8(static_cast<std::uint8_t>(field_type));
     u8(0);
     u8(id);
   }
@@ -204,20 +205,20 @@
       string(value);
     }
   }
-  void answer(std::string_view body, bool good) {
+  void answer(std::string_view body, bool healthy) {
     field(0, type::structure);
     field(1, type::string);
     string(body);
     fields(2, {});
     field(3, type::boolean);
-    u8(good ? 1 : 0);
+    u8(healthy ? 1 : 0);
     stop();
     stop();
   }
 
   std::string frame() && {
-    const auto size = static_cast<std::uint32_t>(out_.size() - length_size);
-    for (std::size_t i = 0; i < length_size; ++i)
+    const auto size = static_cast<std::uint32_t>(out_.size() - length_prefix_size);
+    for (std::size_t i = 0; i < length_prefix_size; ++i)
       out_[i] = static_cast<char>(static_cast<std::uint8_t>(size >> (24 - 8 * i)));
     return std::move(out_);
   }
@@ -226,7 +227,7 @@
   std::string out_;
 };
 
-std::string encode_thrown(std::int32_t seqid, std::uint8_t id, const field_map& fields) {
+std::string encode_declared_exception(std::int32_t seqid, std::uint8_t id, const field_map& fields) {
   writer out(message_type::reply, "execute", seqid);
   out.field(id, type::structure);
   out.fields(1, fields);
@@ -238,48 +239,50 @@
 }  // namespace
 
 std::optional<frame> next_frame(std::string_view bytes, const limits& bounds) {
-  if (bytes.size() < length_size) return std::nullopt;
-  const auto size = bytes::from_big_endian<std::uint32_t>(bytes.substr(0, length_size));
-  if (size == 0 || size > bounds.frame) throw bad_frame("a frame of " + std::to_string(size) + " bytes");
-  if (bytes.size() - length_size < size) return std::nullopt;
-  return frame{bytes.substr(length_size, size), length_size + size};
+  if (bytes.size() < length_prefix_size) return std::nullopt;
+  const auto size = bytes::from_big_endian<std::uint32_t>(bytes.substr(0, length_prefix_size));
+  if (size == 0 || size > bounds.frame)
+    throw bad_frame("frame length " + std::to_string(size) + " is out of range");
+  if (bytes.size() - length_prefix_size < size) return std::nullopt;
+  return frame{bytes.substr(length_prefix_size, size), length_prefix_size + size};
 }
 
 message decode(std::string_view payload, const limits& bounds) {
   reader in(payload);
-  message m;
+  message decoded;
   std::string_view method;
-  message_type t{};
+  message_type received_type{};
   try {
-    const std::uint32_t head = in.u32();
-    if ((head & version_mask) != version_1) throw bad_frame("not the strict binary protocol");
-    t = static_cast<message_type>(head & 0xff);
+    const std::uint32_t header = in.u32();
+    if ((header & version_mask) != version_1) throw bad_frame("message is not in the strict binary protocol");
+    received_type = static_cast<message_type>(header & 0xff);
     method = in.string();
-    m.seqid = in.i32();
-  } catch (const cut_short&) {
-    throw bad_frame("a message without a whole head");
+    decoded.seqid = in.i32();
+  } catch (const truncated&) {
+    throw bad_frame("incomplete message header");
   }
-  if (t != message_type::call && t != message_type::oneway)
-    throw bad_frame("a message of type " + std::to_string(static_cast<unsigned>(t)));
-  const bool answerable = t == message_type::call;
+  if (received_type != message_type::call && received_type != message_type::oneway)
+    throw bad_frame("message has the unexpected type " +
+                    std::to_string(static_cast<unsigned>(received_type)));
+  const bool answerable = received_type == message_type::call;
   try {
     if (method == "execute" && answerable) {
-      m.content = read_execute(in, bounds);
+      decoded.content = read_execute(in, bounds);
     } else if (method == "interrupt") {
-      m.content = read_interrupt(in);
+      decoded.content = read_interrupt(in);
     } else if (method == "check" && answerable) {
-      m.content = read_check(in);
+      decoded.content = read_check(in);
     } else {
-      m.content = undecodable{app_error::unknown_method, "unknown method", answerable};
-      return m;
+      decoded.content = undecodable{app_error::unknown_method, "unknown method", answerable};
+      return decoded;
     }
-    if (!in.at_end()) throw wrong("something after the arguments");
-  } catch (const cut_short& e) {
-    m.content = undecodable{app_error::protocol, e.what(), answerable};
-  } catch (const wrong& e) {
-    m.content = undecodable{app_error::protocol, e.what(), answerable};
+    if (!in.at_end()) throw malformed("something after the arguments");
+  } catch (const truncated& error) {
+    decoded.content = undecodable{app_error::protocol, error.what(), answerable};
+  } catch (const malformed& error) {
+    decoded.content = undecodable{app_error::protocol, error.what(), answerable};
   }
-  return m;
+  return decoded;
 }
 
 std::string encode_served(std::int32_t seqid, std::string_view body) {
@@ -288,27 +291,27 @@
   return std::move(out).frame();
 }
 
-std::string encode_health(std::int32_t seqid, bool good) {
+std::string encode_health(std::int32_t seqid, bool healthy) {
   writer out(message_type::reply, "check", seqid);
-  out.answer({}, good);
+  out.answer({}, healthy);
   return std::move(out).frame();
 }
 
 std::string encode_overloaded(std::int32_t seqid, const field_map& fields) {
-  return encode_thrown(seqid, 1, fields);
+  return encode_declared_exception(seqid, 1, fields);
 }
 
 std::string encode_internal(std::int32_t seqid, const field_map& fields) {
-  return encode_thrown(seqid, 2, fields);
+  return encode_declared_exception(seqid, 2, fields);
 }
 
-std::string encode_exception(std::int32_t seqid, std::string_view method, app_error why,
+std::string encode_exception(std::int32_t seqid, std::string_view method, app_error error,
                              std::string_view text) {
   writer out(message_type::exception, method, seqid);
   out.field(1, type::string);
   out.string(text);
   out.field(2, type::i32);
-  out.i32(static_cast<std::int32_t>(why));
+  out.i32(static_cast<std::int32_t>(error));
   out.stop();
   return std::move(out).frame();
 }
--- a/src/thrift/codec.hpp
+++ b/src/thrift/codec.hpp
@@ -1,5 +1,5 @@
-// The platform's messages in Thrift's strict binary protocol with framed transport: bytes to typed values and
-// back. No sockets here.
+// Encodes and decodes the platform's messages in Thrift's strict binary protocol with framed transport.
+// Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,29 +14,33 @@
 
 namespace marblewharf::thrift {
 
-// The frame cannot be read at all: its sender and we no longer agree on where messages begin.
+// The frame cannot be decoded at all, so the position of the next frame in the stream is uncertain.
 struct bad_frame : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 using field_map = std::map<std::string, std::string, std::less<>>;
 
-// The numbers that Thrift gives to the errors of its application exceptions.
+// Thrift's codes for the types of a TApplicationException.
 enum class app_error : std::int32_t { unknown_method = 1, invalid_message = 2, internal = 6, protocol = 7 };
 
+// A request.
 struct execute {
   field_map fields;
   std::string body;
 };
+// Cancels the request that was sent with this sequence number.
 struct interrupt {
   std::int32_t seqid = 0;
 };
+// A health check.
 struct check {
   bool probe = false;
 };
-// Its head could be read and the rest could not, or no such method exists: only its sender is told.
+// A message whose header could be decoded but whose arguments could not, or that names an unknown method. Its
+// sender gets an exception as the reply.
 struct undecodable {
-  app_error why{};
+  app_error error{};
   std::string text;
   bool answerable = true;  // false for a oneway message, which never gets a reply
 };
@@ -47,22 +51,22 @@
 
 struct frame {
   std::string_view payload;
-  std::size_t size = 0;  // with its length
+  std::size_t size = 0;  // of the payload and its length prefix
 };
 
-// The first frame of what has come in; none while it is not whole. Throws bad_frame for a length that no
-// message has.
+// Returns the first frame in `bytes`, or nullopt while it is incomplete. Throws bad_frame if the length
+// prefix is 0 or exceeds the limit.
 std::optional<frame> next_frame(std::string_view bytes, const limits& bounds);
 
-// Throws bad_frame where not even the head can be read.
+// Decodes the payload of a frame. Throws bad_frame if the message header is invalid.
 message decode(std::string_view payload, const limits& bounds);
 
-// Whole frames.
+// Each function returns a complete frame.
 std::string encode_served(std::int32_t seqid, std::string_view body);
-std::string encode_health(std::int32_t seqid, bool good);
+std::string encode_health(std::int32_t seqid, bool healthy);
 std::string encode_overloaded(std::int32_t seqid, const field_map& fields);
 std::string encode_internal(std::int32_t seqid, const field_map& fields);
-std::string encode_exception(std::int32_t seqid, std::string_view method, app_error why,
+std::string encode_exception(std::int32_t seqid, std::string_view method, app_error error,
                              std::string_view text);
 std::string encode_closing();
 
--- a/src/thrift/front.cpp
+++ b/src/thrift/front.cpp
@@ -19,19 +19,19 @@
 
 namespace {
 
-// A connection's messages are told apart as none, one, and more.
-constexpr unsigned most_messages_counted = 2;
+// Connections are ranked by whether they brought no message, one, or more.
+constexpr unsigned max_messages_counted = 2;
 
-// What an answer that is no result says besides, by the names on the wire.
-field_map fields_of(const answer& final) {
+// The fields of an error reply, under their names on the wire.
+field_map fields_of(const answer& final_answer) {
   field_map fields;
-  if (final.retry_after.count() > 0) {
-    const auto retry_after = std::chrono::ceil<std::chrono::milliseconds>(final.retry_after);
+  if (final_answer.retry_after.count() > 0) {
+    const auto retry_after = std::chrono::ceil<std::chrono::milliseconds>(final_answer.retry_after);
     fields.emplace("later", std::to_string(retry_after.count()));
   }
-  if (final.no_retry_elsewhere) fields.emplace("giveup", "1");
-  if (final.key_conflict) fields.emplace("key", "conflict");
-  if (final.outcome_unknown) fields.emplace("outcome", "unknown");
+  if (final_answer.no_retry_elsewhere) fields.emplace("giveup", "1");
+  if (final_answer.key_conflict) fields.emplace("key", "conflict");
+  if (final_answer.outcome_unknown) fields.emplace("outcome", "unknown");
   return fields;
 }
 
@@ -46,44 +46,48 @@
   void on_lost(const char*) override { server_.drop(*this); }
 
   void send(const std::string& frame);
-  // Asks its caller, once, to close it.
+  // Sends the caller a request to close the connection, at most once.
   void ask_to_close();
-  // Its caller broke the protocol: open requests are still answered, nothing more is read.
+  // Stops reading because the caller violated the protocol. Open requests are still answered.
   void stop_reading(const char* reason);
-  // Counts a bad message; stops reading after the `strikes` that a connection may have.
+  // Counts a bad message; stops reading once the connection has brought `strikes` bad messages.
   void add_strike();
-  // Ends it, once no request is open on it, so that the caller sees all that it was sent.
+  // Ends the connection in such a way that the caller receives everything sent before. No request may be
+  // open.
   void end();
   bool ended() const { return ended_; }
-  // Whether a request is open on it, or has come and was not read yet.
-  bool owes_answer() const { return !open_.empty() || (!reading_stopped_ && stream_.unread()); }
-  bool half_read() const { return half_read_since_.count() > 0; }
-  // When it may be closed for the sake of others, the earliest first; none: a request is open or arriving.
-  std::optional<time_point> dispensable() const;
+  // Whether a request is open on this connection, or unread bytes may contain one.
+  bool owes_answer() const {
+    return !open_requests_.empty() || (!reading_stopped_ && stream_.has_unread_input());
+  }
+  bool has_incomplete_message() const { return incomplete_since_.count() > 0; }
+  // Rank of the connection among those that may be closed to make room for a new one; the lowest is closed
+  // first. Empty if a request is open or arriving.
+  std::optional<time_point> eviction_rank() const;
 
  private:
   friend class server;
-  friend class net::connections<connection>;  // reads what has come on it
+  friend class net::connections<connection>;  // accesses stream_ and arriving_
 
   server& server_;
   net::stream stream_;
-  std::unordered_map<std::int32_t, request_id> open_;  // by sequence number
+  std::unordered_map<std::int32_t, request_id> open_requests_;  // by sequence number
   time_point last_used_ = net::steady_now();
-  time_point half_read_since_{};  // 0: no frame is half-read
+  time_point incomplete_since_{};  // 0: no incomplete frame
   unsigned strikes_ = 0;
-  unsigned messages_ = 0;  // whole ones that it brought, counted up to most_messages_counted
+  unsigned messages_ = 0;  // complete messages received, counted up to max_messages_counted
   time_point asked_to_close_at_{};
-  bool arriving_ = false;  // brought bytes that are not read yet
+  bool arriving_ = false;  // received bytes that have not been read yet
   bool asked_to_close_ = false;
   bool reading_stopped_ = false;
   bool ended_ = false;
 
  private:
-  void handle(const message& whole);
+  void handle(const message& received);
   void handle(const execute& request, std::int32_t seqid);
   void handle(const interrupt& cancellation);
   void handle(const undecodable& unknown, std::int32_t seqid);
-  void reject(std::int32_t seqid, app_error why, const std::string& text);
+  void reject(std::int32_t seqid, app_error error, const std::string& text);
 };
 
 void server::connection::send(const std::string& frame) {
@@ -100,19 +104,19 @@
 
 std::size_t server::connection::on_bytes(std::string_view bytes) {
   arriving_ = false;
-  if (reading_stopped_) return bytes.size();  // read on, to see its end
+  if (reading_stopped_) return bytes.size();  // discard, but keep reading to notice the end of the connection
   try {
-    const std::optional<frame> whole = next_frame(bytes, server_.config_.bounds);
-    if (!whole) {
-      // Further bytes do not renew it: guards against a frame that comes byte by byte for ever.
-      if (!half_read()) half_read_since_ = net::steady_now();
+    const std::optional<frame> received = next_frame(bytes, server_.config_.bounds);
+    if (!received) {
+      // Further bytes do not extend the time limit, so a frame sent byte by byte cannot stay open forever.
+      if (!has_incomplete_message()) incomplete_since_ = net::steady_now();
       return 0;
     }
     last_used_ = net::steady_now();
-    half_read_since_ = {};
-    messages_ = std::min(messages_ + 1, most_messages_counted);
-    handle(decode(whole->payload, server_.config_.bounds));
-    return whole->size;
+    incomplete_since_ = {};
+    messages_ = std::min(messages_ + 1, max_messages_counted);
+    handle(decode(received->payload, server_.config_.bounds));
+    return received->size;
   } catch (const bad_frame& error) {
     stop_reading(error.what());
     return bytes.size();
@@ -121,11 +125,12 @@
 
 void server::connection::stop_reading(const char* reason) {
   ++server_.counters_.bad_frames;
-  log("bad-frame", "connection given up, %zu open: %s", open_.size(), reason);
+  log("bad-frame", "reading from the connection stopped with %zu requests open: %s", open_requests_.size(),
+      reason);
   reading_stopped_ = true;
-  half_read_since_ = {};
+  incomplete_since_ = {};
   ask_to_close();
-  if (open_.empty()) end();
+  if (open_requests_.empty()) end();
 }
 
 void server::connection::add_strike() {
@@ -140,40 +145,42 @@
   stream_.finish();
 }
 
-// First those asked to close, then those that never brought a message, those that brought one, and last those
-// that came back. The offsets part the four groups; within one the least recently used comes first.
-std::optional<time_point> server::connection::dispensable() const {
-  if (!open_.empty() || half_read() || (arriving_ && !reading_stopped_)) return std::nullopt;
+// Order of closing: connections that were asked to close, then those that brought no message, one message,
+// and more than one. The offsets separate the four groups; within a group the least recently used comes
+// first.
+std::optional<time_point> server::connection::eviction_rank() const {
+  if (!open_requests_.empty() || has_incomplete_message() || (arriving_ && !reading_stopped_))
+    return std::nullopt;
   if (asked_to_close_) return time_point::min() + asked_to_close_at_;
   if (messages_ == 0) return time_point::min() / 2 + last_used_;
   if (messages_ == 1) return time_point::min() / 4 + last_used_;
   return last_used_;
 }
 
-void server::connection::reject(std::int32_t seqid, app_error why, const std::string& text) {
+void server::connection::reject(std::int32_t seqid, app_error error, const std::string& text) {
   ++server_.counters_.bad_frames;
   log("bad-request", "message %d rejected: %s", seqid, text.c_str());
-  send(encode_exception(seqid, "execute", why, text));
+  send(encode_exception(seqid, "execute", error, text));
   add_strike();
 }
 
-void server::connection::handle(const message& whole) {
-  if (const auto* request = std::get_if<execute>(&whole.content)) {
-    handle(*request, whole.seqid);
-  } else if (const auto* cancellation = std::get_if<interrupt>(&whole.content)) {
+void server::connection::handle(const message& received) {
+  if (const auto* request = std::get_if<execute>(&received.content)) {
+    handle(*request, received.seqid);
+  } else if (const auto* cancellation = std::get_if<interrupt>(&received.content)) {
     handle(*cancellation);
-  } else if (const auto* unknown = std::get_if<undecodable>(&whole.content)) {
-    handle(*unknown, whole.seqid);
+  } else if (const auto* unknown = std::get_if<undecodable>(&received.content)) {
+    handle(*unknown, received.seqid);
   } else {
     ++server_.counters_.checks;
-    send(encode_health(whole.seqid, server_.healthy()));
+    send(encode_health(received.seqid, server_.healthy()));
   }
 }
 
 void server::connection::handle(const execute& request, std::int32_t seqid) {
-  if (open_.contains(seqid)) {
-    stop_reading("a sequence number that is open already");
-  } else if (open_.size() >= server_.config_.bounds.open_each_connection) {
+  if (open_requests_.contains(seqid)) {
+    stop_reading("sequence number of an open request was reused");
+  } else if (open_requests_.size() >= server_.config_.bounds.open_each_connection) {
     reject(seqid, app_error::internal, "too many open requests");
   } else {
     server_.begin_request(*this, request, seqid);
@@ -181,17 +188,17 @@
 }
 
 void server::connection::handle(const interrupt& cancellation) {
-  const auto found = open_.find(cancellation.seqid);
-  if (found == open_.end()) return;  // answered already
+  const auto found = open_requests_.find(cancellation.seqid);
+  if (found == open_requests_.end()) return;  // answered already
   const request_id id = found->second;
-  open_.erase(found);
-  server_.open_.erase(id);
+  open_requests_.erase(found);
+  server_.open_requests_.erase(id);
   server_.dispatcher_.on_client_cancelled(id);
 }
 
 void server::connection::handle(const undecodable& unknown, std::int32_t seqid) {
   if (unknown.answerable) {
-    reject(seqid, unknown.why, unknown.text);
+    reject(seqid, unknown.error, unknown.text);
     return;
   }
   ++server_.counters_.bad_frames;
@@ -218,68 +225,75 @@
 server::~server() = default;
 
 bool server::healthy() const {
-  return healthy_ ? healthy_() : dispatcher_.healthy();
+  return health_check_ ? health_check_() : dispatcher_.healthy();
 }
 
-// The bound guards the descriptors: without it the process could not reach its runtime. Closing an unused
-// connection for a new one guards balancers against hundreds that are opened and not used.
+// The limit keeps file descriptors free: without it the process might be unable to connect to its runtime. If
+// the limit is reached, an unused connection is closed for the new one, so that hundreds of unused
+// connections cannot keep balancers from connecting.
 void server::accept(const Poco::Net::StreamSocket& socket) {
   if (connections_.size() >= config_.bounds.connections) {
-    connection* const unused = connections_.spare();
+    connection* const unused = connections_.eviction_candidate();
     if (unused == nullptr) {
       ++counters_.turned_away;
-      log("full", "connection closed at once, %zu stand", connections_.size());
+      log("full", "new connection rejected: all %zu connections are in use", connections_.size());
       net::reject_connection(socket, encode_closing());
       return;
     }
     ++counters_.made_room;
-    log("full", "a connection not in use was closed for a new one, %zu stand", connections_.size());
+    log("full", "closed an unused connection to accept a new one, %zu connections open", connections_.size());
     unused->ask_to_close();
     unused->stream_.close();
     drop(*unused);
   }
   ++counters_.connections;
-  connection& added = connections_.add(std::make_shared<connection>(*this, socket));
-  if (draining_) added.ask_to_close();
+  connection& accepted = connections_.add(std::make_shared<connection>(*this, socket));
+  if (draining_) accepted.ask_to_close();
 }
 
-void server::begin_request(connection& from, const execute& what, std::int32_t seqid) {
+void server::begin_request(connection& client_connection, const execute& message, std::int32_t seqid) {
   request decoded;
   try {
-    decoded = to_request(what, names_, net::unix_ms(), keys_);
+    decoded = to_request(message, names_, net::unix_ms(), keys_);
   } catch (const bad_field& error) {
     ++counters_.bad_requests;
-    log("bad-request", "field %s is missing or wrong", error.what());
-    from.send(encode_internal(seqid, {}));
-    from.add_strike();
+    log("bad-request", "field %s is missing or invalid", error.what());
+    client_connection.send(encode_internal(seqid, {}));
+    client_connection.add_strike();
     return;
   }
   const request_id id = dispatcher_.on_arrival(*this, backend_, std::move(decoded));
-  from.open_.emplace(seqid, id);
-  open_.emplace(id, open_request{&from, seqid});
+  client_connection.open_requests_.emplace(seqid, id);
+  open_requests_.emplace(id, open_request{&client_connection, seqid});
 }
 
-void server::respond(request_id id, const answer& final) {
-  const auto found = open_.find(id);
-  if (found == open_.end()) return;
-  const open_request to = found->second;
-  open_.erase(found);
-  to.from->open_.erase(to.seqid);
-  const field_map fields = fields_of(final);
-  switch (final.status) {
-    case response_status::served: to.from->send(encode_served(to.seqid, final.result)); break;
-    case response_status::rejected: to.from->send(encode_overloaded(to.seqid, fields)); break;
-    case response_status::failed: to.from->send(encode_internal(to.seqid, fields)); break;
+void server::respond(request_id id, const answer& final_answer) {
+  const auto found = open_requests_.find(id);
+  if (found == open_requests_.end()) return;
+  const open_request answered = found->second;
+  open_requests_.erase(found);
+  answered.client_connection->open_requests_.erase(answered.seqid);
+  const field_map fields = fields_of(final_answer);
+  switch (final_answer.status) {
+    case response_status::served:
+      answered.client_connection->send(encode_served(answered.seqid, final_answer.result));
+      break;
+    case response_status::rejected:
+      answered.client_connection->send(encode_overloaded(answered.seqid, fields));
+      break;
+    case response_status::failed:
+      answered.client_connection->send(encode_internal(answered.seqid, fields));
+      break;
   }
-  if (final.unknown_request) to.from->add_strike();
+  if (final_answer.unknown_request) answered.client_connection->add_strike();
 }
 
 void server::drop(connection& closed) {
-  for (const auto& [seqid, id] : closed.open_) {
-    open_.erase(id);
+  for (const auto& [seqid, id] : closed.open_requests_) {
+    open_requests_.erase(id);
     dispatcher_.on_client_cancelled(id);
   }
-  closed.open_.clear();
+  closed.open_requests_.clear();
   connections_.drop(closed);
 }
 
@@ -287,63 +301,62 @@
   if (!sweeps_.due(now)) return sweeps_.next();
   listener_.resume();
   if (sweeps_.begin(now)) {
-    connections_.each([&](connection& candidate) { check(candidate, now); });
-    ask_unused_to_close();
+    connections_.each([&](connection& candidate) { apply_time_limits(candidate, now); });
+    ask_unused_connections_to_close();
   }
   return sweeps_.next();
 }
 
-// One connection's part of a sweep.
-void server::check(connection& candidate, time_point now) {
+void server::apply_time_limits(connection& candidate, time_point now) {
   const limits& bounds = config_.bounds;
   const duration unused = now - candidate.last_used_;
   const bool ignored_request_to_close =
       candidate.asked_to_close_ && !draining_ && now - candidate.asked_to_close_at_ > bounds.linger;
-  if (candidate.half_read() && now - candidate.half_read_since_ > bounds.half_frame) {
-    candidate.stop_reading("a message that never became whole");
+  if (candidate.has_incomplete_message() && now - candidate.incomplete_since_ > bounds.half_frame) {
+    candidate.stop_reading("message incomplete after the time limit");
   } else if (candidate.ended()) {
     if (unused <= bounds.linger) return;
     candidate.stream_.close();
     drop(candidate);
-  } else if (candidate.half_read() || candidate.owes_answer()) {
+  } else if (candidate.has_incomplete_message() || candidate.owes_answer()) {
     return;
   } else if (candidate.reading_stopped_ || ignored_request_to_close) {
     candidate.end();
   } else if (candidate.messages_ == 0 && unused > bounds.silent) {
     ++counters_.silent;
     candidate.end();
-  } else if (unused > bounds.idle || (idle_after_.count() > 0 && unused > idle_after_)) {
+  } else if (unused > bounds.idle || (policy_idle_time_.count() > 0 && unused > policy_idle_time_)) {
     candidate.ask_to_close();
   }
 }
 
-// Asks the most dispensable ones while there is room yet. Guards against closes in a full table, which cross
-// requests that are on their way: a caller that was asked has stopped sending by the time its place is
-// needed.
-void server::ask_unused_to_close() {
-  const auto most =
+// Asks callers to close their least valuable connections before the table of connections is full. Closing one
+// only when the table is full could cross a request that is on its way; a caller that was asked earlier has
+// stopped sending by then.
+void server::ask_unused_connections_to_close() {
+  const auto connections_to_keep =
       static_cast<std::size_t>(config_.bounds.kept * static_cast<double>(config_.bounds.connections));
-  if (connections_.size() <= most) return;
+  if (connections_.size() <= connections_to_keep) return;
   struct candidate {
     time_point rank;
     connection* unused;
     auto operator<=>(const candidate&) const = default;
   };
-  std::size_t asked = 0;
+  std::size_t asked_count = 0;
   std::vector<candidate> candidates;
   connections_.each([&](connection& open) {
     if (open.asked_to_close_) {
-      ++asked;
-    } else if (const auto rank = open.dispensable()) {
+      ++asked_count;
+    } else if (const auto rank = open.eviction_rank()) {
       candidates.push_back({*rank, &open});
     }
   });
   std::sort(candidates.begin(), candidates.end());
   for (const auto& [rank, unused] : candidates) {
-    if (connections_.size() <= most + asked) return;
-    if (unused->stream_.unread()) continue;
+    if (connections_.size() <= connections_to_keep + asked_count) return;
+    if (unused->stream_.has_unread_input()) continue;
     unused->ask_to_close();
-    ++asked;
+    ++asked_count;
   }
 }
 
--- a/src/thrift/front.hpp
+++ b/src/thrift/front.hpp
@@ -1,4 +1,5 @@
-// The Thrift front, for balancers: reads requests, hands them to the dispatcher and writes its answers.
+// The Thrift front, which serves balancers: reads requests, passes them to the dispatcher and sends the
+// answers.
 #pragma once
 
 #include <functional>
@@ -17,45 +18,49 @@
 
 namespace marblewharf::thrift {
 
-// Owned by the reactor's thread.
+// Used only on the reactor's thread.
 class server : public front {
  public:
-  // Listens on `settings.listen`; throws where that address cannot be had. All that is passed in outlives the
-  // server.
+  // Listens on `settings.listen`; throws std::runtime_error if that fails. All arguments outlive the server.
   server(net::reactor& reactor, const config& settings, dispatcher& requests, backend& runs,
          telemetry::counters& counters);
   ~server() override;
 
   // front
-  void respond(request_id id, const answer& final) override;
-  void close_idle(duration after) override { idle_after_ = after; }
+  void respond(request_id id, const answer& final_answer) override;
+  void close_idle(duration idle_time) override { policy_idle_time_ = idle_time; }
 
-  // Closes connections that are idle or half-read for too long; returns when it wants to be called again.
+  // Closes connections that have been idle or in the middle of a message for too long. Returns the time of
+  // the next call.
   time_point step(time_point now);
 
-  // Accepts no further connection and asks the callers of open ones to close them.
+  // Stops accepting connections and asks the callers of open connections to close them.
   void begin_drain();
   bool draining() const { return draining_; }
-  // Ends each connection that nothing is owed on; what comes on it from then on is discarded. A connection
-  // with a request that was not read yet is left for the next call. Returns whether all are ended.
+  // Ends each connection on which no answer is pending; bytes that arrive on an ended connection are
+  // discarded. A connection with a request that has not been read yet is left for the next call. Returns
+  // whether all connections are ended.
   bool end_connections();
   bool empty() const { return connections_.empty(); }
 
-  // What health checks answer, in place of the dispatcher's health. Called on the reactor's thread.
-  void set_health_check(std::function<bool()> healthy) { healthy_ = std::move(healthy); }
+  // Replaces the dispatcher's health as the result of health checks. `healthy` is called on the reactor's
+  // thread.
+  void set_health_check(std::function<bool()> healthy) { health_check_ = std::move(healthy); }
 
  private:
   class connection;
   struct open_request {
-    connection* from = nullptr;
+    connection* client_connection = nullptr;
     std::int32_t seqid = 0;
   };
 
   void accept(const Poco::Net::StreamSocket& socket);
-  void begin_request(connection& from, const execute& what, std::int32_t seqid);
+  void begin_request(connection& client_connection, const execute& message, std::int32_t seqid);
   void drop(connection& closed);
-  void check(connection& candidate, time_point now);
-  void ask_unused_to_close();
+  // Closes or ends a connection that exceeds one of its time limits.
+  void apply_time_limits(connection& candidate, time_point now);
+  // Asks the least valuable connections to close while the table of connections is nearly full.
+  void ask_unused_connections_to_close();
   bool healthy() const;
 
   net::reactor& reactor_;
@@ -64,12 +69,12 @@
   backend& backend_;
   telemetry::counters& counters_;
   net::connections<connection> connections_;
-  std::unordered_map<request_id, open_request> open_;
+  std::unordered_map<request_id, open_request> open_requests_;
   vocabulary names_;
   key_rules keys_;
   net::listener listener_;
-  std::function<bool()> healthy_;  // empty: the dispatcher's health
-  duration idle_after_{};          // as the admission policy wants it; 0: no such wish
+  std::function<bool()> health_check_;  // empty: the dispatcher's health
+  duration policy_idle_time_{};         // idle time-out requested by the admission policy; 0: none
   fronts::sweep_schedule sweeps_;
   bool draining_ = false;
 };
--- a/src/thrift/request.cpp
+++ b/src/thrift/request.cpp
@@ -11,17 +11,19 @@
 namespace marblewharf::thrift {
 namespace {
 
-constexpr std::size_t hex_size = 16;
-constexpr double most_ram_kb = 2000;
-constexpr double most_cpu_ms = 1e7;
-constexpr std::int64_t furthest_door_ms = 600000;  // a door further off, before or behind, is no clock's
+constexpr std::size_t hex_digits = 16;
+constexpr double ram_limit_kb = 2000;
+constexpr double cpu_limit_ms = 1e7;
+// Largest accepted difference between the time in the field "door" and the local clock, in either direction;
+// a larger one cannot be clock skew.
+constexpr std::int64_t max_clock_difference_ms = 600000;
 
 template <typename T, typename... Base>
-std::optional<T> parsed(const std::string& text, Base... base) {
+std::optional<T> parse_number(const std::string& text, Base... base) {
   T value = 0;
   const char* end = text.data() + text.size();
-  const auto [stopped, error] = std::from_chars(text.data(), end, value, base...);
-  if (error != std::errc{} || stopped != end) return std::nullopt;
+  const auto [parse_end, error] = std::from_chars(text.data(), end, value, base...);
+  if (error != std::errc{} || parse_end != end) return std::nullopt;
   return value;
 }
 
@@ -31,67 +33,69 @@
   return found->second;
 }
 
-std::uint64_t hex(const std::string& text, const char* name) {
-  const auto value = parsed<std::uint64_t>(text, 16);
-  if (!value || text.size() != hex_size) throw bad_field(name);
+std::uint64_t parse_hex(const std::string& text, const char* name) {
+  const auto value = parse_number<std::uint64_t>(text, 16);
+  if (!value || text.size() != hex_digits) throw bad_field(name);
   return *value;
 }
 
-double number(const field_map& fields, const char* name, double least, double under) {
-  const auto value = parsed<double>(field(fields, name));
-  if (!value || !std::isfinite(*value) || *value < least || *value >= under) throw bad_field(name);
+double number(const field_map& fields, const char* name, double minimum, double limit) {
+  const auto value = parse_number<double>(field(fields, name));
+  if (!value || !std::isfinite(*value) || *value < minimum || *value >= limit) throw bad_field(name);
   return *value;
 }
 
 template <typename T>
-T known(const std::optional<T>& value, const char* name) {
+T require(const std::optional<T>& value, const char* name) {
   if (!value) throw bad_field(name);
   return *value;
 }
 
-void read_key(const execute& what, const key_rules& keys, request& r) {
-  if (!keys.required && !what.fields.contains(keys.field)) return;
-  r.key = field(what.fields, keys.field.c_str());
-  if (idempotency::fault_of_key(r.key, keys.longest) != nullptr) throw bad_field(keys.field);
-  const std::array<std::string_view, 2> asked = {"thrift", what.body};
-  r.fingerprint = idempotency::fingerprint_of(asked);
+void read_key(const execute& message, const key_rules& keys, request& decoded) {
+  if (!keys.required && !message.fields.contains(keys.field)) return;
+  decoded.key = field(message.fields, keys.field.c_str());
+  if (idempotency::fault_of_key(decoded.key, keys.max_key_size) != nullptr) throw bad_field(keys.field);
+  const std::array<std::string_view, 2> content = {"thrift", message.body};
+  decoded.fingerprint = idempotency::fingerprint_of(content);
 }
 
 }  // namespace
 
 key_rules key_rules_of(const config& settings) {
-  if (const auto& kept = settings.keyed)
-    return {.field = kept->thrift_field,
-            .longest = kept->longest_key,
-            .windows = kept->windows,
+  if (const auto& keyed = settings.keyed)
+    return {.field = keyed->thrift_field,
+            .max_key_size = keyed->longest_key,
+            .windows = keyed->windows,
             .required = true};
-  if (const auto& kept = settings.repeats)
-    return {.field = kept->thrift_field, .longest = kept->longest_key, .windows = kept->windows};
+  if (const auto& keyed = settings.repeats)
+    return {.field = keyed->thrift_field, .max_key_size = keyed->longest_key, .windows = keyed->windows};
   return {};
 }
 
-request to_request(const execute& what, vocabulary& names, std::int64_t now_ms, const key_rules& keys) {
-  const field_map& f = what.fields;
-  request r;
-  r.label = field(f, "txn");
-  hex(r.label, "txn");
-  const auto door = parsed<std::int64_t>(field(f, "door"));
-  if (!door || *door < now_ms - furthest_door_ms || *door > now_ms + furthest_door_ms)
+request to_request(const execute& message, vocabulary& names, std::int64_t now_ms, const key_rules& keys) {
+  const field_map& fields = message.fields;
+  request decoded;
+  decoded.label = field(fields, "txn");
+  parse_hex(decoded.label, "txn");
+  const auto door = parse_number<std::int64_t>(field(fields, "door"));
+  if (!door || *door < now_ms - max_clock_difference_ms || *door > now_ms + max_clock_difference_ms)
     throw bad_field("door");
-  // A door in the future is another clock that runs ahead: as if it had just come.
-  r.read_delay = std::chrono::milliseconds(std::max<std::int64_t>(now_ms - *door, 0));
-  r.caller = known(parsed<unsigned>(field(f, "lb")), "lb");
-  r.expected_work = std::chrono::duration_cast<duration>(
-      std::chrono::duration<double, std::milli>(number(f, "cpu", 0, most_cpu_ms)));
-  r.reserved_kb = number(f, "ram", 0, most_ram_kb);
-  if (r.reserved_kb <= 0) throw bad_field("ram");
-  r.rank = number(f, "standing", 0, 1);
-  if (const auto item = f.find("item"); item != f.end()) r.subject = hex(item->second, "item");
-  r.request_class = known(names.class_of(field(f, "verb")), "verb");
-  r.tenant = known(names.tenant_of(field(f, "team")), "team");
-  r.payload = what.body;
-  if (!keys.field.empty() && keys.windows[r.request_class].count() > 0) read_key(what, keys, r);
-  return r;
+  // A time in the future means that the caller's clock is ahead; the request counts as received just now.
+  decoded.read_delay = std::chrono::milliseconds(std::max<std::int64_t>(now_ms - *door, 0));
+  decoded.caller = require(parse_number<unsigned>(field(fields, "lb")), "lb");
+  decoded.expected_work = std::chrono::duration_cast<duration>(
+      std::chrono::duration<double, std::milli>(number(fields, "cpu", 0, cpu_limit_ms)));
+  decoded.reserved_kb = number(fields, "ram", 0, ram_limit_kb);
+  if (decoded.reserved_kb <= 0) throw bad_field("ram");
+  decoded.rank = number(fields, "standing", 0, 1);
+  if (const auto item = fields.find("item"); item != fields.end())
+    decoded.subject = parse_hex(item->second, "item");
+  decoded.request_class = require(names.class_of(field(fields, "verb")), "verb");
+  decoded.tenant = require(names.tenant_of(field(fields, "team")), "team");
+  decoded.payload = message.body;
+  if (!keys.field.empty() && keys.windows[decoded.request_class].count() > 0)
+    read_key(message, keys, decoded);
+  return decoded;
 }
 
 }  // namespace marblewharf::thrift
--- a/src/thrift/request.hpp
+++ b/src/thrift/request.hpp
@@ -1,4 +1,4 @@
-// What the fields of an execute say, as a request of the core.
+// Converts the fields of an execute message to a core request.
 #pragma once
 
 #include <chrono>
@@ -14,23 +14,24 @@
 
 namespace marblewharf::thrift {
 
-// Names the first field that is missing or wrong.
+// what() is the name of the first field that is missing or invalid.
 struct bad_field : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// Which field tells the key of a request, by class.
+// Which requests have an idempotency key, and in which field.
 struct key_rules {
-  std::string field;  // empty: none does
-  std::size_t longest = 0;
-  std::vector<std::chrono::nanoseconds> windows;  // 0 = the class is not keyed
-  bool required = false;                          // a keyed request without it is wrong; else it has no key
+  std::string field;                              // name of the key's field; empty: no request has a key
+  std::size_t max_key_size = 0;                   // length limit of a key in bytes
+  std::vector<std::chrono::nanoseconds> windows;  // retention period, by request class; 0: class is not keyed
+  bool required = false;  // whether a request of a keyed class is invalid without a key
 };
 
-// As the configuration has them; of no class where nothing keeps results.
+// The key rules of the configuration; without a field if no results are kept.
 key_rules key_rules_of(const config& settings);
 
-// `now_ms`: when it was read, in Unix milliseconds. Throws bad_field.
-request to_request(const execute& what, vocabulary& names, std::int64_t now_ms, const key_rules& keys = {});
+// `now_ms`: the time at which the message was read, in Unix milliseconds. Throws bad_field.
+request to_request(const execute& message, vocabulary& names, std::int64_t now_ms,
+                   const key_rules& keys = {});
 
 }  // namespace marblewharf::thrift
