--- a/src/net/connections.hpp
+++ b/src/net/connections.hpp
@@ -1,5 +1,5 @@
-// The connections of a front. One may go at any time, also while all are looked at or while it is dispatched
-// to.
+// The open connections of a front. A connection may be dropped at any time, also during each() or from its
+// own callbacks.
 #pragma once
 
 #include <memory>
@@ -11,46 +11,49 @@
 
 namespace marblewharf::net {
 
+// `T` is the connection class of the front: eviction_candidate() uses its members eviction_rank(), stream_
+// and arriving_.
 template <typename T>
 class connections {
  public:
-  explicit connections(reactor& r) : reactor_(r) {}
+  explicit connections(reactor& event_loop) : reactor_(event_loop) {}
 
-  T& add(std::shared_ptr<T> c) {
-    T& added = *c;
-    open_.emplace(&added, std::move(c));
+  T& add(std::shared_ptr<T> connection) {
+    T& added = *connection;
+    open_.emplace(&added, std::move(connection));
     return added;
   }
-  // It is destroyed before the next step, not now: it may be in the middle of something.
-  void drop(const T& c) {
-    const auto at = open_.find(&c);
-    if (at == open_.end()) return;
-    reactor_.retire(std::move(at->second));
-    open_.erase(at);
+  // Removes a connection. It is destroyed before the reactor's next step, because one of its callbacks may be
+  // running now.
+  void drop(const T& connection) {
+    const auto position = open_.find(&connection);
+    if (position == open_.end()) return;
+    reactor_.retire(std::move(position->second));
+    open_.erase(position);
   }
-  // Calls `f` for each that stands; what it does to one may end others.
+  // Calls `visit` for each open connection. The call may drop any connection; a dropped one is not visited.
   template <typename F>
-  void each(F f) {
-    std::vector<std::shared_ptr<T>> all;
-    for (const auto& [key, c] : open_) all.push_back(c);
-    for (const auto& c : all) {
-      if (open_.contains(c.get())) f(*c);
+  void each(F visit) {
+    std::vector<std::shared_ptr<T>> snapshot;
+    for (const auto& [key, connection] : open_) snapshot.push_back(connection);
+    for (const auto& connection : snapshot) {
+      if (open_.contains(connection.get())) visit(*connection);
     }
   }
-  // The one to close for a new one: that with the least dispensable(), a time; null where that is none for
-  // all.
-  T* spare() const {
+  // The connection to close to make room for a new one: the one with the lowest eviction_rank(). Null if no
+  // connection may be closed. A connection with unread bytes is marked as arriving and passed over.
+  T* eviction_candidate() const {
     while (true) {
       T* found = nullptr;
-      std::optional<time_point> best;
-      for (const auto& [key, c] : open_) {
-        const std::optional<time_point> next = c->dispensable();
-        if (next && (!best || *next < *best)) {
-          best = next;
-          found = c.get();
+      std::optional<time_point> lowest;
+      for (const auto& [key, connection] : open_) {
+        const std::optional<time_point> rank = connection->eviction_rank();
+        if (rank && (!lowest || *rank < *lowest)) {
+          lowest = rank;
+          found = connection.get();
         }
       }
-      if (found == nullptr || !found->stream_.unread()) return found;
+      if (found == nullptr || !found->stream_.has_unread_input()) return found;
       found->arriving_ = true;
     }
   }
--- a/src/net/event_loop_wakeup.cpp
+++ b/src/net/event_loop_wakeup.cpp
@@ -9,15 +9,14 @@
 
 namespace marblewharf::net {
 
-// One UDP socket on the loopback address, connected to itself: no Unix socket, which some platforms refuse.
-event_loop_wakeup::event_loop_wakeup(reactor& r) : reactor_(r) {
+event_loop_wakeup::event_loop_wakeup(reactor& event_loop) : reactor_(event_loop) {
   try {
     socket_.bind(Poco::Net::SocketAddress("127.0.0.1", 0));
     socket_.connect(socket_.address());
     socket_.setBlocking(false);
     fd_ = socket_.impl()->sockfd();
-  } catch (const Poco::Exception& e) {
-    throw std::runtime_error("no socket to wake the reactor with: " + e.displayText());
+  } catch (const Poco::Exception& error) {
+    throw std::runtime_error("cannot open the socket that wakes the reactor: " + error.displayText());
   }
   reactor_.addEventHandler(socket_, Poco::NObserver<event_loop_wakeup, Poco::Net::ReadableNotification>(
                                         *this, &event_loop_wakeup::on_readable));
@@ -29,18 +28,20 @@
 }
 
 void event_loop_wakeup::wake() noexcept {
-  const char one = 1;
-  // The system call alone, not POCO's object, which the reactor's thread uses meanwhile. Where the buffer is
-  // full the reactor has plenty to wake from.
-  [[maybe_unused]] const ssize_t n = ::send(fd_, &one, 1, MSG_DONTWAIT | MSG_NOSIGNAL);
+  const char datagram = 1;
+  // A plain system call, because the reactor's thread may be using the POCO socket object. An error is
+  // ignored: if the buffer is full, datagrams that will wake the reactor are already waiting.
+  [[maybe_unused]] const ssize_t sent = ::send(fd_, &datagram, 1, MSG_DONTWAIT | MSG_NOSIGNAL);
 }
 
 void event_loop_wakeup::on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
-  char some[64];
+  char discarded[64];
   try {
-    // Datagrams of one byte each: take all that came, so that the reactor is not woken by them again.
-    for (int i = 0; i < 256 && socket_.available() > 0; ++i) socket_.receiveBytes(some, sizeof some);
-  } catch (const Poco::Exception&) {  // nothing there after all
+    // Reads all waiting datagrams (one byte each), so that they do not wake the reactor again. The bound
+    // keeps a busy sender from blocking the reactor.
+    for (int i = 0; i < 256 && socket_.available() > 0; ++i)
+      socket_.receiveBytes(discarded, sizeof discarded);
+  } catch (const Poco::Exception&) {  // no datagram is waiting
   }
   reactor_.wake();
 }
--- a/src/net/event_loop_wakeup.hpp
+++ b/src/net/event_loop_wakeup.hpp
@@ -1,5 +1,5 @@
-// Lets another thread have the reactor take its step now and not when its poll runs out. Holds one UDP socket
-// on 127.0.0.1, connected to itself; no Unix socket.
+// Wakes the reactor from another thread, so that its next step runs now and not when its poll times out. Uses
+// a UDP socket on 127.0.0.1 that is connected to itself, because some platforms refuse Unix sockets.
 #pragma once
 
 #include <Poco/AutoPtr.h>
@@ -12,13 +12,14 @@
 
 class event_loop_wakeup {
  public:
-  // Throws std::runtime_error where no socket can be had (no descriptors left, no loopback address).
-  explicit event_loop_wakeup(reactor& r);
+  // Throws std::runtime_error if the socket cannot be opened (no free file descriptor, no loopback address).
+  // `event_loop` outlives this object.
+  explicit event_loop_wakeup(reactor& event_loop);
   ~event_loop_wakeup();
   event_loop_wakeup(const event_loop_wakeup&) = delete;
   event_loop_wakeup& operator=(const event_loop_wakeup&) = delete;
 
-  // From any thread.
+  // Can be called from any thread.
   void wake() noexcept;
 
  private:
@@ -26,7 +27,7 @@
 
   reactor& reactor_;
   Poco::Net::DatagramSocket socket_;
-  int fd_ = -1;  // its descriptor, for wake() from other threads
+  int fd_ = -1;  // descriptor of socket_, for wake() from other threads
 };
 
 }  // namespace marblewharf::net
--- a/src/net/graceful_close.cpp
+++ b/src/net/graceful_close.cpp
@@ -7,13 +7,13 @@
 namespace marblewharf::net {
 namespace {
 
-// Reads of what is thrown away, at the most: a sender that never pauses must not hold up the reactor.
-constexpr int most_reads = 64;
+// Limits the reads of discarded input, so that a peer that sends continuously cannot block the reactor.
+constexpr int max_reads = 64;
 
 void discard_unread(Poco::Net::StreamSocket& socket) {
   std::array<char, 16384> discarded;
-  for (int reads = 0; reads < most_reads; ++reads) {
-    // 0: the other side has ended, too; less: nothing is there.
+  for (int reads = 0; reads < max_reads; ++reads) {
+    // 0: the peer has shut down its sending side; negative: no input is waiting.
     if (socket.receiveBytes(discarded.data(), static_cast<int>(discarded.size())) <= 0) return;
   }
 }
@@ -25,20 +25,20 @@
     socket.setBlocking(false);
     socket.shutdownSend();
     discard_unread(socket);
-  } catch (const Poco::Exception&) {  // not connected, or reset by the other side
+  } catch (const Poco::Exception&) {  // not connected, or reset by the peer
   }
   try {
     socket.close();
-  } catch (const Poco::Exception&) {  // it is gone either way
+  } catch (const Poco::Exception&) {  // the connection is closed in any case
   }
 }
 
-void reject_connection(Poco::Net::StreamSocket socket, std::string_view last_word) {
+void reject_connection(Poco::Net::StreamSocket socket, std::string_view final_message) {
   try {
     socket.setBlocking(false);
     socket.setNoDelay(true);
-    socket.sendBytes(last_word.data(), static_cast<int>(last_word.size()));
-  } catch (const Poco::Exception&) {  // the other side has gone
+    socket.sendBytes(final_message.data(), static_cast<int>(final_message.size()));
+  } catch (const Poco::Exception&) {  // the peer has closed the connection
   }
   close_gracefully(socket);
 }
--- a/src/net/graceful_close.hpp
+++ b/src/net/graceful_close.hpp
@@ -1,4 +1,5 @@
-// How a connection is closed: in order, so that the other side gets all that was written and then the end.
+// Graceful close of a connection: the peer receives everything that was written, followed by the end of the
+// stream.
 #pragma once
 
 #include <Poco/Net/StreamSocket.h>
@@ -7,13 +8,13 @@
 
 namespace marblewharf::net {
 
-// Ends the sending side, throws away what has come and was not read, and closes. A close over unread bytes
-// would reset the connection, and the reset can take along what the other side has not read yet. Never blocks
-// and never throws: what cannot be ended in order is closed all the same.
+// Shuts down the sending side, discards unread input and closes the socket. Closing a socket with unread
+// input would reset the connection, and a reset can discard data that the peer has not read yet. Never blocks
+// and never throws; closes the socket even if the shutdown fails.
 void close_gracefully(Poco::Net::StreamSocket& socket);
 
-// The same for an accepted connection that there is no room for: says `last_word` first. Where that does not
-// fit into the system's buffer it is cut off.
-void reject_connection(Poco::Net::StreamSocket socket, std::string_view last_word);
+// Sends `final_message` on an accepted connection that exceeds the connection limit, and closes it
+// gracefully. The message is truncated if it does not fit into the socket's send buffer.
+void reject_connection(Poco::Net::StreamSocket socket, std::string_view final_message);
 
 }  // namespace marblewharf::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -11,24 +11,25 @@
 
 namespace marblewharf::net {
 
-listener::listener(reactor& r, const limits& bounds, const std::string& host, std::uint16_t port,
-                   handler accepted, port_sharing sharing)
-    : reactor_(r), bounds_(bounds), accepted_(std::move(accepted)) {
+listener::listener(reactor& event_loop, const limits& bounds, const std::string& host, std::uint16_t port,
+                   handler on_accept, port_sharing sharing)
+    : reactor_(event_loop), bounds_(bounds), on_accept_(std::move(on_accept)) {
   try {
-    // SO_REUSEADDR either way: a restart must not wait for the last process's connections in TIME_WAIT.
+    // SO_REUSEADDR in both cases: a restart must not wait for the previous process's connections in
+    // TIME_WAIT.
     socket_.bind(Poco::Net::SocketAddress(host, port), true, sharing == port_sharing::shared);
     socket_.listen(bounds.backlog);
-  } catch (const Poco::Exception& e) {
-    const std::string where = host + ":" + std::to_string(port);
-    if (sharing == port_sharing::alone && e.code() == EADDRINUSE)
-      throw address_held("listen: " + where + ": held");
-    throw std::runtime_error("listen: " + host + ":" + std::to_string(port) + ": " + e.displayText());
+  } catch (const Poco::Exception& error) {
+    const std::string address = host + ":" + std::to_string(port);
+    if (sharing == port_sharing::alone && error.code() == EADDRINUSE)
+      throw address_held("listen: " + address + ": address already in use");
+    throw std::runtime_error("listen: " + host + ":" + std::to_string(port) + ": " + error.displayText());
   }
   resume();
 }
 
 listener::~listener() {
-  accepted_ = [](const Poco::Net::StreamSocket&) {};  // its owner is on its way out
+  on_accept_ = [](const Poco::Net::StreamSocket&) {};  // the owner is being destroyed
   close();
 }
 
@@ -37,14 +38,15 @@
   pause();
   open_ = false;
   try {
-    // Guards against requests lost on connections that the system accepted and nobody has taken yet.
-    while (connection_waits()) accepted_(socket_.acceptConnection());
-  } catch (const Poco::Exception& e) {
-    telemetry::log("accept", "no connection: %s", e.displayText().c_str());
+    // Connections in the backlog may already carry requests, which closing the socket would lose.
+    while (connection_waiting()) on_accept_(socket_.acceptConnection());
+  } catch (const Poco::Exception& error) {
+    telemetry::log("accept", "cannot accept the connections left in the backlog: %s",
+                   error.displayText().c_str());
   }
   try {
     socket_.close();
-  } catch (const Poco::Exception&) {  // it is gone either way
+  } catch (const Poco::Exception&) {  // the socket is closed in any case
   }
 }
 
@@ -62,25 +64,25 @@
       socket_, Poco::NObserver<listener, Poco::Net::ReadableNotification>(*this, &listener::on_readable));
 }
 
-// The system's own poll: POCO's opens a descriptor for it, and there may be none.
-bool listener::connection_waits() const {
-  pollfd waits{socket_.impl()->sockfd(), POLLIN, 0};
-  return ::poll(&waits, 1, 0) > 0 && (waits.revents & POLLIN) != 0;
+// Calls poll() directly, because POCO's poll opens a file descriptor and none may be free.
+bool listener::connection_waiting() const {
+  pollfd polled{socket_.impl()->sockfd(), POLLIN, 0};
+  return ::poll(&polled, 1, 0) > 0 && (polled.revents & POLLIN) != 0;
 }
 
 void listener::on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
   if (!open_ || paused_) return;
   reactor_.wake();
   try {
-    // More than one a round: hundreds that open at once must not keep others waiting behind them.
-    unsigned taken = 0;
+    // Accepts several connections per dispatch round, so that a burst of hundreds does not delay later ones.
+    unsigned accepted = 0;
     do {
-      accepted_(socket_.acceptConnection());
-    } while (open_ && ++taken < bounds_.accepts && connection_waits());
-  } catch (const Poco::Exception& e) {
-    // Guards against a reactor that spins: the connection keeps waiting, and would end every poll at once.
+      on_accept_(socket_.acceptConnection());
+    } while (open_ && ++accepted < bounds_.accepts && connection_waiting());
+  } catch (const Poco::Exception& error) {
+    // The connection remains in the backlog and would end every poll at once, so the reactor would spin.
     pause();
-    telemetry::log("accept", "no connection: %s", e.displayText().c_str());
+    telemetry::log("accept", "accepting paused: %s", error.displayText().c_str());
   }
 }
 
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -1,4 +1,4 @@
-// A listening socket in the reactor.
+// A listening socket that is registered with the reactor.
 #pragma once
 
 #include <Poco/AutoPtr.h>
@@ -14,11 +14,12 @@
 
 namespace marblewharf::net {
 
-// Whether a second process may bind the same address: the clients' address is shared with a successor
-// (SO_REUSEPORT, the kernel spreads new connections over both), a console is the process's own.
+// Whether a second process may bind the same address. The fronts' addresses are shared with the successor of
+// a hot restart (SO_REUSEPORT: the kernel distributes new connections over both processes). A console's
+// address is not shared.
 enum class port_sharing { shared, alone };
 
-// Thrown where a listener `alone` finds its address held by another socket (EADDRINUSE).
+// The address of a listener with port_sharing::alone is in use by another socket (EADDRINUSE).
 struct address_held : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -27,31 +28,32 @@
  public:
   using handler = std::function<void(const Poco::Net::StreamSocket&)>;
 
-  // Throws address_held (alone, address in use) or std::runtime_error naming the address that cannot be
-  // listened on.
-  listener(reactor& r, const limits& bounds, const std::string& host, std::uint16_t port, handler accepted,
-           port_sharing sharing = port_sharing::shared);
+  // Calls `on_accept` for each accepted connection. `event_loop` and `bounds` outlive the listener. Throws
+  // address_held if the address is in use and `sharing` is `alone`, and otherwise std::runtime_error with the
+  // address on which it cannot listen.
+  listener(reactor& event_loop, const limits& bounds, const std::string& host, std::uint16_t port,
+           handler on_accept, port_sharing sharing = port_sharing::shared);
   ~listener();
   listener(const listener&) = delete;
   listener& operator=(const listener&) = delete;
 
-  // Takes what waits in the backlog, then listens no more.
+  // Accepts the connections that wait in the backlog, then stops listening.
   void close();
-  // Accepts again where the system had no descriptor for a connection. To be called now and then, about as
-  // often as a caller may be kept waiting for one.
+  // Resumes accepting after a failed accept, e.g. for lack of a file descriptor. Has to be called
+  // periodically; the period bounds the extra time that a client waits for its connection.
   void resume();
 
  private:
   void on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&);
   void pause();
-  bool connection_waits() const;
+  bool connection_waiting() const;
 
   reactor& reactor_;
   const limits& bounds_;
-  handler accepted_;
+  handler on_accept_;
   Poco::Net::ServerSocket socket_;
   bool open_ = true;
-  bool paused_ = true;  // the reactor does not watch it
+  bool paused_ = true;  // the socket is not registered with the reactor
 };
 
 }  // namespace marblewharf::net
--- a/src/net/reactor.cpp
+++ b/src/net/reactor.cpp
@@ -21,54 +21,55 @@
 }
 
 std::int64_t unix_ms() {
-  constexpr std::int64_t us_each_ms = 1000;
-  return unix_us() / us_each_ms;
+  constexpr std::int64_t us_per_ms = 1000;
+  return unix_us() / us_per_ms;
 }
 
-Poco::Net::SocketAddress address_of(const endpoint& e, const char* key) {
+Poco::Net::SocketAddress address_of(const endpoint& configured, const char* key) {
   try {
-    return {e.host, e.port};
+    return {configured.host, configured.port};
   } catch (const Poco::Exception&) {
-    throw bad_config(std::string(key) + " names no address: " + e.host);
+    throw bad_config(std::string(key) + ": cannot resolve the host " + configured.host);
   }
 }
 
 namespace {
 
-// POCO catches what a handler or a step throws and goes on. Guards against a fault that nobody ever sees.
-class fault_log : public Poco::ErrorHandler {
-  void exception(const Poco::Exception& e) override {
-    telemetry::log("internal", "%s", e.displayText().c_str());
+// Logs the exceptions of handlers and steps, which POCO would otherwise swallow.
+class exception_logger : public Poco::ErrorHandler {
+  void exception(const Poco::Exception& error) override {
+    telemetry::log("internal", "%s", error.displayText().c_str());
   }
-  void exception(const std::exception& e) override { telemetry::log("internal", "%s", e.what()); }
-  void exception() override { telemetry::log("internal", "an unknown exception"); }
+  void exception(const std::exception& error) override { telemetry::log("internal", "%s", error.what()); }
+  void exception() override { telemetry::log("internal", "unknown exception"); }
 };
 
 }  // namespace
 
 reactor::reactor(const limits& bounds)
-    : bounds_(bounds), scratch_(std::max(bounds.read_chunk, bounds.discard_chunk), '\0') {}
+    : bounds_(bounds), read_buffer_(std::max(bounds.read_chunk, bounds.discard_chunk), '\0') {}
 
 void reactor::serve(std::function<time_point()> step) {
   step_ = std::move(step);
-  fault_log faults;
-  Poco::ErrorHandler* before = Poco::ErrorHandler::set(&faults);
+  exception_logger logger;
+  Poco::ErrorHandler* previous = Poco::ErrorHandler::set(&logger);
   wake();
   run();
-  Poco::ErrorHandler::set(before);
+  Poco::ErrorHandler::set(previous);
 }
 
 void reactor::wake() {
   setTimeout(Poco::Timespan(0));
 }
 
-// POCO calls onBusy() before it dispatches what a poll found. wake() makes the next poll return at once, so
-// all that one round of dispatch reported is decided on together, right after it.
+// POCO calls onBusy() before it dispatches the events of a poll. wake() makes the next poll return at once,
+// so the step right after a dispatch round handles everything that the round reported.
 void reactor::advance() {
   retired_.clear();
   const time_point due = step_();
   const auto wait = std::clamp(due - steady_now(), limits::duration::zero(), bounds_.longest_poll);
-  // The poll cuts to whole milliseconds: rounded up, else it spins through the last one.
+  // POCO's poll truncates the time-out to whole milliseconds; rounding up avoids spinning during the last
+  // one.
   const auto ms = std::chrono::ceil<std::chrono::milliseconds>(wait).count();
   setTimeout(Poco::Timespan(ms * Poco::Timespan::MILLISECONDS));
 }
--- a/src/net/reactor.hpp
+++ b/src/net/reactor.hpp
@@ -1,5 +1,6 @@
-// POCO's SocketReactor with one step of the program between its rounds of dispatch, and times fine enough for
-// the module's timers.
+// The event loop: POCO's SocketReactor, extended by a step function that runs after each dispatch round and
+// at the time that it requested. Time points are in nanoseconds, fine enough for the timers of the admission
+// policy.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -17,35 +18,40 @@
 
 using time_point = std::chrono::nanoseconds;
 
+// Monotonic time.
 time_point steady_now();
+// Wall-clock time since the Unix epoch.
 std::int64_t unix_ms();
 std::int64_t unix_us();
 
-// Throws bad_config naming the key where that host cannot be told.
-Poco::Net::SocketAddress address_of(const endpoint& e, const char* key);
+// Resolves the host name of an endpoint. Throws bad_config with the settings key `key` if that fails.
+Poco::Net::SocketAddress address_of(const endpoint& configured, const char* key);
 
 class reactor : public Poco::Net::SocketReactor {
  public:
   explicit reactor(const limits& bounds);
 
-  // `step` is called after each round of dispatch and when the time that it returned has come.
+  // Runs the event loop until stop(). Calls `step` after each dispatch round and at the time that its
+  // previous call returned.
   void serve(std::function<time_point()> step);
 
-  // A handler may not be destroyed while it is dispatched to: what is retired goes before the next step.
+  // Defers the destruction of a handler, which may be running now, until the next step begins.
   void retire(std::shared_ptr<void> handler) { retired_.push_back(std::move(handler)); }
 
-  // Hears all that goes over accepted connections; null: nobody does.
-  void listen_in(traffic_observer* t) { tap_ = t; }
-  traffic_observer* listener() const { return tap_; }
+  // Sets the observer of the bytes on accepted connections; null: none.
+  void listen_in(traffic_observer* observer) { traffic_observer_ = observer; }
+  traffic_observer* observer() const { return traffic_observer_; }
 
-  // One for all connections: what is read is taken from it before the next one reads.
-  std::string& scratch() { return scratch_; }
+  // Read buffer shared by all connections: each read is processed before the next one begins.
+  std::string& read_buffer() { return read_buffer_; }
 
-  // Bytes that all connections keep.
-  void buffer(std::size_t before, std::size_t now) { buffered_ += now - before; }
+  // Accounts for a connection's buffer whose size changes from `old_size` to `new_size` bytes.
+  void update_buffered_size(std::size_t old_size, std::size_t new_size) { buffered_ += new_size - old_size; }
+  // Bytes in the buffers of all connections.
   std::size_t buffered() const { return buffered_; }
 
-  // Something was read or reported: step at once after this round.
+  // Makes the next step run at once after the current dispatch round. Called when input was read or a result
+  // was reported.
   void wake();
 
  private:
@@ -56,8 +62,8 @@
 
   const limits& bounds_;
   std::function<time_point()> step_;
-  traffic_observer* tap_ = nullptr;
-  std::string scratch_;
+  traffic_observer* traffic_observer_ = nullptr;
+  std::string read_buffer_;
   std::size_t buffered_ = 0;
   std::vector<std::shared_ptr<void>> retired_;
 };
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -9,23 +9,26 @@
 
 namespace marblewharf::net {
 
-stream::stream(reactor& r, const limits& bounds, owner& o, const Poco::Net::StreamSocket& socket)
-    : reactor_(r), bounds_(bounds), owner_(o), socket_(socket) {
+stream::stream(reactor& event_loop, const limits& bounds, owner& callbacks,
+               const Poco::Net::StreamSocket& socket)
+    : reactor_(event_loop), bounds_(bounds), owner_(callbacks), socket_(socket) {
   socket_.setBlocking(false);
   socket_.setNoDelay(true);
-  watch();
+  register_handlers();
   try {
-    tap_ = r.listener();
-    if (tap_ != nullptr) tap_->on_open(this, socket_.peerAddress().toString(), socket_.address().toString());
-  } catch (const Poco::Exception&) {  // its other side has gone already, which its first read will tell
-    tap_ = nullptr;
+    traffic_observer_ = event_loop.observer();
+    if (traffic_observer_ != nullptr)
+      traffic_observer_->on_open(this, socket_.peerAddress().toString(), socket_.address().toString());
+  } catch (const Poco::Exception&) {  // the peer has closed the connection; the first read reports it
+    traffic_observer_ = nullptr;
   }
 }
 
-stream::stream(reactor& r, const limits& bounds, owner& o, const Poco::Net::SocketAddress& to)
-    : reactor_(r), bounds_(bounds), owner_(o), connecting_(true) {
-  socket_.connectNB(to);
-  watch();
+stream::stream(reactor& event_loop, const limits& bounds, owner& callbacks,
+               const Poco::Net::SocketAddress& peer)
+    : reactor_(event_loop), bounds_(bounds), owner_(callbacks), connecting_(true) {
+  socket_.connectNB(peer);
+  register_handlers();
   watch_writable(true);
 }
 
@@ -33,22 +36,22 @@
   close();
 }
 
-void stream::watch() {
+void stream::register_handlers() {
   reactor_.addEventHandler(
       socket_, Poco::NObserver<stream, Poco::Net::ReadableNotification>(*this, &stream::on_readable));
   reactor_.addEventHandler(socket_,
                            Poco::NObserver<stream, Poco::Net::ErrorNotification>(*this, &stream::on_error));
 }
 
-// Subscribed only while something waits: a socket that could be written to ends every poll at once. POCO 1.11
-// takes back a poll mode only with a socket's last handler, but works it out anew with each that is added: so
-// another handler is taken out and put in. Guards against a node that spins on the runtime's link from its
-// first connect on (seen as a whole core used by an idle node).
-void stream::watch_writable(bool wanted) {
-  if (wanted == watching_writable_) return;
-  watching_writable_ = wanted;
+// Registers for writability only while output is buffered, because a writable socket ends every poll at once.
+// POCO 1.11 does not clear a socket's poll mode when one of several handlers is removed, but recomputes the
+// mode when a handler is added. Another handler is therefore removed and added again. Otherwise a node spins
+// on its connection to the runtime from the first connect on, and an idle node uses a whole core.
+void stream::watch_writable(bool enabled) {
+  if (enabled == watching_writable_) return;
+  watching_writable_ = enabled;
   const Poco::NObserver<stream, Poco::Net::WritableNotification> observer(*this, &stream::on_writable);
-  if (wanted) {
+  if (enabled) {
     reactor_.addEventHandler(socket_, observer);
   } else {
     reactor_.removeEventHandler(socket_, observer);
@@ -62,10 +65,10 @@
 void stream::close() {
   if (!open_) return;
   open_ = false;
-  if (!connecting_) write_rest();
-  keep(in_, {});
-  keep(out_, {});
-  if (tap_ != nullptr) tap_->on_close(this);
+  if (!connecting_) write_buffered_output();
+  set_buffer(input_, {});
+  set_buffer(output_, {});
+  if (traffic_observer_ != nullptr) traffic_observer_->on_close(this);
   watch_writable(false);
   reactor_.removeEventHandler(
       socket_, Poco::NObserver<stream, Poco::Net::ReadableNotification>(*this, &stream::on_readable));
@@ -74,12 +77,13 @@
   close_gracefully(socket_);
 }
 
-// What still waits to be written goes as far as the system takes it; nobody hears of a failure any more.
-void stream::write_rest() {
-  if (out_.empty()) return;
+// Writes as much of the buffered output as the socket accepts. The stream is being closed, so an error is
+// ignored.
+void stream::write_buffered_output() {
+  if (output_.empty()) return;
   try {
-    socket_.sendBytes(out_.data(), static_cast<int>(out_.size()));
-  } catch (const Poco::Exception&) {  // the other side has gone
+    socket_.sendBytes(output_.data(), static_cast<int>(output_.size()));
+  } catch (const Poco::Exception&) {  // the peer has closed the connection
   }
 }
 
@@ -87,64 +91,65 @@
   if (!open_ || discarding_) return;
   finishing_ = true;
   discarding_ = true;
-  keep(in_, {});
+  set_buffer(input_, {});
   if (!connecting_) flush();
 }
 
-bool stream::unread() const {
+bool stream::has_unread_input() const {
   try {
     return open_ && socket_.available() > 0;
-  } catch (const Poco::Exception&) {  // it is gone
+  } catch (const Poco::Exception&) {  // the connection is lost
     return false;
   }
 }
 
-void stream::lose(const char* why) {
+void stream::fail(const char* reason) {
   if (!open_) return;
   close();
-  owner_.on_lost(why);
+  owner_.on_lost(reason);
 }
 
 void stream::on_readable(const readable&) {
   if (!open_) return;
   reactor_.wake();
-  const std::size_t most = discarding_ ? bounds_.discard_chunk : bounds_.read_chunk;
-  int got = 0;
+  const std::size_t max_size = discarding_ ? bounds_.discard_chunk : bounds_.read_chunk;
+  int size = 0;
   try {
-    got = socket_.receiveBytes(reactor_.scratch().data(), static_cast<int>(most));
+    size = socket_.receiveBytes(reactor_.read_buffer().data(), static_cast<int>(max_size));
   } catch (const Poco::Exception& e) {
-    lose("reset");
+    fail("reset");
     return;
   }
-  if (got == 0) {
-    lose("closed by the other side");
-  } else if (got > 0) {  // else nothing there after all
-    take(static_cast<std::size_t>(got));
+  if (size == 0) {
+    fail("closed by the peer");
+  } else if (size > 0) {  // negative: no input is waiting
+    process_input(static_cast<std::size_t>(size));
   }
 }
 
-// Only what is left of an unfinished message is kept: hundreds of connections share one buffer.
-void stream::take(std::size_t got) {
-  std::string_view bytes(reactor_.scratch().data(), got);
-  if (tap_ != nullptr) tap_->on_read(this, bytes);
+// Keeps only the rest of an incomplete message in the stream's own buffer: all connections share one read
+// buffer.
+void stream::process_input(std::size_t size) {
+  std::string_view bytes(reactor_.read_buffer().data(), size);
+  if (traffic_observer_ != nullptr) traffic_observer_->on_read(this, bytes);
   std::string joined;
-  if (!in_.empty()) {
-    joined.swap(in_);
-    reactor_.buffer(joined.size(), 0);
+  if (!input_.empty()) {
+    joined.swap(input_);
+    reactor_.update_buffered_size(joined.size(), 0);
     bytes = joined.append(bytes);
   }
   while (open_ && !discarding_ && !bytes.empty()) {
-    const std::size_t more = owner_.on_bytes(bytes);
-    if (more == 0) break;
-    bytes.remove_prefix(more);
+    const std::size_t consumed = owner_.on_bytes(bytes);
+    if (consumed == 0) break;
+    bytes.remove_prefix(consumed);
   }
-  if (open_ && !discarding_) keep(in_, bytes);
+  if (open_ && !discarding_) set_buffer(input_, bytes);
 }
 
-// Guards the memory against buffers that keep the room they once needed.
-void stream::keep(std::string& buffer, std::string_view bytes) {
-  reactor_.buffer(buffer.size(), bytes.size());
-  buffer = std::string(bytes);
+// Assigns a new string, so that the buffer does not keep the capacity of its largest content.
+void stream::set_buffer(std::string& buffer, std::string_view content) {
+  reactor_.update_buffered_size(buffer.size(), content.size());
+  buffer = std::string(content);
 }
 
 void stream::on_writable(const writable&) {
@@ -152,7 +157,7 @@
   if (connecting_) {
     connecting_ = false;
     if (socket_.impl()->socketError() != 0) {
-      lose("cannot connect");
+      fail("cannot connect");
       return;
     }
     socket_.setNoDelay(true);
@@ -163,41 +168,41 @@
 }
 
 void stream::on_error(const error&) {
-  lose(connecting_ ? "cannot connect" : "socket error");
+  fail(connecting_ ? "cannot connect" : "socket error");
 }
 
 void stream::send(std::string_view bytes) {
   if (!open_) return;
-  if (tap_ != nullptr) tap_->on_written(this, bytes);
-  const bool idle = out_.empty();
-  reactor_.buffer(0, bytes.size());
-  out_.append(bytes);
+  if (traffic_observer_ != nullptr) traffic_observer_->on_written(this, bytes);
+  const bool idle = output_.empty();
+  reactor_.update_buffered_size(0, bytes.size());
+  output_.append(bytes);
   if (idle && !connecting_) flush();
-  // Guards the process's memory against peers that send and never read, one or all of them together.
-  const bool too_much = out_.size() > bounds_.write_buffer || reactor_.buffered() > bounds_.buffered;
-  if (open_ && !out_.empty() && too_much) lose("reads too slowly");
+  // Bounds the memory used for peers that do not read their responses, for each connection and in total.
+  const bool over_limit = output_.size() > bounds_.write_buffer || reactor_.buffered() > bounds_.buffered;
+  if (open_ && !output_.empty() && over_limit) fail("peer reads too slowly");
 }
 
 void stream::flush() {
   std::size_t written = 0;
-  while (written < out_.size()) {
-    int more = 0;
+  while (written < output_.size()) {
+    int accepted = 0;
     try {
-      more = socket_.sendBytes(out_.data() + written, static_cast<int>(out_.size() - written));
+      accepted = socket_.sendBytes(output_.data() + written, static_cast<int>(output_.size() - written));
     } catch (const Poco::Exception&) {
-      lose("reset");
+      fail("reset");
       return;
     }
-    if (more <= 0) break;
-    written += static_cast<std::size_t>(more);
+    if (accepted <= 0) break;
+    written += static_cast<std::size_t>(accepted);
   }
-  if (written > 0) keep(out_, std::string_view(out_).substr(written));
-  watch_writable(!out_.empty());
-  if (!finishing_ || !out_.empty()) return;
+  if (written > 0) set_buffer(output_, std::string_view(output_).substr(written));
+  watch_writable(!output_.empty());
+  if (!finishing_ || !output_.empty()) return;
   finishing_ = false;
   try {
     socket_.shutdownSend();
-  } catch (const Poco::Exception&) {  // the other side has gone, which its end will tell
+  } catch (const Poco::Exception&) {  // the peer has closed the connection; the next read reports it
   }
 }
 
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -1,5 +1,5 @@
-// One TCP connection in the reactor: reads as it comes, writes at once and keeps the rest in a bounded
-// buffer.
+// One TCP connection in the reactor. Passes input to its owner as it arrives, writes output at once and keeps
+// output that the socket does not accept in a bounded buffer.
 #pragma once
 
 #include <Poco/AutoPtr.h>
@@ -18,63 +18,72 @@
   class owner {
    public:
     virtual ~owner() = default;
-    // All bytes not yet taken; returns how many are taken now. May close the stream.
+    // `bytes` are all unconsumed input bytes. Returns the number of bytes consumed; 0 if the message is
+    // incomplete. May close the stream.
     virtual std::size_t on_bytes(std::string_view bytes) = 0;
+    // The connection is established. Not called for an accepted connection.
     virtual void on_open() {}
-    // Reported once, unless close() was called first. The stream is closed by then.
-    virtual void on_lost(const char* why) = 0;
+    // The connection was lost, and the stream has been closed. Called once, unless close() is called first.
+    virtual void on_lost(const char* reason) = 0;
   };
 
-  // An accepted connection.
-  stream(reactor& r, const limits& bounds, owner& o, const Poco::Net::StreamSocket& socket);
-  // A new connection; on_open() tells when it stands.
-  stream(reactor& r, const limits& bounds, owner& o, const Poco::Net::SocketAddress& to);
+  // An accepted connection. The references outlive the stream.
+  stream(reactor& event_loop, const limits& bounds, owner& callbacks, const Poco::Net::StreamSocket& socket);
+  // Starts a new connection; on_open() reports that it is established. Throws Poco::Exception if connecting
+  // fails at once.
+  stream(reactor& event_loop, const limits& bounds, owner& callbacks, const Poco::Net::SocketAddress& peer);
   ~stream();
   stream(const stream&) = delete;
   stream& operator=(const stream&) = delete;
 
+  // Sends bytes. Closes the connection and reports it as lost if the unsent output exceeds `write_buffer`, or
+  // the buffers of all connections together exceed `buffered`.
   void send(std::string_view bytes);
-  // Closes now, in order (net/closing.hpp).
+  // Closes the connection gracefully and at once (net/graceful_close.hpp).
   void close();
-  // Nothing more will be sent: the other side sees the end once all is written. What still comes is thrown
-  // away unseen: a close with bytes unread would reset the connection, and the last answer could be lost with
-  // it.
+  // Ends the output: the peer sees the end of the stream after all buffered output. Further input is read and
+  // discarded, because closing with unread input would reset the connection and the last answer could be
+  // lost.
   void finish();
   bool is_open() const { return open_; }
-  // Bytes of an unfinished message wait for the rest.
-  bool half_read() const { return !in_.empty(); }
-  // Bytes have come that nobody has read yet: whoever closes now may lose a request.
-  bool unread() const;
-  bool flushed() const { return out_.empty(); }
+  // Whether an incomplete message is buffered.
+  bool has_incomplete_message() const { return !input_.empty(); }
+  // Whether unread input is waiting in the socket; closing now could lose a request.
+  bool has_unread_input() const;
+  // Whether all output has been written to the socket.
+  bool flushed() const { return output_.empty(); }
 
  private:
   using readable = Poco::AutoPtr<Poco::Net::ReadableNotification>;
   using writable = Poco::AutoPtr<Poco::Net::WritableNotification>;
   using error = Poco::AutoPtr<Poco::Net::ErrorNotification>;
 
-  void watch();
-  void take(std::size_t got);
-  void keep(std::string& buffer, std::string_view bytes);
+  void register_handlers();
+  // Passes the first `size` bytes of the reactor's read buffer to the owner.
+  void process_input(std::size_t size);
+  // Replaces the content of a buffer and updates the reactor's total.
+  void set_buffer(std::string& buffer, std::string_view content);
   void on_readable(const readable&);
   void on_writable(const writable&);
   void on_error(const error&);
   void flush();
-  void write_rest();
-  void watch_writable(bool wanted);
-  void lose(const char* why);
+  void write_buffered_output();
+  void watch_writable(bool enabled);
+  // Closes the stream and reports the loss to the owner.
+  void fail(const char* reason);
 
   reactor& reactor_;
   const limits& bounds_;
   owner& owner_;
   Poco::Net::StreamSocket socket_;
-  std::string in_;
-  std::string out_;
+  std::string input_;
+  std::string output_;
   bool open_ = true;
   bool connecting_ = false;
   bool watching_writable_ = false;
   bool finishing_ = false;
   bool discarding_ = false;
-  traffic_observer* tap_ = nullptr;  // where it was accepted and somebody listens in
+  traffic_observer* traffic_observer_ = nullptr;  // only for accepted connections; null: none
 };
 
 }  // namespace marblewharf::net
--- a/src/uwsgi/client.hpp
+++ b/src/uwsgi/client.hpp
@@ -1,5 +1,5 @@
-// Runs requests on uwsgi servers, one connection for each attempt. A request with an effect is given to one
-// server only: once a byte of it may have arrived it is never sent again.
+// Runs requests on uwsgi servers, with one connection for each attempt. A request that is not safe to repeat
+// is never sent again once a byte of it may have arrived at a server.
 #pragma once
 
 #include <memory>
@@ -14,16 +14,19 @@
 
 class client : public backend {
  public:
-  client(net::reactor& r, const config& settings, dispatcher& d);
+  // All arguments outlive the client.
+  client(net::reactor& reactor, const config& settings, dispatcher& requests);
   ~client() override;
 
-  void run(request_id id, const request& what) override;
-  // The protocol knows no pause: the attempt is broken off for good.
+  // backend
+  void run(request_id id, const request& details) override;
+  // Aborts the attempt, because the protocol has no pause.
   void pause(request_id id) override;
   void resume(request_id) override {}
-  // Sends the request's vars with the one that the settings name put in, and no body. 404: it never ran
-  // there; 2xx: this is its response; anything else: the server does not know yet.
-  bool inquire(request_id id, const request& what) override;
+  // Asks for the outcome of a keyed request: sends the request's vars, the inquiry var of the settings and no
+  // body. Response status 404: the request never ran there; 2xx: the response is the request's result; other:
+  // the outcome is unknown.
+  bool inquire(request_id id, const request& details) override;
 
   std::size_t running() const { return attempts_.size(); }
 
@@ -31,18 +34,19 @@
   struct attempt;
 
   std::size_t least_loaded() const;
-  void try_next(const std::shared_ptr<attempt>& a);
-  void on_end(const std::shared_ptr<attempt>& a, exchange_end how, const response_head* head,
+  // Connects to the next server that has not been tried yet; finishes the attempt if there is none.
+  void try_next_server(const std::shared_ptr<attempt>& current);
+  void on_end(const std::shared_ptr<attempt>& ended, exchange_end end, const response_head* head,
               std::string_view response);
-  void finish(attempt& a, run_end how, std::string_view response, unsigned status);
-  void begin(const std::shared_ptr<attempt>& a);
+  void finish(attempt& finished, run_end end, std::string_view response, unsigned status);
+  void begin(const std::shared_ptr<attempt>& new_attempt);
 
   net::reactor& reactor_;
   const config& config_;
   dispatcher& dispatcher_;
   std::unordered_map<request_id, std::shared_ptr<attempt>> attempts_;
-  std::vector<unsigned> load_;  // by server
-  std::size_t last_ = 0;        // of equals, the next in turn
+  std::vector<unsigned> load_;   // attempts in progress, by server
+  std::size_t last_server_ = 0;  // server used last; equally loaded servers are used in turn
 };
 
 }  // namespace marblewharf::uwsgi
--- a/src/uwsgi/exchange.cpp
+++ b/src/uwsgi/exchange.cpp
@@ -6,20 +6,22 @@
 
 namespace marblewharf::uwsgi {
 
-exchange::exchange(net::reactor& r, const limits& bounds, const endpoint& to, std::string packet, report done)
-    : bounds_(bounds), packet_(std::move(packet)), done_(std::move(done)) {
-  stream_ = std::make_unique<net::stream>(r, bounds, *this, Poco::Net::SocketAddress(to.host, to.port));
+exchange::exchange(net::reactor& reactor, const limits& bounds, const endpoint& server, std::string packet,
+                   report on_end)
+    : bounds_(bounds), packet_(std::move(packet)), report_(std::move(on_end)) {
+  stream_ = std::make_unique<net::stream>(reactor, bounds, *this,
+                                          Poco::Net::SocketAddress(server.host, server.port));
 }
 
 exchange::~exchange() = default;
 
 void exchange::close() {
-  over_ = true;
+  ended_ = true;
   stream_->close();
 }
 
 void exchange::on_open() {
-  opened_ = true;
+  connected_ = true;
   stream_->send(packet_);
   packet_.clear();
 }
@@ -27,32 +29,32 @@
 std::size_t exchange::on_bytes(std::string_view bytes) {
   response_ += bytes;
   try {
-    if (!head_) head_ = read_head(response_, bounds_);
+    if (!head_) head_ = decode_response_head(response_, bounds_);
     if (head_ && response_.size() > head_->size + bounds_.result)
-      throw bad_response("a body of more than " + std::to_string(bounds_.result) + " bytes");
-  } catch (const bad_response& e) {
-    telemetry::log("bad-response", "uwsgi server: %s", e.what());
+      throw bad_response("body is longer than " + std::to_string(bounds_.result) + " bytes");
+  } catch (const bad_response& error) {
+    telemetry::log("bad-response", "uwsgi server: %s", error.what());
     end(exchange_end::unreadable);
     return bytes.size();
   }
-  if (head_ && head_->content && response_.size() >= head_->size + *head_->content) {
-    response_.resize(head_->size + *head_->content);
+  if (head_ && head_->content_length && response_.size() >= head_->size + *head_->content_length) {
+    response_.resize(head_->size + *head_->content_length);
     end(exchange_end::whole);
   }
   return bytes.size();
 }
 
 void exchange::on_lost(const char*) {
-  if (opened_ && head_ && !head_->content) {
-    end(exchange_end::whole);  // its end is the end of the connection
+  if (connected_ && head_ && !head_->content_length) {
+    end(exchange_end::whole);  // without a Content-Length, the body ends with the connection
   } else {
-    end(opened_ ? exchange_end::cut_off : exchange_end::unconnected);
+    end(connected_ ? exchange_end::cut_off : exchange_end::unconnected);
   }
 }
 
-void exchange::end(exchange_end how) {
-  if (std::exchange(over_, true)) return;
-  done_(how, how == exchange_end::whole ? &*head_ : nullptr, response_);
+void exchange::end(exchange_end result) {
+  if (std::exchange(ended_, true)) return;
+  report_(result, result == exchange_end::whole ? &*head_ : nullptr, response_);
 }
 
 }  // namespace marblewharf::uwsgi
--- a/src/uwsgi/exchange.hpp
+++ b/src/uwsgi/exchange.hpp
@@ -1,4 +1,4 @@
-// One request to a uwsgi server and its response: a connection of its own, ended with it.
+// One request to a uwsgi server and its response, on a connection of its own.
 #pragma once
 
 #include <functional>
@@ -14,37 +14,40 @@
 namespace marblewharf::uwsgi {
 
 enum class exchange_end {
-  whole,        // a whole response
-  unreadable,   // what came is none
-  unconnected,  // nothing of the request can have arrived
-  cut_off,      // a byte of it may have arrived, and no whole response came
+  whole,        // a complete response was received
+  unreadable,   // the received bytes are no valid response, or the response is too long
+  unconnected,  // no connection was established: no byte of the request can have arrived
+  cut_off,      // the connection was lost before a complete response; the request may have arrived
 };
 
 class exchange : public net::stream::owner {
  public:
-  // Reported once, unless close() was called first. The response is the whole of it, head included; head is
-  // null unless it is whole.
+  // Called once, unless close() is called first. `response` includes the head. `head` is null unless the
+  // response is complete.
   using report = std::function<void(exchange_end, const response_head*, std::string_view response)>;
 
-  // Throws Poco::Exception where no connection can be begun.
-  exchange(net::reactor& r, const limits& bounds, const endpoint& to, std::string packet, report done);
+  // Starts to connect; throws Poco::Exception if that fails at once. `reactor` and `bounds` outlive the
+  // exchange.
+  exchange(net::reactor& reactor, const limits& bounds, const endpoint& server, std::string packet,
+           report on_end);
   ~exchange() override;
 
+  // Closes the connection without a report.
   void close();
 
   // net::stream::owner
   void on_open() override;
   std::size_t on_bytes(std::string_view bytes) override;
-  void on_lost(const char* why) override;
+  void on_lost(const char* reason) override;
 
  private:
-  void end(exchange_end how);
+  void end(exchange_end result);
 
   const limits& bounds_;
   std::string packet_;
-  report done_;
-  bool opened_ = false;
-  bool over_ = false;
+  report report_;
+  bool connected_ = false;
+  bool ended_ = false;
   std::string response_;
   std::optional<response_head> head_;
   std::unique_ptr<net::stream> stream_;
--- a/src/uwsgi/front.cpp
+++ b/src/uwsgi/front.cpp
@@ -26,20 +26,22 @@
   return "Retry-After: " + std::to_string(retry_after.count()) + "\r\n";
 }
 
-// Whole seconds, as HTTP has it, and at least one: 0 would ask for a retry at once.
-std::string rejection(const answer& final) {
-  const auto retry_after = std::chrono::ceil<std::chrono::seconds>(final.retry_after);
+// The retry-after time in whole seconds, as HTTP requires, and at least one second: 0 would request an
+// immediate retry.
+std::string rejection(const answer& final_answer) {
+  const auto retry_after = std::chrono::ceil<std::chrono::seconds>(final_answer.retry_after);
   return encode_response(service_unavailable,
                          retry_after_header(std::max(retry_after, std::chrono::seconds(1))));
 }
 
-// With an unknown outcome the request may have run and will not run again; past its deadline it may end yet,
-// which a later request with its key tells.
-std::string failure(const answer& final) {
-  if (final.key_conflict) return encode_response(unprocessable_content);
-  if (final.outcome_unknown)
-    return encode_response(final.deadline_exceeded ? gateway_timeout : conflict, "Outcome: unknown\r\n");
-  return encode_response(final.deadline_exceeded ? gateway_timeout : bad_gateway);
+// An unknown outcome means that the request may have run and will not be run again. If its deadline has
+// passed, the run may still end; a later request with the same key then receives the result.
+std::string failure(const answer& final_answer) {
+  if (final_answer.key_conflict) return encode_response(unprocessable_content);
+  if (final_answer.outcome_unknown)
+    return encode_response(final_answer.deadline_exceeded ? gateway_timeout : conflict,
+                           "Outcome: unknown\r\n");
+  return encode_response(final_answer.deadline_exceeded ? gateway_timeout : bad_gateway);
 }
 
 }  // namespace
@@ -52,37 +54,40 @@
   std::size_t on_bytes(std::string_view bytes) override;
   void on_lost(const char*) override { server_.drop(*this); }
 
-  // Sends its one response; then the caller is to close.
+  // Sends the response and ends the connection; the caller is expected to close it.
   void respond(std::string_view response);
+  // Ends the connection without a response.
   void end() { respond({}); }
   bool ended() const { return ended_; }
-  // Whether its request is open, or has come and was not read yet.
-  bool owes_answer() const { return id_ != 0 || stream_.unread(); }
-  // When it may be closed for the sake of others, the earliest first: those answered, then those that have
-  // not sent a byte, the oldest of each. None: its request is open or arriving.
-  std::optional<time_point> dispensable() const;
+  // Whether the connection's request is open, or unread bytes may contain it.
+  bool owes_answer() const { return id_ != 0 || stream_.has_unread_input(); }
+  // Rank of the connection among those that may be closed to make room for a new one; the lowest is closed
+  // first. Answered connections rank before those that have not sent a byte; within each group the oldest
+  // comes first. Empty if the request is open or arriving.
+  std::optional<time_point> eviction_rank() const;
 
  private:
   friend class server;
-  friend class net::connections<connection>;  // reads what has come on it
+  friend class net::connections<connection>;  // accesses stream_ and arriving_
 
   server& server_;
   net::stream stream_;
-  request_id id_ = 0;      // while its answer is owed
-  bool arriving_ = false;  // brought bytes that are not read yet
+  request_id id_ = 0;      // of the open request; 0: none
+  bool arriving_ = false;  // received bytes that have not been read yet
   bool ended_ = false;
-  time_point since_ = net::steady_now();  // of the connection, or of its response
+  time_point state_since_ = net::steady_now();  // when the connection was accepted, or ended
 };
 
 std::size_t server::connection::on_bytes(std::string_view bytes) {
   arriving_ = false;
-  if (ended_ || id_ != 0) return bytes.size();  // read on, to see its end
+  if (ended_ || id_ != 0)
+    return bytes.size();  // discard, but keep reading to notice the end of the connection
   try {
-    const std::optional<packet> whole = next_packet(bytes, server_.config_.bounds);
-    if (!whole) return 0;
-    const std::size_t size = whole->whole.size();
-    id_ = server_.begin_request(*whole);
-    server_.open_.emplace(id_, this);
+    const std::optional<packet> received = next_packet(bytes, server_.config_.bounds);
+    if (!received) return 0;
+    const std::size_t size = received->whole.size();
+    id_ = server_.begin_request(*received);
+    server_.open_requests_.emplace(id_, this);
     return size;
   } catch (const bad_packet& error) {
     ++server_.counters_.bad_frames;
@@ -95,14 +100,14 @@
 void server::connection::respond(std::string_view response) {
   id_ = 0;
   ended_ = true;
-  since_ = net::steady_now();
+  state_since_ = net::steady_now();
   stream_.send(response);
   stream_.finish();
 }
 
-std::optional<time_point> server::connection::dispensable() const {
-  if (id_ != 0 || (!ended_ && (arriving_ || stream_.half_read()))) return std::nullopt;
-  return ended_ ? time_point::min() + since_ : since_;
+std::optional<time_point> server::connection::eviction_rank() const {
+  if (id_ != 0 || (!ended_ && (arriving_ || stream_.has_incomplete_message()))) return std::nullopt;
+  return ended_ ? time_point::min() + state_since_ : state_since_;
 }
 
 server::server(net::reactor& reactor, const config& settings, dispatcher& requests, backend& runs,
@@ -124,10 +129,10 @@
 
 void server::accept(const Poco::Net::StreamSocket& socket) {
   if (connections_.size() >= config_.bounds.uwsgi_connections) {
-    connection* const unused = connections_.spare();
+    connection* const unused = connections_.eviction_candidate();
     if (unused == nullptr) {
       ++counters_.turned_away;
-      log("full", "uwsgi connection closed at once, %zu stand", connections_.size());
+      log("full", "new uwsgi connection rejected: all %zu connections are in use", connections_.size());
       net::reject_connection(
           socket, encode_response(service_unavailable, retry_after_header(std::chrono::seconds(1))));
       return;
@@ -140,26 +145,26 @@
   connections_.add(std::make_shared<connection>(*this, socket));
 }
 
-request_id server::begin_request(const packet& whole) {
+request_id server::begin_request(const packet& received) {
   const keyed_config* keyed = config_.keyed ? &*config_.keyed : nullptr;
-  return dispatcher_.on_arrival(*this, backend_, to_request(whole, *config_.uwsgi, names_, keyed));
+  return dispatcher_.on_arrival(*this, backend_, to_request(received, *config_.uwsgi, names_, keyed));
 }
 
-void server::respond(request_id id, const answer& final) {
-  const auto found = open_.find(id);
-  if (found == open_.end()) return;
-  connection& to = *found->second;
-  open_.erase(found);
-  switch (final.status) {
-    case response_status::served: to.respond(final.result); break;
-    case response_status::rejected: to.respond(rejection(final)); break;
-    case response_status::failed: to.respond(failure(final)); break;
+void server::respond(request_id id, const answer& final_answer) {
+  const auto found = open_requests_.find(id);
+  if (found == open_requests_.end()) return;
+  connection& client_connection = *found->second;
+  open_requests_.erase(found);
+  switch (final_answer.status) {
+    case response_status::served: client_connection.respond(final_answer.result); break;
+    case response_status::rejected: client_connection.respond(rejection(final_answer)); break;
+    case response_status::failed: client_connection.respond(failure(final_answer)); break;
   }
 }
 
 void server::drop(connection& closed) {
   if (closed.id_ != 0) {
-    open_.erase(closed.id_);
+    open_requests_.erase(closed.id_);
     dispatcher_.on_client_cancelled(std::exchange(closed.id_, 0));
   }
   connections_.drop(closed);
@@ -168,18 +173,18 @@
 time_point server::step(time_point now) {
   if (!sweeps_.due(now)) return sweeps_.next();
   listener_.resume();
-  if (sweeps_.begin(now)) connections_.each([&](connection& candidate) { check(candidate, now); });
+  if (sweeps_.begin(now))
+    connections_.each([&](connection& candidate) { apply_time_limits(candidate, now); });
   return sweeps_.next();
 }
 
-// One connection's part of a sweep.
-void server::check(connection& candidate, time_point now) {
-  const duration longest = candidate.ended() ? config_.bounds.linger : config_.bounds.half_frame;
-  if (candidate.id_ != 0 || now - candidate.since_ <= longest) return;
+void server::apply_time_limits(connection& candidate, time_point now) {
+  const duration time_limit = candidate.ended() ? config_.bounds.linger : config_.bounds.half_frame;
+  if (candidate.id_ != 0 || now - candidate.state_since_ <= time_limit) return;
   if (!candidate.ended()) {
-    if (candidate.stream_.unread()) return;  // its bytes are here, and are read in this round
+    if (candidate.stream_.has_unread_input()) return;  // the bytes are read in the next dispatch
     ++counters_.bad_frames;
-    log("bad-packet", "uwsgi: a packet that never became whole");
+    log("bad-packet", "uwsgi: packet incomplete after the time limit; connection closed");
   }
   candidate.stream_.close();
   drop(candidate);
--- a/src/uwsgi/front.hpp
+++ b/src/uwsgi/front.hpp
@@ -1,5 +1,5 @@
-// The uwsgi front, for gateways: a connection carries one request and its response. Requests go to the same
-// dispatcher, and so meet the same decisions, as those of the Thrift front.
+// The uwsgi front, which serves gateways: each connection carries one request and its response. Requests go
+// to the same dispatcher as those of the Thrift front and are subject to the same decisions.
 #pragma once
 
 #include <memory>
@@ -16,27 +16,28 @@
 
 namespace marblewharf::uwsgi {
 
-// Owned by the reactor's thread.
+// Used only on the reactor's thread.
 class server : public front {
  public:
-  // Listens on `settings.uwsgi->listen`; throws where that address cannot be had. All that is passed in
-  // outlives the server.
+  // Listens on `settings.uwsgi->listen`; throws std::runtime_error if that fails. All arguments outlive the
+  // server.
   server(net::reactor& reactor, const config& settings, dispatcher& requests, backend& runs,
          telemetry::counters& counters);
   ~server() override;
 
   // front
-  void respond(request_id id, const answer& final) override;
+  void respond(request_id id, const answer& final_answer) override;
   void close_idle(duration) override {}  // no connection outlives its request
 
-  // Closes connections that are half-read or were answered for too long; returns when it wants to be called
-  // again.
+  // Closes connections that have been in the middle of a request, or open after their response, for too long.
+  // Returns the time of the next call.
   time_point step(time_point now);
 
-  // Accepts no further connection.
+  // Stops accepting connections.
   void begin_drain();
-  // Ends each connection that nothing is owed on; what comes on it from then on is discarded. A connection
-  // with a request that was not read yet is left for the next call. Returns whether all are ended.
+  // Ends each connection on which no answer is pending; bytes that arrive on an ended connection are
+  // discarded. A connection with a request that has not been read yet is left for the next call. Returns
+  // whether all connections are ended.
   bool end_connections();
   bool empty() const { return connections_.empty(); }
 
@@ -44,9 +45,10 @@
   class connection;
 
   void accept(const Poco::Net::StreamSocket& socket);
-  request_id begin_request(const packet& whole);
+  request_id begin_request(const packet& received);
   void drop(connection& closed);
-  void check(connection& candidate, time_point now);
+  // Closes or ends a connection that exceeds one of its time limits.
+  void apply_time_limits(connection& candidate, time_point now);
 
   net::reactor& reactor_;
   const config& config_;
@@ -54,7 +56,7 @@
   backend& backend_;
   telemetry::counters& counters_;
   net::connections<connection> connections_;
-  std::unordered_map<request_id, connection*> open_;
+  std::unordered_map<request_id, connection*> open_requests_;
   vocabulary names_;
   net::listener listener_;
   fronts::sweep_schedule sweeps_;
--- a/src/uwsgi/request.cpp
+++ b/src/uwsgi/request.cpp
@@ -9,58 +9,63 @@
 namespace {
 
 constexpr unsigned bad_request = 400;
-constexpr double most_cost_ms = 1e7;
+constexpr double cost_limit_ms = 1e7;
 
-std::string_view meaning(const packet& p, const var_mapping& m) {
-  const auto given = p.find(m.var);
-  if (!given) throw bad_packet(bad_request, "no var " + m.var);
-  if (m.values.empty()) return *given;
-  const auto meant = m.values.find(*given);
-  if (meant == m.values.end()) throw bad_packet(bad_request, "an unknown value of " + m.var);
-  return meant->second;
+std::string_view mapped_value(const packet& received, const var_mapping& mapping) {
+  const auto value = received.find(mapping.var);
+  if (!value) throw bad_packet(bad_request, "missing var " + mapping.var);
+  if (mapping.values.empty()) return *value;
+  const auto mapped = mapping.values.find(*value);
+  if (mapped == mapping.values.end())
+    throw bad_packet(bad_request, "unknown value of the var " + mapping.var);
+  return mapped->second;
 }
 
-unsigned known(const std::optional<unsigned>& index, const var_mapping& m) {
-  if (!index) throw bad_packet(bad_request, "an unknown value of " + m.var);
+unsigned require(const std::optional<unsigned>& index, const var_mapping& mapping) {
+  if (!index) throw bad_packet(bad_request, "unknown value of the var " + mapping.var);
   return *index;
 }
 
-// A retry may come by another way and at another time: of the vars only these say what is asked for.
-std::uint64_t content_of(const packet& p) {
-  const auto var = [&](std::string_view name) { return p.find(name).value_or(std::string_view()); };
-  const std::array<std::string_view, 5> asked = {"uwsgi", var("REQUEST_METHOD"), var("PATH_INFO"),
-                                                 var("QUERY_STRING"), p.body};
-  return idempotency::fingerprint_of(asked);
+// A retry may arrive by another route and at another time, so the fingerprint covers only the vars that
+// describe the request itself.
+std::uint64_t content_fingerprint(const packet& received) {
+  const auto var = [&](std::string_view name) { return received.find(name).value_or(std::string_view()); };
+  const std::array<std::string_view, 5> content = {"uwsgi", var("REQUEST_METHOD"), var("PATH_INFO"),
+                                                   var("QUERY_STRING"), received.body};
+  return idempotency::fingerprint_of(content);
 }
 
-void read_key(const packet& p, const keyed_config& keys, request& r) {
-  if (keys.windows[r.request_class].count() == 0) return;
-  const std::string_view key = p.find(keys.uwsgi_var).value_or(std::string_view());
+void read_key(const packet& received, const keyed_config& keys, request& decoded) {
+  if (keys.windows[decoded.request_class].count() == 0) return;
+  const std::string_view key = received.find(keys.uwsgi_var).value_or(std::string_view());
   if (const char* fault = idempotency::fault_of_key(key, keys.longest_key))
     throw bad_packet(bad_request, std::string(fault) + " in " + keys.uwsgi_var);
-  r.key = key;
-  r.fingerprint = content_of(p);
+  decoded.key = key;
+  decoded.fingerprint = content_fingerprint(received);
 }
 
 }  // namespace
 
-request to_request(const packet& p, const uwsgi_config& mapping, vocabulary& names,
+request to_request(const packet& received, const uwsgi_config& mapping, vocabulary& names,
                    const keyed_config* keys) {
-  request r;
-  r.request_class = known(names.class_of(meaning(p, mapping.request_class)), mapping.request_class);
-  r.tenant = known(names.tenant_of(meaning(p, mapping.tenant)), mapping.tenant);
-  double cost_ms = r.request_class < mapping.default_cost.size() ? mapping.default_cost[r.request_class] : 0;
-  if (const auto given = p.find(mapping.cost.var); given && !given->empty()) {
-    const char* end = given->data() + given->size();
-    if (std::from_chars(given->data(), end, cost_ms).ptr != end || !(cost_ms >= 0 && cost_ms < most_cost_ms))
-      throw bad_packet(bad_request, "a value of " + mapping.cost.var + " that is no cost");
+  request decoded;
+  decoded.request_class =
+      require(names.class_of(mapped_value(received, mapping.request_class)), mapping.request_class);
+  decoded.tenant = require(names.tenant_of(mapped_value(received, mapping.tenant)), mapping.tenant);
+  double cost_ms =
+      decoded.request_class < mapping.default_cost.size() ? mapping.default_cost[decoded.request_class] : 0;
+  if (const auto cost = received.find(mapping.cost.var); cost && !cost->empty()) {
+    const char* end = cost->data() + cost->size();
+    if (std::from_chars(cost->data(), end, cost_ms).ptr != end || !(cost_ms >= 0 && cost_ms < cost_limit_ms))
+      throw bad_packet(bad_request, "the value of " + mapping.cost.var + " is not a valid cost");
   }
-  r.expected_work = std::chrono::duration_cast<duration>(std::chrono::duration<double, std::milli>(cost_ms));
-  r.reserved_kb = mapping.reserved_kb;
-  r.payload = p.whole;
-  if (mapping.hash_content) r.fingerprint = content_of(p);
-  if (keys != nullptr) read_key(p, *keys, r);
-  return r;
+  decoded.expected_work =
+      std::chrono::duration_cast<duration>(std::chrono::duration<double, std::milli>(cost_ms));
+  decoded.reserved_kb = mapping.reserved_kb;
+  decoded.payload = received.whole;
+  if (mapping.hash_content) decoded.fingerprint = content_fingerprint(received);
+  if (keys != nullptr) read_key(received, *keys, decoded);
+  return decoded;
 }
 
 }  // namespace marblewharf::uwsgi
--- a/src/uwsgi/request.hpp
+++ b/src/uwsgi/request.hpp
@@ -1,4 +1,4 @@
-// What the vars of a packet say, by the operator's mapping, as a request of the core.
+// Converts the vars of a packet to a core request, according to the mapping in the operator's settings.
 #pragma once
 
 #include "config/config.hpp"
@@ -8,8 +8,8 @@
 
 namespace marblewharf::uwsgi {
 
-// `keys`: where the results of keyed requests are kept; null: they are not. Throws bad_packet.
-request to_request(const packet& p, const uwsgi_config& mapping, vocabulary& names,
+// `keys`: settings of keyed requests; null if their results are not kept. Throws bad_packet.
+request to_request(const packet& received, const uwsgi_config& mapping, vocabulary& names,
                    const keyed_config* keys = nullptr);
 
 }  // namespace marblewharf::uwsgi
