--- a/src/bytes/byte_reader.hpp
+++ b/src/bytes/byte_reader.hpp
@@ -1,4 +1,4 @@
-// Reads binary messages: bytes in sequence, and integers of either byte order.
+// Reads binary messages: consecutive bytes, and integers in either byte order.
 #pragma once
 
 #include <concepts>
@@ -9,12 +9,12 @@
 
 namespace marblewharf::bytes {
 
-// Takes bytes from the front of a message, which outlives the reader, and never past its end.
+// Reads a message from front to back, never past its end. The message outlives the reader.
 class byte_reader {
  public:
   explicit byte_reader(std::string_view message) : message_(message) {}
 
-  // The next `count` bytes; none, and nothing is taken, where fewer are left.
+  // Returns the next `count` bytes, or nullopt without advancing if fewer are left.
   std::optional<std::string_view> take(std::size_t count) {
     if (count > left()) return std::nullopt;
     const std::string_view taken = message_.substr(position_, count);
@@ -22,7 +22,7 @@
     return taken;
   }
 
-  // Bytes taken so far, and those that are left.
+  // Number of bytes read so far, and number of bytes left.
   std::size_t position() const { return position_; }
   std::size_t left() const { return message_.size() - position_; }
   bool at_end() const { return left() == 0; }
@@ -32,7 +32,7 @@
   std::size_t position_ = 0;
 };
 
-// An integer of sizeof(Integer) bytes, its lowest byte first; `encoded` has as many.
+// Decodes an integer with its least significant byte first. `encoded` has at least sizeof(Integer) bytes.
 template <std::unsigned_integral Integer>
 Integer from_little_endian(std::string_view encoded) {
   constexpr unsigned byte_bits = 8;
@@ -42,7 +42,7 @@
   return static_cast<Integer>(value);
 }
 
-// The same with its highest byte first.
+// Decodes an integer with its most significant byte first. `encoded` has at least sizeof(Integer) bytes.
 template <std::unsigned_integral Integer>
 Integer from_big_endian(std::string_view encoded) {
   constexpr unsigned byte_bits = 8;
--- a/src/json/json.cpp
+++ b/src/json/json.cpp
@@ -6,128 +6,129 @@
 namespace marblewharf::json {
 namespace {
 
-constexpr unsigned deepest = 32;  // guards the stack against input that only opens brackets
+constexpr unsigned max_depth = 32;  // bounds the recursion, and so the stack, for deeply nested input
 
 class parser {
  public:
   explicit parser(std::string_view text) : text_(text) {}
 
   value document() {
-    value v = read(0);
+    value root = read(0);
     skip_space();
-    if (at_ != text_.size()) fail("something after the end");
-    return v;
+    if (position_ != text_.size()) fail("unexpected data after the document");
+    return root;
   }
 
  private:
-  [[noreturn]] void fail(const char* why) const {
-    throw bad_json("at byte " + std::to_string(at_) + ": " + why);
+  [[noreturn]] void fail(const char* fault) const {
+    throw bad_json("at byte " + std::to_string(position_) + ": " + fault);
   }
   void skip_space() {
-    while (at_ < text_.size() && std::string_view(" \t\r\n").find(text_[at_]) != std::string_view::npos)
-      ++at_;
+    while (position_ < text_.size() &&
+           std::string_view(" \t\r\n").find(text_[position_]) != std::string_view::npos)
+      ++position_;
   }
-  char peek() const { return at_ < text_.size() ? text_[at_] : '\0'; }
+  char peek() const { return position_ < text_.size() ? text_[position_] : '\0'; }
   bool accept(char c) {
     skip_space();
-    if (peek() != c || at_ >= text_.size()) return false;
-    ++at_;
+    if (peek() != c || position_ >= text_.size()) return false;
+    ++position_;
     return true;
   }
-  void expect(char c, const char* why) {
-    if (!accept(c)) fail(why);
+  void expect(char c, const char* fault) {
+    if (!accept(c)) fail(fault);
   }
 
   value read(unsigned depth) {
-    if (depth > deepest) fail("nested too deeply");
+    if (depth > max_depth) fail("nested too deeply");
     skip_space();
-    value v;
+    value parsed;
     switch (peek()) {
-      case '{': read_object(v, depth); break;
-      case '[': read_array(v, depth); break;
+      case '{': read_object(parsed, depth); break;
+      case '[': read_array(parsed, depth); break;
       case '"':
-        v.what = kind::string;
-        v.text = read_string();
+        parsed.what = kind::string;
+        parsed.text = read_string();
         break;
-      case 't': read_word(v, kind::boolean, "true"); break;
-      case 'f': read_word(v, kind::boolean, "false"); break;
-      case 'n': read_word(v, kind::null, "null"); break;
-      default: read_number(v);
+      case 't': read_literal(parsed, kind::boolean, "true"); break;
+      case 'f': read_literal(parsed, kind::boolean, "false"); break;
+      case 'n': read_literal(parsed, kind::null, "null"); break;
+      default: read_number(parsed);
     }
-    return v;
+    return parsed;
   }
 
-  void read_object(value& v, unsigned depth) {
-    v.what = kind::object;
-    ++at_;
+  void read_object(value& parsed, unsigned depth) {
+    parsed.what = kind::object;
+    ++position_;
     if (accept('}')) return;
     do {
       skip_space();
-      if (peek() != '"') fail("a member name is missing");
+      if (peek() != '"') fail("expected a member name");
       std::string name = read_string();
-      expect(':', "a colon is missing");
-      v.members.push_back({std::move(name), read(depth + 1)});
+      expect(':', "expected a colon");
+      parsed.members.push_back({std::move(name), read(depth + 1)});
     } while (accept(','));
-    expect('}', "an object does not end");
+    expect('}', "unterminated object");
   }
 
-  void read_array(value& v, unsigned depth) {
-    v.what = kind::array;
-    ++at_;
+  void read_array(value& parsed, unsigned depth) {
+    parsed.what = kind::array;
+    ++position_;
     if (accept(']')) return;
     do {
-      v.items.push_back(read(depth + 1));
+      parsed.items.push_back(read(depth + 1));
     } while (accept(','));
-    expect(']', "an array does not end");
+    expect(']', "unterminated array");
   }
 
-  void read_word(value& v, kind what, std::string_view word) {
-    if (text_.substr(at_, word.size()) != word) fail("an unknown word");
-    v.what = what;
-    v.text = word;
-    at_ += word.size();
+  void read_literal(value& parsed, kind literal_kind, std::string_view literal) {
+    if (text_.substr(position_, literal.size()) != literal) fail("unknown literal");
+    parsed.what = literal_kind;
+    parsed.text = literal;
+    position_ += literal.size();
   }
 
   std::size_t digits() {
-    const std::size_t from = at_;
-    while (peek() >= '0' && peek() <= '9') ++at_;
-    return at_ - from;
+    const std::size_t start = position_;
+    while (peek() >= '0' && peek() <= '9') ++position_;
+    return position_ - start;
   }
 
-  void read_number(value& v) {
-    const std::size_t from = at_;
-    if (peek() == '-') ++at_;
-    const bool zero = peek() == '0';
-    const std::size_t whole = digits();
-    if (whole == 0 || (zero && whole > 1)) fail("no value");
+  void read_number(value& parsed) {
+    const std::size_t start = position_;
+    if (peek() == '-') ++position_;
+    const bool leading_zero = peek() == '0';
+    const std::size_t integer_digits = digits();
+    if (integer_digits == 0 || (leading_zero && integer_digits > 1)) fail("expected a value");
     if (peek() == '.') {
-      ++at_;
-      if (digits() == 0) fail("no digit after the point");
+      ++position_;
+      if (digits() == 0) fail("expected a digit after the decimal point");
     }
     if (peek() == 'e' || peek() == 'E') {
-      ++at_;
-      if (peek() == '+' || peek() == '-') ++at_;
-      if (digits() == 0) fail("no digit in the exponent");
+      ++position_;
+      if (peek() == '+' || peek() == '-') ++position_;
+      if (digits() == 0) fail("expected a digit in the exponent");
     }
-    v.what = kind::number;
-    v.text = text_.substr(from, at_ - from);
+    parsed.what = kind::number;
+    parsed.text = text_.substr(start, position_ - start);
   }
 
   std::uint32_t hex4() {
     std::uint32_t code = 0;
-    for (int i = 0; i < 4; ++i, ++at_) {
+    for (int i = 0; i < 4; ++i, ++position_) {
       const char c = peek();
       const int digit = c >= '0' && c <= '9'   ? c - '0'
                         : c >= 'a' && c <= 'f' ? c - 'a' + 10
                         : c >= 'A' && c <= 'F' ? c - 'A' + 10
                                                : -1;
-      if (digit < 0) fail("a bad \\u escape");
+      if (digit < 0) fail("invalid \\u escape");
       code = code * 16 + static_cast<std::uint32_t>(digit);
     }
     return code;
   }
 
-  void put_code(std::string& out, std::uint32_t code) {
+  void append_utf8(std::string& out, std::uint32_t code) {
     const auto put = [&out](std::uint32_t byte) { out.push_back(static_cast<char>(byte)); };
     if (code < 0x80) {
       put(code);
@@ -148,7 +149,7 @@
 
   void read_escape(std::string& out) {
     const char c = peek();
-    ++at_;
+    ++position_;
     switch (c) {
       case '"':
       case '\\':
@@ -160,29 +161,29 @@
       case 't': out.push_back('\t'); return;
       case 'u': {
         std::uint32_t code = hex4();
-        if (code >= 0xd800 && code < 0xdc00 && text_.substr(at_, 2) == "\\u") {
-          at_ += 2;
+        if (code >= 0xd800 && code < 0xdc00 && text_.substr(position_, 2) == "\\u") {
+          position_ += 2;
           const std::uint32_t low = hex4();
-          if (low < 0xdc00 || low > 0xdfff) fail("half a surrogate pair");
+          if (low < 0xdc00 || low > 0xdfff) fail("unpaired surrogate");
           code = 0x10000 + ((code - 0xd800) << 10) + (low - 0xdc00);
         } else if (code >= 0xd800 && code <= 0xdfff) {
-          fail("half a surrogate pair");
+          fail("unpaired surrogate");
         }
-        put_code(out, code);
+        append_utf8(out, code);
         return;
       }
-      default: fail("an unknown escape");
+      default: fail("unknown escape sequence");
     }
   }
 
   std::string read_string() {
     std::string out;
-    ++at_;
+    ++position_;
     while (true) {
-      if (at_ >= text_.size()) fail("a string does not end");
-      const char c = text_[at_];
-      if (static_cast<unsigned char>(c) < 0x20) fail("a control character in a string");
-      ++at_;
+      if (position_ >= text_.size()) fail("unterminated string");
+      const char c = text_[position_];
+      if (static_cast<unsigned char>(c) < 0x20) fail("control character in a string");
+      ++position_;
       if (c == '"') return out;
       if (c == '\\') {
         read_escape(out);
@@ -193,7 +194,7 @@
   }
 
   std::string_view text_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
 };
 
 }  // namespace
--- a/src/json/json.hpp
+++ b/src/json/json.hpp
@@ -1,5 +1,5 @@
-// A small JSON reader for the configuration and the runtime's lines. Numbers keep their text, so that whoever
-// reads one decides on its range.
+// A small JSON parser for the configuration and the runtime's messages. Numbers are kept as text, so that the
+// caller chooses their type and range.
 #pragma once
 
 #include <cstddef>
@@ -10,6 +10,7 @@
 
 namespace marblewharf::json {
 
+// The text is not valid JSON; what() gives the byte offset and the fault.
 struct bad_json : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -20,24 +21,24 @@
 
 struct value {
   kind what = kind::null;
-  std::string text;  // of a string, decoded; of a number or boolean, as written
+  std::string text;  // of a string: decoded; of a number, boolean or null: as written
   std::vector<value> items;
   std::vector<member> members;
 
-  // The member of that name; null where this is no object or has none.
+  // The value of the member with that name; null if this value is not an object or has no such member.
   const value* find(std::string_view name) const;
 };
 
-// A name in an object, and what stands behind it.
+// A member of an object: its name and value.
 struct member {
   std::string name;
   value content;
 };
 
-// Reads one whole document. Throws bad_json with the byte at fault.
+// Parses a complete document. Throws bad_json.
 value parse(std::string_view text);
 
-// A string literal, with quotes.
+// Encodes a text as a JSON string literal, including the quotes.
 std::string quote(std::string_view text);
 
 }  // namespace marblewharf::json
--- a/src/registry/registry_client.cpp
+++ b/src/registry/registry_client.cpp
@@ -10,30 +10,32 @@
 namespace marblewharf::registry {
 
 registry_client::registry_client(const config& settings)
-    : config_(settings), to_(net::address_of(settings.directory, "directory")), socket_(to_.family()) {
+    : config_(settings),
+      address_(net::address_of(settings.directory, "directory")),
+      socket_(address_.family()) {
   socket_.setBlocking(false);
 }
 
-void registry_client::move(const Poco::Net::SocketAddress& to) {
-  if (to.family() != to_.family()) {
-    socket_ = Poco::Net::DatagramSocket(to.family());
+void registry_client::move(const Poco::Net::SocketAddress& address) {
+  if (address.family() != address_.family()) {
+    socket_ = Poco::Net::DatagramSocket(address.family());
     socket_.setBlocking(false);
   }
-  to_ = to;
-  next_ = {};
+  address_ = address;
+  next_report_at_ = {};
 }
 
 time_point registry_client::step(time_point now, bool passing) {
-  if (now < next_ && passing == passing_) return next_;
+  if (now < next_report_at_ && passing == passing_) return next_report_at_;
   passing_ = passing;
-  next_ = now + config_.bounds.report_every;
+  next_report_at_ = now + config_.bounds.report_every;
   const std::string report = "alive " + config_.name + (passing ? " passing" : " critical");
   try {
-    socket_.sendTo(report.data(), static_cast<int>(report.size()), to_);
-  } catch (const Poco::Exception& e) {  // the catalog may be down: the next report says it again
-    telemetry::log("catalog", "no report: %s", e.displayText().c_str());
+    socket_.sendTo(report.data(), static_cast<int>(report.size()), address_);
+  } catch (const Poco::Exception& error) {  // the registry may be down; the next report repeats the state
+    telemetry::log("catalog", "cannot send a health report: %s", error.displayText().c_str());
   }
-  return next_;
+  return next_report_at_;
 }
 
 }  // namespace marblewharf::registry
--- a/src/registry/registry_client.hpp
+++ b/src/registry/registry_client.hpp
@@ -1,4 +1,5 @@
-// Reports this node to the catalog, which forgets who is silent for 3 s.
+// Sends periodic health reports of this node to the service registry (the catalog), which removes a node that
+// sends no report for 3 s.
 #pragma once
 
 #include <Poco/Net/DatagramSocket.h>
@@ -10,19 +11,20 @@
 
 class registry_client {
  public:
+  // `settings` outlives the client. Throws bad_config if the registry's host name cannot be resolved.
   explicit registry_client(const config& settings);
 
-  // The catalog is there from now on; it hears at the next step.
-  void move(const Poco::Net::SocketAddress& to);
+  // Changes the registry's address. The next step() sends a report to the new address.
+  void move(const Poco::Net::SocketAddress& address);
 
-  // Reports when it is time; returns when it wants to be called again.
+  // Sends a report when one is due or `passing` has changed. Returns the time of the next call.
   time_point step(time_point now, bool passing);
 
  private:
   const config& config_;
-  Poco::Net::SocketAddress to_;
+  Poco::Net::SocketAddress address_;
   Poco::Net::DatagramSocket socket_;
-  time_point next_{};
+  time_point next_report_at_{};
   bool passing_ = true;
 };
 
