--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -17,11 +17,11 @@
 
 namespace {
 
-constexpr std::size_t least_descriptors = 128;  // with fewer there are none left for clients
+constexpr std::size_t min_descriptors = 128;  // fewer descriptors would leave none for clients
 constexpr double default_stop_ms = 3200;
-constexpr double longest_stop_ms = 600'000;
+constexpr double max_stop_ms = 600'000;
 
-// The member of an object; null where it is absent or null.
+// Returns the member of an object, or nullptr if the member is absent or null.
 const json::value* member(const json::value& object, const std::string& key) {
   const json::value* found = object.find(key);
   return found != nullptr && found->what != json::kind::null ? found : nullptr;
@@ -30,22 +30,23 @@
 std::string text_of(const json::value& object, const std::string& key) {
   const json::value* found = member(object, key);
   if (found == nullptr) throw bad_config(key + " is missing");
-  if (found->what != json::kind::string || found->text.empty()) throw bad_config(key + " is no text");
+  if (found->what != json::kind::string || found->text.empty())
+    throw bad_config(key + " is not a non-empty string");
   return found->text;
 }
 
-// `path`: the key as messages name it. `absent`: the value where there is none.
+// `path`: the key in error messages. `absent`: the result if the key is absent.
 double number_of(const json::value& object, const std::string& key, const std::string& path, double absent,
-                 double least, double most) {
+                 double min, double max) {
   const json::value* found = member(object, key);
   if (found == nullptr) return absent;
   double parsed = 0;
   const char* end = found->text.data() + found->text.size();
   if (found->what != json::kind::number || std::from_chars(found->text.data(), end, parsed).ptr != end)
-    throw bad_config(path + " is no number");
-  if (!(parsed >= least && parsed <= most)) {
+    throw bad_config(path + " is not a number");
+  if (!(parsed >= min && parsed <= max)) {
     std::ostringstream why;
-    why << path << " is not from " << least << " to " << most;
+    why << path << " is outside the range " << min << " to " << max;
     throw bad_config(why.str());
   }
   return parsed;
@@ -53,7 +54,7 @@
 
 endpoint to_endpoint(const std::string& text, const std::string& key) {
   const std::optional<endpoint> parsed = parse_endpoint(text);
-  if (!parsed) throw bad_config(key + " is no host:port");
+  if (!parsed) throw bad_config(key + " is not an address host:port");
   return *parsed;
 }
 
@@ -67,7 +68,8 @@
   return path.empty() ? key : path + "." + key;
 }
 
-// An array of objects becomes their count and a path for each member, any other array one list of texts.
+// Flattens an array of objects to the number of objects and a path for each member, and any other array to
+// one comma-separated text.
 void flatten_array(const json::value& array, const std::string& path,
                    admission_policy::setting_paths& paths) {
   const std::vector<json::value>& items = array.items;
@@ -85,7 +87,7 @@
   paths[path] = joined;
 }
 
-// Nested settings as paths, the form in which the simulator passes them.
+// Flattens nested settings to paths, the form in which the simulator passes them.
 void flatten(const json::value& value, const std::string& path, admission_policy::setting_paths& paths) {
   switch (value.what) {
     case json::kind::object:
@@ -97,21 +99,22 @@
   }
 }
 
-bool is_control(char sign) {
+bool is_control(char character) {
   constexpr char first_printable = 0x20;
   constexpr char del = 0x7f;
-  return (sign >= 0 && sign < first_printable) || sign == del;
+  return (character >= 0 && character < first_printable) || character == del;
 }
 
-// Names go over wires and into log lines as they are: any text without control characters, each only once.
+// Names are sent to peers and logged unescaped, so control characters are not allowed. Each name is unique.
 void check_name(const std::string& name, const std::string& key, std::set<std::string>& taken) {
   if (name.empty()) throw bad_config(key + " is missing");
-  if (std::any_of(name.begin(), name.end(), is_control)) throw bad_config(key + " has a control sign in it");
-  if (!taken.insert(name).second) throw bad_config(key + " is there twice: " + name);
+  if (std::any_of(name.begin(), name.end(), is_control))
+    throw bad_config(key + " contains a control character");
+  if (!taken.insert(name).second) throw bad_config(key + " is used twice: " + name);
 }
 
 void check_classes(const std::vector<admission_policy::class_settings>& classes) {
-  if (classes.empty()) throw bad_config("settings.Classes has no class");
+  if (classes.empty()) throw bad_config("settings.Classes contains no class");
   std::set<std::string> names;
   for (std::size_t index = 0; index < classes.size(); ++index) {
     const admission_policy::class_settings& request_class = classes[index];
@@ -119,11 +122,12 @@
     check_name(request_class.name, path + "Name", names);
     if (request_class.deadline.count() <= 0) throw bad_config(path + "Deadline is missing or 0");
     if (request_class.deadline < request_class.latency_objective)
-      throw bad_config(path + "Deadline is under its Objective");
+      throw bad_config(path + "Deadline is shorter than Objective");
   }
 }
 
-// Values that the admission policy needs or would misread; messages name the platform's keys.
+// Checks values that the admission policy needs or would misinterpret. Error messages name the platform's
+// keys.
 void check_settings(const admission_policy::settings& settings) {
   if (settings.cores == 0) throw bad_config("settings.Extra.NCores is missing or 0");
   check_classes(settings.classes);
@@ -133,10 +137,11 @@
 }
 
 admission_policy::settings settings_of(const json::value& file) {
-  const json::value* given = member(file, "settings");
-  if (given == nullptr || given->what != json::kind::object) throw bad_config("settings is no object");
+  const json::value* section = member(file, "settings");
+  if (section == nullptr || section->what != json::kind::object)
+    throw bad_config("settings is not an object");
   admission_policy::setting_paths paths;
-  flatten(*given, "", paths);
+  flatten(*section, "", paths);
   admission_policy::settings settings;
   try {
     settings = admission_policy::settings_from(paths);
@@ -155,45 +160,46 @@
   const char* end = found->text.data() + found->text.size();
   if (found->what != json::kind::string ||
       std::from_chars(found->text.data(), end, seed, hexadecimal).ptr != end)
-    throw bad_config("seed is no hexadecimal text");
+    throw bad_config("seed is not a hexadecimal string");
   return seed;
 }
 
-// `what`: the text as messages name it.
-json::value parse_object(const std::string& text, const std::string& what) {
+// `description`: the name of the text in error messages.
+json::value parse_object(const std::string& text, const std::string& description) {
   json::value parsed;
   try {
     parsed = json::parse(text);
   } catch (const json::bad_json& error) {
-    throw bad_config(what + " is no JSON, " + error.what());
+    throw bad_config(description + " is not valid JSON: " + error.what());
   }
-  if (parsed.what != json::kind::object) throw bad_config(what + " is no object");
+  if (parsed.what != json::kind::object) throw bad_config(description + " is not a JSON object");
   return parsed;
 }
 
 void read_limits(const json::value& file, limits& bounds) {
-  const json::value* given = member(file, "limits");
-  if (given == nullptr || given->what != json::kind::object) throw bad_config("limits is no object");
-  const auto limit = [given](const char* key, double least, double most) {
+  const json::value* section = member(file, "limits");
+  if (section == nullptr || section->what != json::kind::object) throw bad_config("limits is not an object");
+  const auto limit = [section](const char* key, double min, double max) {
     const std::string path = std::string("limits.") + key;
-    if (member(*given, key) == nullptr) throw bad_config(path + " is missing");
-    return number_of(*given, key, path, 0, least, most);
+    if (member(*section, key) == nullptr) throw bad_config(path + " is missing");
+    return number_of(*section, key, path, 0, min, max);
   };
-  constexpr double least_cores = 0.001;
-  constexpr double least_memory_mb = 16;
+  constexpr double min_cores = 0.001;
+  constexpr double min_memory_mb = 16;
   constexpr double largest_limit = 1e6;
-  constexpr double buffers_share = 0.25;   // of the memory
-  constexpr double results_share = 0.125;  // the same
+  constexpr double buffers_share = 0.25;   // of the memory limit
+  constexpr double results_share = 0.125;  // of the memory limit
   constexpr double bytes_per_mb = 1 << 20;
-  limit("cores", least_cores,
-        largest_limit);  // checked only: the node's one busy thread needs less than a core
-  const double memory_bytes = limit("memory_mb", least_memory_mb, largest_limit) * bytes_per_mb;
+  // Validated but not used: the node has only one busy thread, which needs less than a core.
+  limit("cores", min_cores, largest_limit);
+  const double memory_bytes = limit("memory_mb", min_memory_mb, largest_limit) * bytes_per_mb;
   bounds.buffered = static_cast<std::size_t>(buffers_share * memory_bytes);
   bounds.kept_results = static_cast<std::size_t>(results_share * memory_bytes);
-  bounds.descriptors = static_cast<std::size_t>(limit("sockets", least_descriptors, largest_limit));
+  bounds.descriptors = static_cast<std::size_t>(limit("sockets", min_descriptors, largest_limit));
 }
 
-std::optional<repeats_config> repeats_of(const admission_policy::settings& settings, const limits& bounds) {
+std::optional<repeats_config> memory_idempotency_of(const admission_policy::settings& settings,
+                                                    const limits& bounds) {
   repeats_config repeats;
   repeats.memory = bounds.kept_results;
   bool any_keyed = false;
@@ -209,7 +215,7 @@
   return repeats;
 }
 
-// The program's own come first, then the console's; clients have the rest.
+// Reserves descriptors for the program itself and for the console; the remaining ones are for clients.
 void divide_descriptors(config& settings) {
   limits& bounds = settings.bounds;
   std::size_t console = 0;
@@ -221,13 +227,13 @@
   bounds.connections = bounds.descriptors - bounds.own_descriptors - console;
 }
 
-// The system may grant the process fewer descriptors than the platform's settings.
+// Caps the number of descriptors at the process's limit, which can be lower than the platform's setting.
 void apply_descriptor_limit(limits& bounds) {
   rlimit granted{};
   if (::getrlimit(RLIMIT_NOFILE, &granted) != 0 || granted.rlim_cur >= bounds.descriptors) return;
-  if (granted.rlim_cur < least_descriptors)
-    throw bad_config("limits.sockets: this process may open " + std::to_string(granted.rlim_cur) +
-                     " files, and needs " + std::to_string(least_descriptors));
+  if (granted.rlim_cur < min_descriptors)
+    throw bad_config("limits.sockets: the process may open only " + std::to_string(granted.rlim_cur) +
+                     " files, but needs at least " + std::to_string(min_descriptors));
   bounds.descriptors = granted.rlim_cur;
 }
 
@@ -243,48 +249,49 @@
   const json::value file = parse_object(text, "the configuration");
   config settings;
   settings.name = text_of(file, "name");
-  // A word of the reports to the registry, and part of a file's name.
-  const auto allowed = [](char sign) { return sign > ' ' && sign <= '~' && sign != '/'; };
+  // The name is a word in reports to the registry and part of a file name.
+  const auto allowed = [](char character) { return character > ' ' && character <= '~' && character != '/'; };
   if (!std::all_of(settings.name.begin(), settings.name.end(), allowed))
-    throw bad_config("name has a space, a slash or a sign that is not ASCII in it");
+    throw bad_config("name contains a space, a slash or a character that is not printable ASCII");
   settings.listen = endpoint_of(file, "listen");
   settings.runtime = endpoint_of(file, "runtime");
   settings.directory = endpoint_of(file, "directory");
   if (member(file, "console") != nullptr) settings.console = endpoint_of(file, "console");
   settings.seed = seed_of(file);
-  const double stop_ms = number_of(file, "stop_ms", "stop_ms", default_stop_ms, 1, longest_stop_ms);
+  const double stop_ms = number_of(file, "stop_ms", "stop_ms", default_stop_ms, 1, max_stop_ms);
   settings.bounds.stop = std::chrono::milliseconds(std::lround(stop_ms));
   read_limits(file, settings.bounds);
   divide_descriptors(settings);
   settings.settings = settings_of(file);
-  settings.repeats = repeats_of(settings.settings, settings.bounds);
+  settings.repeats = memory_idempotency_of(settings.settings, settings.bounds);
   return settings;
 }
 
-void turn_on_uwsgi(config& settings, uwsgi_config uwsgi) {
-  // A quarter for its callers and a quarter for what runs on its servers; Thrift keeps the half that
-  // balancers open at the most.
-  constexpr std::size_t uwsgi_parts = 4;
+void enable_uwsgi(config& settings, uwsgi_config uwsgi) {
+  // One quarter is for uwsgi callers and one for connections to uwsgi servers. Thrift keeps half of the
+  // connections, which is the most that balancers open.
+  constexpr std::size_t uwsgi_divisor = 4;
   limits& bounds = settings.bounds;
-  bounds.uwsgi_connections = bounds.connections / uwsgi_parts;
+  bounds.uwsgi_connections = bounds.connections / uwsgi_divisor;
   bounds.connections -= 2 * bounds.uwsgi_connections;
   settings.uwsgi = std::move(uwsgi);
 }
 
-void turn_on_keys(config& settings, keyed_config keyed) {
+void enable_durable_idempotency(config& settings, keyed_config keyed) {
   for (std::size_t index = 0; index < keyed.windows.size(); ++index) {
     if (keyed.windows[index].count() == 0) continue;
     admission_policy::class_settings& request_class = settings.settings.classes[index];
     request_class.effect = admission_policy::request_effect::keyed;
-    // The policy tracks a key while its request can be open; from then on the folder does.
+    // The policy tracks a key until the deadline of its request; the stored results cover the rest of the
+    // window.
     request_class.idempotency_window = request_class.deadline;
   }
   settings.keyed = std::move(keyed);
   settings.repeats.reset();
 }
 
-void turn_on_dependencies(config& settings, dependencies_config dependencies) {
-  if (!settings.uwsgi) throw bad_config("parts are gathered for uwsgi requests, and uwsgi is off");
+void enable_dependencies(config& settings, dependencies_config dependencies) {
+  if (!settings.uwsgi) throw bad_config("section dependency needs section uwsgi, which is missing");
   for (const upstream::request_plan& plan : dependencies.plans) {
     for (admission_policy::class_settings& request_class : settings.settings.classes)
       if (request_class.name == plan.request_class) request_class.calls_dependency = true;
@@ -293,11 +300,11 @@
   settings.dependencies = std::move(dependencies);
 }
 
-std::string read_file(const char* path, const char* what) {
+std::string read_file(const char* path, const char* description) {
   std::ifstream file(path);
   std::ostringstream text;
   text << file.rdbuf();
-  if (!file) throw bad_config(std::string(what) + " cannot be read: " + path);
+  if (!file) throw bad_config(std::string(description) + " cannot be read: " + path);
   return text.str();
 }
 
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -1,6 +1,6 @@
-// The program's configuration: typed values with their defaults, and the reader of the platform's file. All
-// of it is read and checked at the start (config/operator_file.hpp adds the operator's file) and then passed
-// down by const reference.
+// The program's configuration: typed values with their defaults, and the reader of the platform's file. The
+// whole configuration is read and checked at the start (config/operator_file.hpp adds the operator's file)
+// and is then passed on by const reference.
 #pragma once
 
 #include <chrono>
@@ -19,149 +19,154 @@
 
 namespace marblewharf {
 
-// A configuration that cannot be used; the text names the key at fault.
+// Thrown for an invalid configuration. The text names the invalid key.
 struct bad_config : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// How a uwsgi var of the operator's choice tells one property of a request.
+// Maps a uwsgi var that the operator names to one property of a request.
 struct var_mapping {
-  std::string var;  // empty: no var tells it
-  // The property's value by the var's; empty: they are the same.
+  std::string var;  // empty: the property is not read from a var
+  // Key: value of the var. Mapped value: value of the property. Empty: both values are the same.
   std::map<std::string, std::string, std::less<>> values;
 };
 
-// Section `uwsgi`: the second front and the servers behind it.
+// Section `uwsgi`: the front for uwsgi callers and the uwsgi servers that run their requests.
 struct uwsgi_config {
   endpoint listen;
   std::vector<endpoint> servers;
   var_mapping request_class;
   var_mapping tenant;
-  var_mapping cost;                  // expected work, ms on one core
-  std::vector<double> default_cost;  // by class, ms, where the var is absent; 0: unknown
+  var_mapping cost;                  // the var holds the expected work, in ms on one core
+  std::vector<double> default_cost;  // by class, ms; used if the var is absent; 0: unknown
   double reserved_kb = 0;            // KB of memory reserved for each queued request
-  bool hash_content = false;         // compute a fingerprint of each request: another part needs it
+  bool hash_content = false;         // compute a fingerprint of each request; set for fan-outs
 };
 
-// Section `keyed`: idempotency with results on disk, known across restarts.
+// Section `keyed`: idempotency with results on disk, which survive restarts.
 struct keyed_config {
   std::string folder;
-  std::string uwsgi_var;                           // holds the key; empty: uwsgi requests have none
-  std::string thrift_field;                        // the same of Thrift requests
-  std::size_t longest_key = 255;                   // bytes
-  std::uint64_t space = std::uint64_t{1} << 30;    // bytes of the folder
-  std::uint64_t segment = std::uint64_t{8} << 20;  // bytes of one file in it
-  std::uint64_t entries = 1'000'000;               // keys known at once
+  std::string uwsgi_var;          // uwsgi var that holds the key; empty: uwsgi requests have no keys
+  std::string thrift_field;       // Thrift field that holds the key; empty: Thrift requests have no keys
+  std::size_t longest_key = 255;  // maximum key size in bytes
+  std::uint64_t space = std::uint64_t{1} << 30;    // maximum size of the folder in bytes
+  std::uint64_t segment = std::uint64_t{8} << 20;  // size of a segment file in bytes
+  std::uint64_t entries = 1'000'000;               // maximum number of stored keys
   std::vector<std::chrono::nanoseconds> windows;   // idempotency windows by class; 0: not keyed
-  // A run past its deadline may go on for so long, as one that is stopped has an unknown outcome.
+  // How long a run may continue after its deadline. Stopping the run would leave its outcome unknown.
   std::chrono::nanoseconds finish_within = std::chrono::seconds(10);
-  std::chrono::nanoseconds retry_disk = std::chrono::milliseconds(500);  // between attempts at a failed disk
-  // The var and its value that ask a server for the outcome of an earlier run; empty: no server is asked.
+  std::chrono::nanoseconds retry_disk = std::chrono::milliseconds(500);  // retry interval after a disk error
+  // The var and its value that mark a request to a server as an inquiry for the outcome of an earlier run;
+  // empty: no inquiries are sent.
   std::string inquiry_var, inquiry_value;
   unsigned inquiry_tries = 3;
-  std::chrono::nanoseconds inquiry_pause = std::chrono::milliseconds(200);  // before the second; then doubled
-  std::chrono::nanoseconds scrub{};  // between two scrubs of the folder; 0: never
+  std::chrono::nanoseconds inquiry_pause =
+      std::chrono::milliseconds(200);  // before the second attempt; doubles after each attempt
+  std::chrono::nanoseconds scrub{};    // interval between scrubs of the folder; 0: no scrubbing
 };
 
-// Idempotency in memory, for keyed classes of the platform's settings. Unused where there is a keyed_config.
+// Idempotency in memory, for keyed classes of the platform's settings. Unused if there is a keyed_config.
 struct repeats_config {
-  std::string thrift_field = "unique";            // holds the key; a request without it has none
-  std::size_t longest_key = 255;                  // bytes
+  std::string thrift_field = "unique";            // holds the key; a request without this field has no key
+  std::size_t longest_key = 255;                  // maximum key size in bytes
   std::vector<std::chrono::nanoseconds> windows;  // by class, with limits::rule_slack; 0: not keyed
-  std::chrono::nanoseconds longest_wait{};        // the longest deadline: no request is run after it
-  std::size_t memory = 0;                         // bytes of keys and results
+  std::chrono::nanoseconds longest_wait{};        // longest deadline of all classes; no request starts later
+  std::size_t memory = 0;                         // maximum size of keys and results in bytes
 };
 
-// Section `background`: what background work may use (docs/scheduler.md).
+// Section `background`: resource limits of background jobs (docs/scheduler.md).
 struct background_config {
   unsigned workers = 1;                          // threads
-  double cpu = 0.1;                              // cores, all jobs together
-  std::uint64_t read = std::uint64_t{16} << 20;  // bytes a second, all jobs together
-  // Busy shares of the cores, 0 to 1: full headroom up to `quiet`, none from `busy` on.
+  double cpu = 0.1;                              // cores, for all jobs together
+  std::uint64_t read = std::uint64_t{16} << 20;  // bytes per second, for all jobs together
+  // Utilization of the cores, 0 to 1: full headroom up to `quiet`, no headroom from `busy` on.
   double quiet = 0.5, busy = 0.85;
-  std::chrono::nanoseconds calm = std::chrono::seconds(1);     // no headroom so long after a request queued
-  std::chrono::nanoseconds deadline = std::chrono::hours(24);  // a job due for so long needs no headroom
+  std::chrono::nanoseconds calm =
+      std::chrono::seconds(1);  // no headroom for this long after a request was queued
+  std::chrono::nanoseconds deadline =
+      std::chrono::hours(24);  // a job overdue for this long runs without headroom
 };
 
-// Section `dependency`: an upstream of fan-outs and transactions. The rules for calls to it are apart, in
-// upstream::dependency_rules.
+// Section `dependency`: an upstream of fan-outs and transactions. upstream::dependency_rules has the rules
+// for calls to the upstream.
 struct dependency_config {
   std::string name;
   std::vector<endpoint> at;
-  std::string path;                 // PATH_INFO of its calls; empty: the request's own
-  bool one_phase = false;           // as a participant of transactions, it cannot prepare
-  std::vector<std::string> places;  // by endpoint: its zone or cluster member; empty: unknown
+  std::string path;                 // PATH_INFO of calls to the upstream; empty: PATH_INFO of the request
+  bool one_phase = false;           // the upstream has no prepare step when it is a participant
+  std::vector<std::string> places;  // by endpoint: its zone, or the address of its member; empty: unknown
 };
 
 // Sections `dependencies`, `dependency` and `part`.
 struct dependencies_config {
   std::vector<dependency_config> endpoints;
-  std::vector<upstream::dependency_rules> rules;  // index: as `endpoints`
+  std::vector<upstream::dependency_rules> rules;  // same index as `endpoints`
   std::vector<upstream::request_plan> plans;
-  std::string budget_var;                    // tells an upstream the ms it has; empty: nothing does
-  std::size_t cache = std::size_t{8} << 20;  // bytes of sub-responses kept for fallbacks
+  std::string budget_var;                    // var with the time budget of a call in ms; empty: not sent
+  std::size_t cache = std::size_t{8} << 20;  // maximum bytes of sub-responses cached for fallbacks
 };
 
 // A class whose requests are transactions.
 struct write_plan {
   std::size_t request_class = 0;
   std::vector<std::size_t> participants;  // indices of dependencies_config::endpoints
-  std::chrono::nanoseconds
-      reserve{};                      // before the latency objective: an undecided transaction is undone then
-  std::chrono::nanoseconds window{};  // how long the outcome is known by its key
+  // An undecided transaction is aborted this long before the latency objective.
+  std::chrono::nanoseconds reserve{};
+  std::chrono::nanoseconds window{};  // how long the outcome is retained under its key
 };
 
 // Section `writes`: transactions over several upstreams and their log on disk.
 struct writes_config {
   std::vector<write_plan> plans;
   std::string folder;
-  std::uint64_t segment = std::uint64_t{8} << 20;  // bytes of one file
-  std::uint64_t space = std::uint64_t{256} << 20;  // bytes of the folder
-  std::string step_var, id_var;                    // tell a participant its step and the transaction's id
-  std::chrono::nanoseconds retry = std::chrono::milliseconds(200);  // of an unanswered step; then doubled
+  std::uint64_t segment = std::uint64_t{8} << 20;  // size of a segment file in bytes
+  std::uint64_t space = std::uint64_t{256} << 20;  // maximum size of the folder in bytes
+  std::string step_var, id_var;  // vars that pass the step and the transaction's id to a participant
+  std::chrono::nanoseconds retry =
+      std::chrono::milliseconds(200);  // of an unanswered step; doubles each time
   std::chrono::nanoseconds longest_retry = std::chrono::seconds(5);
-  std::size_t outcomes = 1'000'000;  // known at once by key, about 100 bytes each
-  std::chrono::nanoseconds scrub{};  // between two scrubs of the folder; 0: never
+  std::size_t outcomes = 1'000'000;  // maximum number of outcomes retained by key; about 100 bytes each
+  std::chrono::nanoseconds scrub{};  // interval between scrubs of the folder; 0: no scrubbing
 };
 
 // Section `zone`.
 struct fleet_zone {
   std::string name;
   std::string region;
-  std::vector<endpoint> members;  // the configured ones: a quorum counts these, alive or not
+  std::vector<endpoint> members;  // configured members; a quorum counts all of them, alive or dead
 };
 
-// Section `fleet`: the cluster that decides in common which zones are out (docs/failover.md).
+// Section `fleet`: the cluster whose members agree on which zones are down (docs/failover.md).
 struct fleet_config {
-  std::string name;             // in every datagram: those of other clusters are dropped
+  std::string name;             // sent in every datagram; datagrams of other clusters are dropped
   endpoint listen;              // UDP, for membership
-  endpoint advertise;           // where others send to; a member of `zone`. As `listen` unless set
-  std::string zone;             // this node's
+  endpoint advertise;           // address that other members send to, listed in `zone`; default: `listen`
+  std::string zone;             // zone of this node
   std::vector<endpoint> seeds;  // probed until they answer
   std::vector<fleet_zone> zones;
   std::chrono::nanoseconds probe_interval = std::chrono::milliseconds(500);
   std::chrono::nanoseconds probe_timeout = std::chrono::milliseconds(200);
   unsigned indirect_probes = 3;
-  double suspicion_min_rounds = 4;  // shortest suspicion, in probe intervals times log10 of the members
-  double suspicion_max_factor = 6;  // the longest over the shortest
+  double suspicion_min_rounds = 4;  // minimum suspicion time, in probe intervals times log10(members)
+  double suspicion_max_factor = 6;  // maximum suspicion time divided by the minimum
   unsigned suspicion_confirmations = 3;
-  unsigned retransmits = 4;          // of each change, times log10 of the members
-  unsigned gossip_per_message = 8;   // changes
-  unsigned refresh_per_message = 2;  // members of the whole table in turn, beside the changes
-  unsigned health_most = 8;          // highest local health score, which lengthens probe timeouts
-  unsigned reconnect_every = 5;      // probe intervals; 0: a member held dead is never probed
-  std::chrono::nanoseconds hold_down =
-      std::chrono::seconds(10);  // a zone is healthy so long before it is back
+  unsigned retransmits = 4;          // of each membership change, times log10(members)
+  unsigned gossip_per_message = 8;   // membership changes
+  unsigned refresh_per_message = 2;  // entries of the member table, round-robin, besides the changes
+  unsigned health_most = 8;          // maximum local health score; the score lengthens probe timeouts
+  unsigned reconnect_every = 5;      // probe intervals between probes of dead members; 0: no such probes
+  // A zone must be healthy for this long before it gets traffic again.
+  std::chrono::nanoseconds hold_down = std::chrono::seconds(10);
   std::chrono::nanoseconds vote_lease = std::chrono::seconds(10);  // a vote that is not renewed expires
-  unsigned votes_per_message = 12;                                 // of other members, retransmitted
-  // A member that has not been heard of counts as dead only so long after the start.
+  unsigned votes_per_message = 12;  // votes of other members that a message forwards
+  // After the start, a member from which no message has arrived counts as dead only after this time.
   std::chrono::nanoseconds start_grace = std::chrono::seconds(5);
 
-  // The region of a zone; empty: there is no such zone.
+  // The region of a zone; empty if the zone is unknown.
   std::string region_of(const std::string& zone_name) const;
 };
 
-// What a global limit counts: running requests, requests a second, or calls in flight to an upstream.
+// What a global limit counts: running requests, requests per second, or in-flight calls to an upstream.
 enum class budget_unit { runs, requests, calls };
 
 // Section `budget`: a global limit that the cluster divides among its nodes as quotas (docs/budgets.md).
@@ -170,12 +175,12 @@
   budget_unit unit = budget_unit::runs;
   double whole = 0;   // the global limit, in its unit
   double safe = 0;    // the guaranteed share of each configured member
-  double weight = 1;  // of this node, in the division
-  // How long what a lost node had in flight still counts; 0 for requests.
+  double weight = 1;  // of this node, when the limit is divided
+  // How long the runs or calls of a lost node count as in flight; 0 for unit `requests`.
   std::chrono::nanoseconds settle{};
-  unsigned tenant = 0;                    // of requests
-  int request_class = -1;                 // of requests; -1: all of the tenant's
-  std::optional<std::size_t> dependency;  // of calls
+  unsigned tenant = 0;                    // unit `requests` only
+  int request_class = -1;                 // unit `requests` only; -1: all classes of the tenant
+  std::optional<std::size_t> dependency;  // unit `calls` only
 };
 
 // Sections `budgets` and `budget`.
@@ -183,52 +188,52 @@
   std::vector<budget_config> all;
   std::chrono::nanoseconds lease = std::chrono::seconds(2);
   std::chrono::nanoseconds renew = std::chrono::milliseconds(500);
-  std::chrono::nanoseconds settle{};  // of budgets without their own; the longest deadline unless set
-  double drift = 0.01;                // largest relative error of a clock's rate
-  double reserve = 0.05;              // share of each limit kept for nodes that join
-  double clock_rate = 1;              // of this node's clock; other than 1 in tests only
-  bool audit = false;                 // log every quota in force, without a bound on lines; in tests only
+  std::chrono::nanoseconds settle{};  // default of the budgets; if not set, the longest deadline
+  double drift = 0.01;                // maximum relative error of a clock's rate
+  double reserve = 0.05;              // share of each limit reserved for joining nodes
+  double clock_rate = 1;              // rate of this node's clock; differs from 1 only in tests
+  bool audit = false;                 // log every quota in force, without rate limit; only in tests
 };
 
-// The whole configuration. What is absent is off; the platform's file alone turns on no optional part but
-// `console` and `repeats`.
+// The whole configuration. An absent optional part is disabled. The platform's file alone can enable only
+// `console` and `repeats`; the operator's file enables the others.
 struct config {
-  std::string name;                 // of the node, in reports to the registry
-  endpoint listen;                  // Thrift
-  endpoint runtime;                 // runs the requests
+  std::string name;                 // name of the node in reports to the registry
+  endpoint listen;                  // of the Thrift front
+  endpoint runtime;                 // backend that runs the Thrift requests
   endpoint directory;               // the registry
-  std::optional<endpoint> console;  // of the operators
-  std::uint64_t seed = 0;           // of the admission policy's random choices
+  std::optional<endpoint> console;  // listen address of the operators' console
+  std::uint64_t seed = 0;           // of the admission policy's random number generator
   limits bounds;
   admission_policy::settings settings;
   std::optional<uwsgi_config> uwsgi;
   std::optional<keyed_config> keyed;
-  std::optional<repeats_config> repeats;  // absent where `keyed` is there
+  std::optional<repeats_config> repeats;  // absent if `keyed` is set
   std::optional<dependencies_config> dependencies;
   std::optional<writes_config> writes;  // needs `keyed` and `dependencies`
   std::optional<fleet_config> fleet;
   std::optional<budgets_config> budgets;  // needs `fleet`
-  background_config background;           // in use where a part has background work
+  background_config background;           // used only if a part has background jobs
 };
 
 // Reads the text of the platform's configuration file. Throws bad_config.
 config read_config(const std::string& text);
 
-// Turns the second front on: a part of the connections is its own from then on.
-void turn_on_uwsgi(config& settings, uwsgi_config uwsgi);
+// Enables the uwsgi front and reserves a part of the connections for it.
+void enable_uwsgi(config& settings, uwsgi_config uwsgi);
 
-// Turns durable idempotency on, in place of the one in memory: the admission policy is told which classes are
-// keyed.
-void turn_on_keys(config& settings, keyed_config keyed);
+// Enables durable idempotency in place of idempotency in memory, and marks the keyed classes in the admission
+// policy's settings.
+void enable_durable_idempotency(config& settings, keyed_config keyed);
 
-// Turns fan-out on. Throws bad_config where uwsgi is off.
-void turn_on_dependencies(config& settings, dependencies_config dependencies);
+// Enables fan-out. Throws bad_config if uwsgi is disabled.
+void enable_dependencies(config& settings, dependencies_config dependencies);
 
-// The text of a file. Throws bad_config, in which `what` stands for the file.
-std::string read_file(const char* path, const char* what);
+// Returns the contents of a file. Throws bad_config, whose text names the file as `description`.
+std::string read_file(const char* path, const char* description);
 
-// Reads the file that $PROXY_CONFIG names. The console's address is `console` there, or else $PROXY_CONSOLE;
-// there are no more descriptors than this process may open. Throws bad_config.
+// Reads the file that $PROXY_CONFIG names. The console's address is `console` in the file, otherwise
+// $PROXY_CONSOLE. Caps the number of descriptors at the process's limit (RLIMIT_NOFILE). Throws bad_config.
 config load_config();
 
 }  // namespace marblewharf
--- a/src/config/endpoint.hpp
+++ b/src/config/endpoint.hpp
@@ -1,4 +1,4 @@
-// Network addresses as configuration files write them.
+// Network addresses in the form used by configuration files.
 #pragma once
 
 #include <cstdint>
@@ -7,14 +7,14 @@
 
 namespace marblewharf {
 
-// A TCP or UDP address, not resolved yet.
+// An unresolved TCP or UDP address.
 struct endpoint {
   std::string host;
   std::uint16_t port = 0;
   bool operator==(const endpoint&) const = default;
 };
 
-// Reads "host:port"; the last colon parts them. None where the text is anything else.
+// Parses "host:port", split at the last colon. Returns no value for any other text.
 std::optional<endpoint> parse_endpoint(const std::string& text);
 
 }  // namespace marblewharf
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -27,14 +27,14 @@
 
 }  // namespace
 
-// In this order: dependencies name places in the fleet, writes name dependencies and keyed classes, and
-// budgets name all of these.
+// The order matters: dependencies refer to zones and members of the fleet, writes refer to dependencies and
+// keyed classes, and budgets refer to all of these.
 void apply_operator_file(config& settings, const std::string& path) {
   const sections::parsed_file file(path, all_schemas());
   sections::class_mappings mappings = sections::read_class_mappings(file, settings.settings);
   sections::read_fleet(file, settings);
-  if (file.has("uwsgi")) turn_on_uwsgi(settings, sections::read_uwsgi(file, std::move(mappings.uwsgi)));
-  if (file.has("dependency")) turn_on_dependencies(settings, sections::read_dependencies(file, settings));
+  if (file.has("uwsgi")) enable_uwsgi(settings, sections::read_uwsgi(file, std::move(mappings.uwsgi)));
+  if (file.has("dependency")) enable_dependencies(settings, sections::read_dependencies(file, settings));
   sections::read_keyed(file, settings, std::move(mappings.windows));
   sections::read_writes(file, settings);
   sections::read_budgets(file, settings);
--- a/src/config/operator_file.hpp
+++ b/src/config/operator_file.hpp
@@ -1,6 +1,5 @@
-// The operator's file: settings beyond the platform's configuration, as `name = value` lines within sections,
-// with
-// `#` comments and units (`90s`, `64MiB`). Readers of the sections are in config/sections.
+// The operator's file: settings in addition to the platform's configuration, as `name = value` lines within
+// sections, with `#` comments and units (`90s`, `64MiB`). The readers of the sections are in config/sections.
 #pragma once
 
 #include <string>
@@ -9,8 +8,9 @@
 
 namespace marblewharf {
 
-// Adds what the file at `path` says to a configuration that was read from the platform. Throws
-// operator_file_error naming file, line and key of the first fault; `settings` is then not to be used.
+// Adds the settings of the file at `path` to a configuration that was read from the platform's file. Throws
+// operator_file_error, which names file, line and key of the first fault; `settings` is then incomplete and
+// must not be used.
 void apply_operator_file(config& settings, const std::string& path);
 
 }  // namespace marblewharf
--- a/src/config/operator_file_error.hpp
+++ b/src/config/operator_file_error.hpp
@@ -1,4 +1,4 @@
-// What is wrong with the operator's file, and where.
+// The error type for faults in the operator's file.
 #pragma once
 
 #include <optional>
@@ -8,18 +8,18 @@
 
 namespace marblewharf {
 
-// The place and the cause of a fault.
+// The location and the cause of a fault.
 struct operator_file_fault {
   std::string file;
-  std::optional<int> line;  // none: the file as a whole; 0: something that no line of it has
+  std::optional<int> line;  // no value: the whole file; 0: an entry is missing in the file
   std::string key;          // "section", "section.key" or "section \"title\".key"; empty: unknown
-  std::string problem;      // reads on from the key
-  std::string found;        // the value at fault; empty: none
-  // The line is that of the section's end: of a key that is absent no other is known.
+  std::string problem;      // continues the sentence that begins with the key
+  std::string found;        // the invalid value; empty: there is none
+  // `line` is the last line of the section, because an absent key has no line of its own.
   bool at_section_end = false;
 };
 
-// Its text names file, line, key, problem and value in this order.
+// The text contains file, line, key, problem and value, in this order.
 class operator_file_error : public bad_config {
  public:
   explicit operator_file_error(operator_file_fault fault);
--- a/src/config/sections/background.cpp
+++ b/src/config/sections/background.cpp
@@ -19,16 +19,17 @@
 void read_background(const parsed_file& file, config& settings) {
   using namespace std::chrono_literals;
   if (!file.has("background")) return;
-  const section background = file.only("background");
-  background_config& read = settings.background;
-  read.workers = background.small_count("workers", 1, 16);
-  read.cpu = background.number("cpu", 0.001, 16);
-  read.read = background.bytes("read", std::uint64_t{1} << 10, std::uint64_t{1} << 40);
-  read.quiet = background.number("quiet", 0, 1);
-  read.busy = background.number("busy", 0, 1);
-  if (read.busy < read.quiet) background.fail("busy", "is under quiet", background.text("busy"));
-  read.calm = background.duration("calm", 0s, 60s);
-  read.deadline = background.duration("deadline", 0s, longest_background_period);
+  const section background = file.get_section("background");
+  background_config& background_settings = settings.background;
+  background_settings.workers = background.small_count("workers", 1, 16);
+  background_settings.cpu = background.number("cpu", 0.001, 16);
+  background_settings.read = background.bytes("read", std::uint64_t{1} << 10, std::uint64_t{1} << 40);
+  background_settings.quiet = background.number("quiet", 0, 1);
+  background_settings.busy = background.number("busy", 0, 1);
+  if (background_settings.busy < background_settings.quiet)
+    background.fail("busy", "is less than quiet", background.text("busy"));
+  background_settings.calm = background.duration("calm", 0s, 60s);
+  background_settings.deadline = background.duration("deadline", 0s, longest_background_period);
 }
 
 }  // namespace marblewharf::sections
--- a/src/config/sections/background.hpp
+++ b/src/config/sections/background.hpp
@@ -1,4 +1,4 @@
-// The section `background`: how much background work may use, and when.
+// The section `background`: resource limits of background jobs.
 #pragma once
 
 #include "config/config.hpp"
@@ -8,7 +8,7 @@
 
 schema background_schema();
 
-// Leaves the defaults where the file has no such section.
+// Sets `settings.background`; keeps the defaults if the file has no such section.
 void read_background(const parsed_file& file, config& settings);
 
 }  // namespace marblewharf::sections
--- a/src/config/sections/budgets.cpp
+++ b/src/config/sections/budgets.cpp
@@ -15,13 +15,13 @@
 
 using namespace std::chrono_literals;
 
-// One datagram names all budgets.
-constexpr std::size_t most_budgets = 32;
-// So many renewals may be lost before a lease expires.
+// One datagram lists all budgets, which limits their number.
+constexpr std::size_t max_budgets = 32;
+// A lease lasts at least this many renewal intervals, so that lost renewals do not expire the lease at once.
 constexpr int renewals_per_lease = 3;
 constexpr double largest_limit = 1e9;
 
-void read_common(const section& common, budgets_config& budgets) {
+void read_common_settings(const section& common, budgets_config& budgets) {
   budgets.lease = common.duration("lease", 200ms, 600s);
   budgets.renew = common.duration("renew", 10ms, budgets.lease / renewals_per_lease);
   if (!common.text("settle").empty()) budgets.settle = common.duration("settle", 0s, one_hour);
@@ -31,86 +31,91 @@
   budgets.audit = common.flag("audit");
 }
 
-std::size_t count_members(const config& platform) {
+std::size_t count_members(const config& configuration) {
   std::size_t members = 0;
-  for (const fleet_zone& zone : platform.fleet->zones) members += zone.members.size();
+  for (const fleet_zone& zone : configuration.fleet->zones) members += zone.members.size();
   return members;
 }
 
-void read_amounts(const section& titled, std::size_t members, budget_config& budget) {
-  budget.whole = titled.number("whole", 0, largest_limit);
-  budget.safe = titled.number("safe", 0, largest_limit);
-  budget.weight = titled.number("weight", 0.001, 1000);
-  if (budget.whole <= 0) titled.fail("whole", "is nothing", titled.text("whole"));
+void read_amounts(const section& budget_section, std::size_t members, budget_config& budget) {
+  budget.whole = budget_section.number("whole", 0, largest_limit);
+  budget.safe = budget_section.number("safe", 0, largest_limit);
+  budget.weight = budget_section.number("weight", 0.001, 1000);
+  if (budget.whole <= 0) budget_section.fail("whole", "is not greater than 0", budget_section.text("whole"));
   if (budget.safe * static_cast<double>(members) > budget.whole)
-    titled.fail("safe", "of " + std::to_string(members) + " members is more than the whole",
-                titled.text("safe"));
+    budget_section.fail("safe", "times " + std::to_string(members) + " members exceeds whole",
+                        budget_section.text("safe"));
 }
 
-// A key that one unit needs and no other has.
-void check_goes_with(const section& titled, const char* key, const char* unit, const std::string& given) {
-  const bool set = !titled.text(key).empty();
-  if (given == unit && !set) titled.fail(key, "is missing");
-  if (given != unit && set) titled.fail(key, std::string("goes with unit = ") + unit);
+// Checks that `key` is set if and only if the budget has the unit `required_unit`.
+void check_key_of_unit(const section& budget_section, const char* key, const char* required_unit,
+                       const std::string& unit) {
+  const bool set = !budget_section.text(key).empty();
+  if (unit == required_unit && !set) budget_section.fail(key, "is missing");
+  if (unit != required_unit && set)
+    budget_section.fail(key, std::string("is only allowed with unit = ") + required_unit);
 }
 
-void read_runs(const section& titled, const budgets_config& budgets, budget_config& budget) {
+void read_runs(const section& budget_section, const budgets_config& budgets, budget_config& budget) {
   budget.unit = budget_unit::runs;
   for (const budget_config& other : budgets.all)
-    if (other.unit == budget_unit::runs) titled.fail("unit", "of runs has a budget already", other.name);
+    if (other.unit == budget_unit::runs)
+      budget_section.fail("unit", "= runs is already the unit of another budget", other.name);
 }
 
-void read_requests(const section& titled, const admission_policy::settings& known, budget_config& budget) {
+void read_requests(const section& budget_section, const admission_policy::settings& policy_settings,
+                   budget_config& budget) {
   budget.unit = budget_unit::requests;
-  budget.tenant = static_cast<unsigned>(index_of_value(titled, "tenant", known.tenants));
-  if (!titled.text("class").empty())
-    budget.request_class = static_cast<int>(index_of_value(titled, "class", known.classes));
+  budget.tenant = static_cast<unsigned>(index_of_value(budget_section, "tenant", policy_settings.tenants));
+  if (!budget_section.text("class").empty())
+    budget.request_class = static_cast<int>(index_of_value(budget_section, "class", policy_settings.classes));
 }
 
-void read_calls(const section& titled, const config& platform, budget_config& budget) {
+void read_calls(const section& budget_section, const config& configuration, budget_config& budget) {
   budget.unit = budget_unit::calls;
-  const std::string name = titled.text("dependency");
-  if (!platform.dependencies) titled.fail("dependency", "names no dependency", name);
-  budget.dependency = index_of_dependency(titled, "dependency", name, *platform.dependencies);
+  const std::string name = budget_section.text("dependency");
+  if (!configuration.dependencies) budget_section.fail("dependency", "names an unknown dependency", name);
+  budget.dependency = index_of_dependency(budget_section, "dependency", name, *configuration.dependencies);
 }
 
-void read_unit(const section& titled, const std::string& unit, const config& platform,
+void read_unit(const section& budget_section, const std::string& unit, const config& configuration,
                const budgets_config& budgets, budget_config& budget) {
-  check_goes_with(titled, "tenant", "requests", unit);
-  check_goes_with(titled, "dependency", "calls", unit);
-  if (unit != "requests" && !titled.text("class").empty()) titled.fail("class", "goes with unit = requests");
+  check_key_of_unit(budget_section, "tenant", "requests", unit);
+  check_key_of_unit(budget_section, "dependency", "calls", unit);
+  if (unit != "requests" && !budget_section.text("class").empty())
+    budget_section.fail("class", "is only allowed with unit = requests");
   if (unit == "runs") {
-    read_runs(titled, budgets, budget);
+    read_runs(budget_section, budgets, budget);
   } else if (unit == "requests") {
-    read_requests(titled, platform.settings, budget);
+    read_requests(budget_section, configuration.settings, budget);
   } else if (unit == "calls") {
-    read_calls(titled, platform, budget);
+    read_calls(budget_section, configuration, budget);
   } else {
-    titled.fail("unit", "is none of runs, requests, calls", unit);
+    budget_section.fail("unit", "is not one of runs, requests, calls", unit);
   }
 }
 
-// A rate of requests is used up within its second: nothing of it stays in flight.
-void read_settle(const section& titled, const budgets_config& budgets, budget_config& budget) {
+// A budget of requests is a rate: nothing of it stays in flight, so it has no settle time.
+void read_settle(const section& budget_section, const budgets_config& budgets, budget_config& budget) {
   const bool stays_in_flight = budget.unit != budget_unit::requests;
   if (stays_in_flight) budget.settle = budgets.settle;
-  if (titled.text("settle").empty()) return;
-  if (!stays_in_flight) titled.fail("settle", "goes with unit = runs or calls");
-  budget.settle = titled.duration("settle", 0s, one_hour);
+  if (budget_section.text("settle").empty()) return;
+  if (!stays_in_flight) budget_section.fail("settle", "is only allowed with unit = runs or calls");
+  budget.settle = budget_section.duration("settle", 0s, one_hour);
 }
 
-void read_budget(const section& titled, const std::string& title, const config& platform,
+void read_budget(const section& budget_section, const std::string& title, const config& configuration,
                  budgets_config& budgets) {
-  if (!platform.fleet) titled.fail(nullptr, "is set, and fleet is missing");
+  if (!configuration.fleet) budget_section.fail(nullptr, "is set, but section fleet is missing");
   budget_config budget;
   budget.name = title;
-  const std::string unit = titled.required_text("unit");
-  read_amounts(titled, count_members(platform), budget);
-  read_unit(titled, unit, platform, budgets, budget);
-  read_settle(titled, budgets, budget);
+  const std::string unit = budget_section.required_text("unit");
+  read_amounts(budget_section, count_members(configuration), budget);
+  read_unit(budget_section, unit, configuration, budgets, budget);
+  read_settle(budget_section, budgets, budget);
   budgets.all.push_back(std::move(budget));
-  if (budgets.all.size() > most_budgets)
-    titled.fail(nullptr, "is one too many: " + std::to_string(most_budgets) + " at the most");
+  if (budgets.all.size() > max_budgets)
+    budget_section.fail(nullptr, "exceeds the maximum of " + std::to_string(max_budgets) + " budgets");
 }
 
 }  // namespace
@@ -138,17 +143,18 @@
 
 void read_budgets(const parsed_file& file, config& settings) {
   if (!file.has("budget")) {
-    if (file.has("budgets")) file.only("budgets").fail(nullptr, "is set, and no budget is named");
+    if (file.has("budgets"))
+      file.get_section("budgets").fail(nullptr, "is set, but there is no section budget");
     return;
   }
-  budgets_config read;
+  budgets_config budgets;
   for (const auto& request_class : settings.settings.classes)
-    read.settle = std::max(read.settle, request_class.deadline);
-  if (file.has("budgets")) read_common(file.only("budgets"), read);
-  file.each("budget", [&](const section& titled, const std::string& title) {
-    read_budget(titled, title, settings, read);
+    budgets.settle = std::max(budgets.settle, request_class.deadline);
+  if (file.has("budgets")) read_common_settings(file.get_section("budgets"), budgets);
+  file.for_each("budget", [&](const section& budget_section, const std::string& title) {
+    read_budget(budget_section, title, settings, budgets);
   });
-  settings.budgets = std::move(read);
+  settings.budgets = std::move(budgets);
 }
 
 }  // namespace marblewharf::sections
--- a/src/config/sections/budgets.hpp
+++ b/src/config/sections/budgets.hpp
@@ -9,8 +9,8 @@
 schema budgets_schema();
 schema budget_schema();
 
-// Sets `settings.budgets` where the file names a budget. `settings` has the fleet and the dependencies
-// already.
+// Sets `settings.budgets` if the file has a section `budget`. Must be called after the fleet and the
+// dependencies were added to `settings`.
 void read_budgets(const parsed_file& file, config& settings);
 
 }  // namespace marblewharf::sections
--- a/src/config/sections/classes.cpp
+++ b/src/config/sections/classes.cpp
@@ -9,32 +9,32 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::chrono::nanoseconds most_cost = 1000s;
-constexpr std::chrono::nanoseconds longest_window = std::chrono::hours(24 * 400);
-constexpr std::chrono::nanoseconds longest_reserve = 60s;
+constexpr std::chrono::nanoseconds max_cost = 1000s;
+constexpr std::chrono::nanoseconds max_window = std::chrono::hours(24 * 400);
+constexpr std::chrono::nanoseconds max_reserve = 60s;
 constexpr std::chrono::nanoseconds default_reserve = 50ms;
 
-void add_values(const section& titled, const std::string& title, var_mapping& mapping) {
-  for (const std::string& value : titled.texts("uwsgi_values")) {
+void add_values(const section& titled_section, const std::string& title, var_mapping& mapping) {
+  for (const std::string& value : titled_section.texts("uwsgi_values")) {
     if (!mapping.values.emplace(value, title).second)
-      titled.fail("uwsgi_values", "names a value twice", value);
+      titled_section.fail("uwsgi_values", "lists a value that is already mapped", value);
   }
 }
 
-void read_class(const section& titled, const std::string& title, admission_policy::settings& known,
-                class_mappings& mappings) {
-  const std::size_t index = index_of_title(titled, known.classes, title);
-  admission_policy::class_settings& request_class = known.classes[index];
-  add_values(titled, title, mappings.uwsgi.request_class);
-  if (!titled.text("uwsgi_cost").empty()) {
-    const std::chrono::nanoseconds cost = titled.duration("uwsgi_cost", {}, most_cost);
+void read_class(const section& class_section, const std::string& title,
+                admission_policy::settings& policy_settings, class_mappings& mappings) {
+  const std::size_t index = index_of_title(class_section, policy_settings.classes, title);
+  admission_policy::class_settings& request_class = policy_settings.classes[index];
+  add_values(class_section, title, mappings.uwsgi.request_class);
+  if (!class_section.text("uwsgi_cost").empty()) {
+    const std::chrono::nanoseconds cost = class_section.duration("uwsgi_cost", {}, max_cost);
     mappings.uwsgi.default_cost[index] = std::chrono::duration<double, std::milli>(cost).count();
   }
-  const double weight_without_call = titled.number("worth_without", 0, 1);
+  const double weight_without_call = class_section.number("worth_without", 0, 1);
   if (weight_without_call > 0) request_class.weight_without_call = weight_without_call;
-  if (!titled.flag("keyed")) return;
-  // A request may be open for its whole deadline: a key that expires before could run twice.
-  mappings.windows[index] = titled.duration("window", request_class.deadline * 2, longest_window);
+  if (!class_section.flag("keyed")) return;
+  // A request can be open until its deadline. If its key expired earlier, a duplicate could run again.
+  mappings.windows[index] = class_section.duration("window", request_class.deadline * 2, max_window);
 }
 
 }  // namespace
@@ -56,28 +56,28 @@
   return {.name = "tenant", .options = options, .titled = true};
 }
 
-class_mappings read_class_mappings(const parsed_file& file, admission_policy::settings& known) {
+class_mappings read_class_mappings(const parsed_file& file, admission_policy::settings& policy_settings) {
   class_mappings mappings;
-  mappings.uwsgi.default_cost.assign(known.classes.size(), 0);
-  mappings.windows.assign(known.classes.size(), {});
-  file.each("class", [&](const section& titled, const std::string& title) {
-    read_class(titled, title, known, mappings);
+  mappings.uwsgi.default_cost.assign(policy_settings.classes.size(), 0);
+  mappings.windows.assign(policy_settings.classes.size(), {});
+  file.for_each("class", [&](const section& class_section, const std::string& title) {
+    read_class(class_section, title, policy_settings, mappings);
   });
-  file.each("tenant", [&](const section& titled, const std::string& title) {
-    index_of_title(titled, known.tenants, title);
-    add_values(titled, title, mappings.uwsgi.tenant);
+  file.for_each("tenant", [&](const section& tenant_section, const std::string& title) {
+    index_of_title(tenant_section, policy_settings.tenants, title);
+    add_values(tenant_section, title, mappings.uwsgi.tenant);
   });
   return mappings;
 }
 
 std::chrono::nanoseconds read_reserve(const section& request_class) {
-  return request_class.duration("reserve", 0s, longest_reserve);
+  return request_class.duration("reserve", 0s, max_reserve);
 }
 
 std::chrono::nanoseconds read_reserve(const parsed_file& file, const std::string& class_name) {
   std::chrono::nanoseconds reserve = default_reserve;
-  file.each("class", [&](const section& titled, const std::string& title) {
-    if (title == class_name) reserve = read_reserve(titled);
+  file.for_each("class", [&](const section& class_section, const std::string& title) {
+    if (title == class_name) reserve = read_reserve(class_section);
   });
   return reserve;
 }
--- a/src/config/sections/classes.hpp
+++ b/src/config/sections/classes.hpp
@@ -1,4 +1,4 @@
-// The sections `class` and `tenant`: what the operator adds to classes and tenants of the platform's
+// The sections `class` and `tenant`: the operator's additions to the classes and tenants of the platform's
 // settings.
 #pragma once
 
@@ -15,17 +15,17 @@
 schema class_schema();
 schema tenant_schema();
 
-// What the sections say of each class and tenant, for the readers of other sections.
+// Values of the sections `class` and `tenant` that the readers of other sections need.
 struct class_mappings {
-  uwsgi_config uwsgi;                             // values of vars and default costs only
+  uwsgi_config uwsgi;                             // only the values of vars and the default costs are set
   std::vector<std::chrono::nanoseconds> windows;  // idempotency windows by class; 0: not keyed
 };
 
-// Sets in `known` what an answer without a call is worth; returns the rest.
-class_mappings read_class_mappings(const parsed_file& file, admission_policy::settings& known);
+// Sets `weight_without_call` of the classes in `policy_settings`; returns the other values.
+class_mappings read_class_mappings(const parsed_file& file, admission_policy::settings& policy_settings);
 
-// How long before the latency objective a fan-out or a transaction of this class is to end: the reserve of
-// its section, or the default where it has none.
+// The reserve of a class: how long before the latency objective a fan-out or a transaction ends. The default
+// if the class has no section.
 std::chrono::nanoseconds read_reserve(const section& request_class);
 std::chrono::nanoseconds read_reserve(const parsed_file& file, const std::string& class_name);
 
--- a/src/config/sections/dependencies.cpp
+++ b/src/config/sections/dependencies.cpp
@@ -14,9 +14,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::chrono::nanoseconds longest_time = 600s;
+constexpr std::chrono::nanoseconds max_duration = 600s;
 
-// The zone of a place, which is a zone's name or a member's address; empty: it is neither.
+// The zone of a place, which is either a zone's name or a member's address. Empty if it is neither.
 std::string zone_of_place(const fleet_config& fleet, const std::string& place) {
   const auto is_place = [&](const endpoint& member) {
     return member.host + ":" + std::to_string(member.port) == place;
@@ -29,60 +29,63 @@
   return found;
 }
 
-// Where the endpoints are, in terms of the fleet.
-void read_places(const section& titled, const config& platform, dependency_config& settings,
+// Reads the places of the endpoints, as zones or members of the fleet, and the rules for preferring near
+// ones.
+void read_places(const section& dependency_section, const config& configuration, dependency_config& settings,
                  upstream::dependency_rules& rules) {
-  settings.places = titled.texts("places");
-  rules.near.rules.overprovisioning = titled.number("overprovisioning", 1, 10);
-  rules.near.rules.panic_threshold = titled.number("panic", 0, 1);
-  rules.near.rules.most_each = titled.small_count("most_each", 0, 4096);
+  settings.places = dependency_section.texts("places");
+  rules.near.rules.overprovisioning = dependency_section.number("overprovisioning", 1, 10);
+  rules.near.rules.panic_threshold = dependency_section.number("panic", 0, 1);
+  rules.near.rules.most_each = dependency_section.small_count("most_each", 0, 4096);
   if (settings.places.empty()) {
-    if (rules.near.rules.most_each > 0) titled.fail("most_each", "is set, and places is missing");
+    if (rules.near.rules.most_each > 0) dependency_section.fail("most_each", "is set, but places is missing");
     return;
   }
-  if (!platform.fleet) titled.fail("places", "is set, and fleet is missing");
-  const fleet_config& fleet = *platform.fleet;
-  if (settings.places.size() != settings.at.size()) titled.fail("places", "are not as many as endpoints");
+  if (!configuration.fleet) dependency_section.fail("places", "is set, but section fleet is missing");
+  const fleet_config& fleet = *configuration.fleet;
+  if (settings.places.size() != settings.at.size())
+    dependency_section.fail("places", "does not have as many entries as endpoints");
   const failover::place own{fleet.zone, fleet.region_of(fleet.zone)};
   for (const std::string& place : settings.places) {
     const std::string zone = zone_of_place(fleet, place);
-    if (zone.empty()) titled.fail("places", "names neither a zone nor a member of the fleet", place);
+    if (zone.empty())
+      dependency_section.fail("places", "lists neither a zone nor a member of the fleet", place);
     rules.near.where.push_back(failover::level_of(own, {zone, fleet.region_of(zone)}));
   }
 }
 
-void read_retries_and_hedges(const section& titled, upstream::dependency_rules& rules) {
-  rules.budget = titled.duration("budget", 1ms, longest_time);
-  rules.tries = titled.small_count("tries", 1, 10);
-  rules.retry_share = titled.number("retry_share", 0, 1);
-  rules.retry_floor = titled.number("retry_floor", 0, 1000);
-  rules.hedge_quantile = titled.number("hedge_quantile", 0, 0.999);
-  rules.hedge_share = titled.number("hedge_share", 0, 1);
-  rules.most_in_flight = titled.small_count("most_in_flight", 1, 4096);
+void read_retries_and_hedges(const section& dependency_section, upstream::dependency_rules& rules) {
+  rules.budget = dependency_section.duration("budget", 1ms, max_duration);
+  rules.tries = dependency_section.small_count("tries", 1, 10);
+  rules.retry_share = dependency_section.number("retry_share", 0, 1);
+  rules.retry_floor = dependency_section.number("retry_floor", 0, 1000);
+  rules.hedge_quantile = dependency_section.number("hedge_quantile", 0, 0.999);
+  rules.hedge_share = dependency_section.number("hedge_share", 0, 1);
+  rules.most_in_flight = dependency_section.small_count("most_in_flight", 1, 4096);
 }
 
-void read_outlier_ejection(const section& titled, upstream::dependency_rules& rules) {
-  rules.health.failures = titled.small_count("failures", 1, 1000);
-  rules.health.out = titled.duration("out", 1ms, longest_time);
-  rules.health.most_out = titled.number("most_out", 0, 1);
-  rules.health.ramp = titled.duration("ramp", 1ms, longest_time);
-  rules.health.fade = titled.duration("fade", 1ms, longest_time);
+void read_outlier_ejection(const section& dependency_section, upstream::dependency_rules& rules) {
+  rules.health.failures = dependency_section.small_count("failures", 1, 1000);
+  rules.health.out = dependency_section.duration("out", 1ms, max_duration);
+  rules.health.most_out = dependency_section.number("most_out", 0, 1);
+  rules.health.ramp = dependency_section.duration("ramp", 1ms, max_duration);
+  rules.health.fade = dependency_section.duration("fade", 1ms, max_duration);
 }
 
-void read_dependency(const section& titled, const std::string& title, const config& platform,
+void read_dependency(const section& dependency_section, const std::string& title, const config& configuration,
                      dependencies_config& dependencies) {
   dependency_config settings;
   settings.name = title;
-  settings.path = titled.text("path");
-  settings.at = titled.addresses("endpoints");
-  if (settings.at.empty()) titled.fail("endpoints", "names no endpoint");
+  settings.path = dependency_section.text("path");
+  settings.at = dependency_section.addresses("endpoints");
+  if (settings.at.empty()) dependency_section.fail("endpoints", "lists no endpoint");
   upstream::dependency_rules rules;
   rules.name = title;
   rules.endpoints = settings.at.size();
-  read_retries_and_hedges(titled, rules);
-  settings.one_phase = titled.flag("one_phase");
-  read_places(titled, platform, settings, rules);
-  read_outlier_ejection(titled, rules);
+  read_retries_and_hedges(dependency_section, rules);
+  settings.one_phase = dependency_section.flag("one_phase");
+  read_places(dependency_section, configuration, settings, rules);
+  read_outlier_ejection(dependency_section, rules);
   dependencies.endpoints.push_back(std::move(settings));
   dependencies.rules.push_back(std::move(rules));
 }
@@ -122,12 +125,12 @@
 dependencies_config read_dependencies(const parsed_file& file, const config& settings) {
   dependencies_config dependencies;
   if (file.has("dependencies")) {
-    const section common = file.only("dependencies");
+    const section common = file.get_section("dependencies");
     dependencies.budget_var = common.text("budget_var");
     dependencies.cache = common.bytes("cache", 0, std::uint64_t{1} << 32);
   }
-  file.each("dependency", [&](const section& titled, const std::string& title) {
-    read_dependency(titled, title, settings, dependencies);
+  file.for_each("dependency", [&](const section& dependency_section, const std::string& title) {
+    read_dependency(dependency_section, title, settings, dependencies);
   });
   read_parts(file, settings.settings, dependencies);
   return dependencies;
--- a/src/config/sections/dependencies.hpp
+++ b/src/config/sections/dependencies.hpp
@@ -9,8 +9,8 @@
 schema dependencies_schema();
 schema dependency_schema();
 
-// `settings` has the fleet already: its zones and members are places of endpoints. Throws
-// operator_file_error, or upstream::plan_error for a plan whose fault belongs to no part.
+// Must be called after the fleet was added to `settings`, because endpoints refer to its zones and members.
+// Throws operator_file_error, or upstream::plan_error if an invalid plan cannot be attributed to one part.
 dependencies_config read_dependencies(const parsed_file& file, const config& settings);
 
 }  // namespace marblewharf::sections
--- a/src/config/sections/fleet.cpp
+++ b/src/config/sections/fleet.cpp
@@ -12,8 +12,8 @@
 
 using namespace std::chrono_literals;
 
-// A vote is issued four times in its lease, and each issue takes two probes to travel.
-constexpr int least_probes_per_vote_lease = 8;
+// A vote is issued four times per lease, and each issue needs two probes to reach the other members.
+constexpr int min_probes_per_vote_lease = 8;
 
 void read_membership(const section& fleet, fleet_config& settings) {
   settings.probe_interval = fleet.duration("probe_interval", 10ms, 60s);
@@ -32,15 +32,15 @@
 void read_votes(const section& fleet, fleet_config& settings) {
   settings.hold_down = fleet.duration("hold_down", 0s, one_hour);
   settings.vote_lease =
-      fleet.duration("vote_lease", least_probes_per_vote_lease * settings.probe_interval, one_hour);
+      fleet.duration("vote_lease", min_probes_per_vote_lease * settings.probe_interval, one_hour);
   settings.votes_per_message = fleet.small_count("votes_per_message", 1, 16);
   settings.start_grace = fleet.duration("start_grace", 0s, one_hour);
 }
 
 void read_zones(const parsed_file& file, fleet_config& settings) {
-  file.each("zone", [&](const section& titled, const std::string& title) {
-    fleet_zone zone{title, titled.required_text("region"), titled.addresses("members")};
-    if (zone.members.empty()) titled.fail("members", "names no member");
+  file.for_each("zone", [&](const section& zone_section, const std::string& title) {
+    fleet_zone zone{title, zone_section.required_text("region"), zone_section.addresses("members")};
+    if (zone.members.empty()) zone_section.fail("members", "lists no member");
     settings.zones.push_back(std::move(zone));
   });
 }
@@ -88,25 +88,26 @@
 
 void read_fleet(const parsed_file& file, config& settings) {
   if (!file.has("fleet")) {
-    if (file.has("zone")) file.fail("zone", "is set, and fleet is missing");
+    if (file.has("zone")) file.fail("zone", "is set, but section fleet is missing");
     return;
   }
-  const section fleet = file.only("fleet");
-  fleet_config read;
-  read.name = fleet.required_text("name");
-  read.listen = fleet.address("listen", fleet.required_text("listen"));
+  const section fleet = file.get_section("fleet");
+  fleet_config fleet_settings;
+  fleet_settings.name = fleet.required_text("name");
+  fleet_settings.listen = fleet.address("listen", fleet.required_text("listen"));
   const std::string advertised = fleet.text("advertise");
-  read.advertise = advertised.empty() ? read.listen : fleet.address("advertise", advertised);
-  read.zone = fleet.required_text("zone");
-  read.seeds = fleet.addresses("seeds");
-  if (read.seeds.empty()) fleet.fail("seeds", "names no seed");
-  read_membership(fleet, read);
-  read_votes(fleet, read);
-  read_zones(file, read);
-  if (!is_member_of_own_zone(read))
-    fleet.fail(advertised.empty() ? "listen" : "advertise", "is no member of the zone named in zone",
-               read.zone);
-  settings.fleet = std::move(read);
+  fleet_settings.advertise =
+      advertised.empty() ? fleet_settings.listen : fleet.address("advertise", advertised);
+  fleet_settings.zone = fleet.required_text("zone");
+  fleet_settings.seeds = fleet.addresses("seeds");
+  if (fleet_settings.seeds.empty()) fleet.fail("seeds", "lists no seed");
+  read_membership(fleet, fleet_settings);
+  read_votes(fleet, fleet_settings);
+  read_zones(file, fleet_settings);
+  if (!is_member_of_own_zone(fleet_settings))
+    fleet.fail(advertised.empty() ? "listen" : "advertise", "is not a member of the zone that is set in zone",
+               fleet_settings.zone);
+  settings.fleet = std::move(fleet_settings);
 }
 
 }  // namespace marblewharf::sections
--- a/src/config/sections/fleet.hpp
+++ b/src/config/sections/fleet.hpp
@@ -9,8 +9,8 @@
 schema fleet_schema();
 schema zone_schema();
 
-// Sets `settings.fleet` where the file has the section. Zones without it are a fault, and so is a node whose
-// address is no member of its own zone.
+// Sets `settings.fleet` if the file has the section. Throws operator_file_error also if there are sections
+// `zone` but no section `fleet`, or if the node's address is not a member of its own zone.
 void read_fleet(const parsed_file& file, config& settings);
 
 }  // namespace marblewharf::sections
--- a/src/config/sections/keyed.cpp
+++ b/src/config/sections/keyed.cpp
@@ -13,34 +13,36 @@
 
 using namespace std::chrono_literals;
 
-// The folder needs room for this many segments at least.
-constexpr std::uint64_t least_segments = 4;
+// Minimum size of the folder in segments.
+constexpr std::uint64_t min_segments = 4;
 
 bool any_keyed(const std::vector<std::chrono::nanoseconds>& windows) {
   return std::any_of(windows.begin(), windows.end(), [](auto window) { return window.count() > 0; });
 }
 
-void read_key_sources(const section& keyed, const config& platform, keyed_config& settings) {
+void read_key_sources(const section& keyed, const config& configuration, keyed_config& settings) {
   settings.uwsgi_var = keyed.text("uwsgi_var");
   settings.thrift_field = keyed.text("thrift_field");
   if (settings.uwsgi_var.empty() && settings.thrift_field.empty())
     keyed.fail("uwsgi_var", "and thrift_field are both missing");
-  if (platform.uwsgi && settings.uwsgi_var.empty()) keyed.fail("uwsgi_var", "is missing, and uwsgi is on");
+  if (configuration.uwsgi && settings.uwsgi_var.empty())
+    keyed.fail("uwsgi_var", "is missing, but section uwsgi is set");
   settings.longest_key = keyed.count("longest_key", 8, 1024);
 }
 
 void read_folder_bounds(const section& keyed, keyed_config& settings) {
   settings.segment = keyed.bytes("segment", std::uint64_t{64} << 10, std::uint64_t{1} << 30);
-  settings.space = keyed.bytes("space", least_segments * settings.segment, std::uint64_t{1} << 50);
+  settings.space = keyed.bytes("space", min_segments * settings.segment, std::uint64_t{1} << 50);
   settings.entries = keyed.count("entries", 16, 100'000'000);
 }
 
-void read_inquiries(const section& keyed, const config& platform, keyed_config& settings) {
+void read_inquiries(const section& keyed, const config& configuration, keyed_config& settings) {
   settings.inquiry_var = keyed.text("inquiry_var");
   settings.inquiry_value = keyed.text("inquiry_value");
   if (settings.inquiry_var.empty() != settings.inquiry_value.empty())
-    keyed.fail("inquiry_var", "and inquiry_value go together");
-  if (!settings.inquiry_var.empty() && !platform.uwsgi) keyed.fail("inquiry_var", "is set, and uwsgi is off");
+    keyed.fail("inquiry_var", "and inquiry_value must be set together");
+  if (!settings.inquiry_var.empty() && !configuration.uwsgi)
+    keyed.fail("inquiry_var", "is set, but section uwsgi is missing");
   settings.inquiry_tries = keyed.small_count("inquiry_tries", 1, 100);
   settings.inquiry_pause = keyed.duration("inquiry_pause", 1ms, 60s);
 }
@@ -68,21 +70,21 @@
 
 void read_keyed(const parsed_file& file, config& settings, std::vector<std::chrono::nanoseconds> windows) {
   if (!file.has("keyed")) {
-    if (any_keyed(windows)) file.fail("keyed", "is missing, and a class has keyed = yes");
+    if (any_keyed(windows)) file.fail("keyed", "is missing, but a class has keyed = yes");
     return;
   }
-  const section keyed = file.only("keyed");
-  keyed_config read;
-  read.windows = std::move(windows);
-  read.folder = keyed.required_text("folder");
-  read_key_sources(keyed, settings, read);
-  read_folder_bounds(keyed, read);
-  read.finish_within = keyed.duration("finish_within", 0s, one_hour);
-  read.retry_disk = keyed.duration("retry_disk", 10ms, one_hour);
-  read_inquiries(keyed, settings, read);
-  read.scrub = keyed.duration("scrub", 0s, longest_background_period);
-  if (!any_keyed(read.windows)) keyed.fail(nullptr, "is on, and no class has keyed = yes");
-  turn_on_keys(settings, std::move(read));
+  const section keyed = file.get_section("keyed");
+  keyed_config keyed_settings;
+  keyed_settings.windows = std::move(windows);
+  keyed_settings.folder = keyed.required_text("folder");
+  read_key_sources(keyed, settings, keyed_settings);
+  read_folder_bounds(keyed, keyed_settings);
+  keyed_settings.finish_within = keyed.duration("finish_within", 0s, one_hour);
+  keyed_settings.retry_disk = keyed.duration("retry_disk", 10ms, one_hour);
+  read_inquiries(keyed, settings, keyed_settings);
+  keyed_settings.scrub = keyed.duration("scrub", 0s, longest_background_period);
+  if (!any_keyed(keyed_settings.windows)) keyed.fail(nullptr, "is set, but no class has keyed = yes");
+  enable_durable_idempotency(settings, std::move(keyed_settings));
 }
 
 }  // namespace marblewharf::sections
--- a/src/config/sections/keyed.hpp
+++ b/src/config/sections/keyed.hpp
@@ -1,4 +1,4 @@
-// The section `keyed`: idempotency that outlives the process, in a folder on disk.
+// The section `keyed`: durable idempotency, with results in a folder on disk.
 #pragma once
 
 #include <chrono>
@@ -11,8 +11,9 @@
 
 schema keyed_schema();
 
-// Turns durable idempotency on in `settings` where the file has the section. `windows`: of idempotency, by
-// class; 0: not keyed. The section and keyed classes go together.
+// Enables durable idempotency in `settings` if the file has the section. `windows`: idempotency windows by
+// class; 0: the class is not keyed. Throws operator_file_error also if there is a section without keyed
+// classes, or keyed classes without a section.
 void read_keyed(const parsed_file& file, config& settings, std::vector<std::chrono::nanoseconds> windows);
 
 }  // namespace marblewharf::sections
--- a/src/config/sections/limits.hpp
+++ b/src/config/sections/limits.hpp
@@ -1,11 +1,11 @@
-// Bounds that several sections have in common.
+// Bounds used by several sections.
 #pragma once
 
 #include <chrono>
 
 namespace marblewharf::sections {
 
-// Of times between two rounds of background work.
+// Maximum interval between two runs of a background job.
 constexpr std::chrono::nanoseconds longest_background_period = std::chrono::hours(24 * 366);
 constexpr std::chrono::nanoseconds one_hour = std::chrono::hours(1);
 
--- a/src/config/sections/parts.cpp
+++ b/src/config/sections/parts.cpp
@@ -17,32 +17,32 @@
 namespace marblewharf::sections {
 namespace {
 
-// Titles of the parts of a plan, for messages about it.
+// Titles of the parts of a plan, for error messages.
 using plan_titles = std::vector<std::string>;
 
-// A fallback is "dependency NAME", "stale AGE" or "fixed TEXT".
+// Parses a fallback: "dependency NAME", "stale AGE" or "fixed TEXT".
 upstream::fallback parse_fallback(const section& part, const std::string& text,
                                   const dependencies_config& dependencies) {
   using kind = upstream::fallback::kind;
-  const std::size_t space = text.find(' ');
-  const std::string word = text.substr(0, space);
-  const std::string argument = space == std::string::npos ? "" : text.substr(space + 1);
+  const std::size_t separator = text.find(' ');
+  const std::string word = text.substr(0, separator);
+  const std::string argument = separator == std::string::npos ? "" : text.substr(separator + 1);
   if (word == "dependency")
     return {kind::dependency, index_of_dependency(part, "fallback", argument, dependencies), {}, {}};
   if (word == "fixed") return {kind::fixed, 0, {}, argument};
   const std::optional<std::chrono::nanoseconds> age = parse_time(argument);
   if (word != "stale" || !age)
-    part.fail("fallback", "is none of 'dependency NAME', 'stale AGE', 'fixed TEXT'", text);
+    part.fail("fallback", "is not one of 'dependency NAME', 'stale AGE', 'fixed TEXT'", text);
   return {kind::stale, 0, *age, {}};
 }
 
-// The class whose answers the part belongs to.
+// Reads the class to whose answers the part belongs.
 const admission_policy::class_settings& read_class(const section& part,
-                                                   const admission_policy::settings& known) {
+                                                   const admission_policy::settings& policy_settings) {
   part.required_text("class");
-  const auto& request_class = known.classes[index_of_value(part, "class", known.classes)];
+  const auto& request_class = policy_settings.classes[index_of_value(part, "class", policy_settings.classes)];
   if (request_class.effect != admission_policy::request_effect::safe)
-    part.fail("class", "has an effect: only reads are gathered", request_class.name);
+    part.fail("class", "names a class with effects, but only reads can be fan-outs", request_class.name);
   return request_class;
 }
 
@@ -66,15 +66,16 @@
           {}};
 }
 
-// Throws with the line of the part that a bad plan names, else what check_plans() throws.
-void check(const parsed_file& file, const dependencies_config& dependencies,
-           const std::vector<plan_titles>& titles) {
+// Checks the plans. Throws operator_file_error with the line of the part at fault if the error names a part,
+// and rethrows the error of check_plans() otherwise.
+void check_parts(const parsed_file& file, const dependencies_config& dependencies,
+                 const std::vector<plan_titles>& titles) {
   try {
     upstream::check_plans(dependencies.plans, dependencies.rules);
   } catch (const upstream::plan_error& error) {
-    const std::string at_fault = error.part ? titles[error.plan][*error.part] : "";
-    file.each("part", [&](const section& part, const std::string& title) {
-      if (title == at_fault) part.fail("from", error.what());
+    const std::string faulty_part = error.part ? titles[error.plan][*error.part] : "";
+    file.for_each("part", [&](const section& part, const std::string& title) {
+      if (title == faulty_part) part.fail("from", error.what());
     });
     throw;
   }
@@ -89,12 +90,12 @@
   return {.name = "part", .options = options, .titled = true};
 }
 
-void read_parts(const parsed_file& file, const admission_policy::settings& known,
+void read_parts(const parsed_file& file, const admission_policy::settings& policy_settings,
                 dependencies_config& dependencies) {
   std::vector<upstream::request_plan>& plans = dependencies.plans;
   std::vector<plan_titles> titles;  // by plan
-  file.each("part", [&](const section& part, const std::string& title) {
-    const admission_policy::class_settings& request_class = read_class(part, known);
+  file.for_each("part", [&](const section& part, const std::string& title) {
+    const admission_policy::class_settings& request_class = read_class(part, policy_settings);
     auto plan = std::find_if(plans.begin(), plans.end(), [&](const upstream::request_plan& candidate) {
       return candidate.request_class == request_class.name;
     });
@@ -106,7 +107,7 @@
     plan->parts.push_back(read_part(part, title, dependencies));
     titles[static_cast<std::size_t>(plan - plans.begin())].push_back(title);
   });
-  check(file, dependencies, titles);
+  check_parts(file, dependencies, titles);
 }
 
 }  // namespace marblewharf::sections
--- a/src/config/sections/parts.hpp
+++ b/src/config/sections/parts.hpp
@@ -1,4 +1,4 @@
-// The section `part`: a sub-response of a fan-out, and what replaces it where it does not come.
+// The section `part`: a sub-response of a fan-out and its fallbacks.
 #pragma once
 
 #include "admission_policy/policy.hpp"
@@ -9,9 +9,9 @@
 
 schema part_schema();
 
-// Adds the plans of all classes that parts name. `dependencies` has all upstreams already. Throws as
-// read_dependencies().
-void read_parts(const parsed_file& file, const admission_policy::settings& known,
+// Adds a plan for each class that a part names. Must be called after all upstreams were added to
+// `dependencies`. Throws the same errors as read_dependencies().
+void read_parts(const parsed_file& file, const admission_policy::settings& policy_settings,
                 dependencies_config& dependencies);
 
 }  // namespace marblewharf::sections
--- a/src/config/sections/references.hpp
+++ b/src/config/sections/references.hpp
@@ -1,4 +1,4 @@
-// Names in the operator's file that refer to things configured elsewhere.
+// Resolves names in the operator's file that refer to classes, tenants and dependencies.
 #pragma once
 
 #include <algorithm>
@@ -10,36 +10,43 @@
 
 namespace marblewharf::sections {
 
-// The index of `name` among things with a name; `known.size()`: none has it.
+// The index of the element called `name`, or `candidates.size()` if there is none.
 template <typename Named>
-std::size_t index_of_name(const std::vector<Named>& known, const std::string& name) {
-  const auto found = std::find_if(known.begin(), known.end(),
+std::size_t index_of_name(const std::vector<Named>& candidates, const std::string& name) {
+  const auto found = std::find_if(candidates.begin(), candidates.end(),
                                   [&](const Named& candidate) { return candidate.name == name; });
-  return static_cast<std::size_t>(found - known.begin());
+  return static_cast<std::size_t>(found - candidates.begin());
 }
 
-// The index of the class or tenant that a section is titled with. Throws operator_file_error.
+// The index of the class or tenant that is the title of a section. Throws operator_file_error if it is
+// unknown.
 template <typename Named>
-std::size_t index_of_title(const section& titled, const std::vector<Named>& known, const std::string& title) {
-  const std::size_t index = index_of_name(known, title);
-  if (index == known.size()) titled.fail(nullptr, "names nothing in the settings");
+std::size_t index_of_title(const section& titled_section, const std::vector<Named>& candidates,
+                           const std::string& title) {
+  const std::size_t index = index_of_name(candidates, title);
+  if (index == candidates.size()) titled_section.fail(nullptr, "is not defined in the platform's settings");
   return index;
 }
 
-// The index of the class or tenant that a key's value names. Throws operator_file_error.
+// The index of the class or tenant that the value of a key names. Throws operator_file_error if it is
+// unknown.
 template <typename Named>
-std::size_t index_of_value(const section& from, const char* key, const std::vector<Named>& known) {
-  const std::string name = from.text(key);
-  const std::size_t index = index_of_name(known, name);
-  if (index == known.size()) from.fail(key, "names nothing in the settings", name);
+std::size_t index_of_value(const section& referring_section, const char* key,
+                           const std::vector<Named>& candidates) {
+  const std::string name = referring_section.text(key);
+  const std::size_t index = index_of_name(candidates, name);
+  if (index == candidates.size())
+    referring_section.fail(key, "is not defined in the platform's settings", name);
   return index;
 }
 
-// The index of the dependency called `name`, which stands under `key`. Throws operator_file_error.
-inline std::size_t index_of_dependency(const section& from, const char* key, const std::string& name,
-                                       const dependencies_config& dependencies) {
+// The index of the dependency called `name`, which is a value of `key`. Throws operator_file_error if it is
+// unknown.
+inline std::size_t index_of_dependency(const section& referring_section, const char* key,
+                                       const std::string& name, const dependencies_config& dependencies) {
   const std::size_t index = index_of_name(dependencies.endpoints, name);
-  if (index == dependencies.endpoints.size()) from.fail(key, "names no dependency", name);
+  if (index == dependencies.endpoints.size())
+    referring_section.fail(key, "names an unknown dependency", name);
   return index;
 }
 
--- a/src/config/sections/section.cpp
+++ b/src/config/sections/section.cpp
@@ -13,7 +13,7 @@
 namespace marblewharf::sections {
 namespace {
 
-constexpr const char* out_of_bounds = "is out of bounds";
+constexpr const char* out_of_bounds = "is outside the allowed range";
 
 bool is_any_of(const std::string& value, std::initializer_list<const char*> words) {
   return std::find(words.begin(), words.end(), value) != words.end();
@@ -46,33 +46,33 @@
   return values;
 }
 
-std::chrono::nanoseconds section::duration(const char* key, std::chrono::nanoseconds least,
-                                           std::chrono::nanoseconds most) const {
+std::chrono::nanoseconds section::duration(const char* key, std::chrono::nanoseconds min,
+                                           std::chrono::nanoseconds max) const {
   const auto value = parse_time(text(key));
-  if (!value) fail(key, "is no time such as 90s or 24h", text(key));
-  if (*value < least || *value > most) fail(key, out_of_bounds, text(key));
+  if (!value) fail(key, "is not a duration such as 90s or 24h", text(key));
+  if (*value < min || *value > max) fail(key, out_of_bounds, text(key));
   return *value;
 }
 
-std::uint64_t section::bytes(const char* key, std::uint64_t least, std::uint64_t most) const {
-  return within(key, parse_bytes(text(key)), "is no size such as 64MiB", least, most);
+std::uint64_t section::bytes(const char* key, std::uint64_t min, std::uint64_t max) const {
+  return checked_range(key, parse_bytes(text(key)), "is not a size such as 64MiB", min, max);
 }
 
-std::uint64_t section::count(const char* key, std::uint64_t least, std::uint64_t most) const {
-  return within(key, parse_count(text(key)), "is no whole number", least, most);
+std::uint64_t section::count(const char* key, std::uint64_t min, std::uint64_t max) const {
+  return checked_range(key, parse_count(text(key)), "is not a whole number", min, max);
 }
 
-unsigned section::small_count(const char* key, unsigned least, unsigned most) const {
-  return static_cast<unsigned>(count(key, least, most));
+unsigned section::small_count(const char* key, unsigned min, unsigned max) const {
+  return static_cast<unsigned>(count(key, min, max));
 }
 
-double section::number(const char* key, double least, double most) const {
+double section::number(const char* key, double min, double max) const {
   const std::string value = text(key);
   double parsed = 0;
   const char* end = value.data() + value.size();
   const char* parsed_to = std::from_chars(value.data(), end, parsed, std::chars_format::fixed).ptr;
-  if (parsed_to != end || value.empty()) fail(key, "is no number", value);
-  if (!(parsed >= least && parsed <= most)) fail(key, out_of_bounds, value);
+  if (parsed_to != end || value.empty()) fail(key, "is not a number", value);
+  if (!(parsed >= min && parsed <= max)) fail(key, out_of_bounds, value);
   return parsed;
 }
 
@@ -85,7 +85,7 @@
 
 endpoint section::address(const char* key, const std::string& value) const {
   const std::optional<endpoint> parsed = parse_endpoint(value);
-  if (!parsed) fail(key, "is no host:port", value);
+  if (!parsed) fail(key, "is not an address host:port", value);
   return *parsed;
 }
 
@@ -97,21 +97,21 @@
 
 void section::fail(const char* key, const std::string& problem, const std::string& found) const {
   const cfg_opt_t* option = key != nullptr ? cfg_getopt(parsed_, key) : nullptr;
-  const auto known = lines_.find(option);
-  const bool line_known = known != lines_.end();
+  const auto line = lines_.find(option);
+  const bool line_known = line != lines_.end();
   throw operator_file_error({.file = path_,
-                             .line = line_known ? known->second : parsed_->line,
+                             .line = line_known ? line->second : parsed_->line,
                              .key = key != nullptr ? name_ + "." + key : name_,
                              .problem = problem,
                              .found = found,
                              .at_section_end = !line_known});
 }
 
-std::uint64_t section::within(const char* key, std::optional<std::uint64_t> value, const char* problem,
-                              std::uint64_t least, std::uint64_t most) const {
+std::uint64_t section::checked_range(const char* key, std::optional<std::uint64_t> value, const char* problem,
+                                     std::uint64_t min, std::uint64_t max) const {
   if (!value) fail(key, problem, text(key));
-  if (*value < least || *value > most)
-    fail(key, "is not from " + std::to_string(least) + " to " + std::to_string(most), text(key));
+  if (*value < min || *value > max)
+    fail(key, "is outside the range " + std::to_string(min) + " to " + std::to_string(max), text(key));
   return *value;
 }
 
--- a/src/config/sections/uwsgi.cpp
+++ b/src/config/sections/uwsgi.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr std::uint64_t bytes_per_kb = 1024;
-constexpr std::uint64_t least_reserved_bytes = 100;
-constexpr std::uint64_t most_reserved_bytes = 2000 * bytes_per_kb;
+constexpr std::uint64_t min_reserved_bytes = 100;
+constexpr std::uint64_t max_reserved_bytes = 2000 * bytes_per_kb;
 
 }  // namespace
 
@@ -26,15 +26,15 @@
 }
 
 uwsgi_config read_uwsgi(const parsed_file& file, uwsgi_config mappings) {
-  const section uwsgi = file.only("uwsgi");
+  const section uwsgi = file.get_section("uwsgi");
   uwsgi_config settings = std::move(mappings);
   settings.listen = uwsgi.address("listen", uwsgi.required_text("listen"));
   settings.servers = uwsgi.addresses("servers");
-  if (settings.servers.empty()) uwsgi.fail("servers", "names no server");
+  if (settings.servers.empty()) uwsgi.fail("servers", "lists no server");
   settings.request_class.var = uwsgi.required_text("class_var");
   settings.tenant.var = uwsgi.required_text("tenant_var");
   settings.cost.var = uwsgi.text("cost_var");
-  const std::uint64_t reserved_bytes = uwsgi.bytes("held", least_reserved_bytes, most_reserved_bytes);
+  const std::uint64_t reserved_bytes = uwsgi.bytes("held", min_reserved_bytes, max_reserved_bytes);
   settings.reserved_kb = static_cast<double>(reserved_bytes) / static_cast<double>(bytes_per_kb);
   return settings;
 }
--- a/src/config/sections/uwsgi.hpp
+++ b/src/config/sections/uwsgi.hpp
@@ -1,4 +1,4 @@
-// The section `uwsgi`: the second front and the servers behind it.
+// The section `uwsgi`: the front for uwsgi callers and the uwsgi servers that run their requests.
 #pragma once
 
 #include "config/config.hpp"
@@ -8,7 +8,8 @@
 
 schema uwsgi_schema();
 
-// Completes `mappings`, which has the values of classes and tenants. The file has the section.
+// Adds the section's settings to `mappings`, which has the var values of classes and tenants. The file must
+// have the section.
 uwsgi_config read_uwsgi(const parsed_file& file, uwsgi_config mappings);
 
 }  // namespace marblewharf::sections
--- a/src/config/sections/writes.cpp
+++ b/src/config/sections/writes.cpp
@@ -17,54 +17,59 @@
 
 using namespace std::chrono_literals;
 
-// A batch of records takes at most this part of a segment ...
+// The size of a batch of records is at most the size of a segment divided by this.
 constexpr std::uint64_t batches_per_segment = 4;
-// ... and so much of it besides results and keys.
+// Size of a batch in addition to its results and keys.
 constexpr std::uint64_t batch_overhead_bytes = 8 << 10;
 
-std::vector<std::size_t> read_participants(const section& titled, const dependencies_config& dependencies) {
+std::vector<std::size_t> read_participants(const section& class_section,
+                                           const dependencies_config& dependencies) {
   std::vector<std::size_t> participants;
   unsigned one_phase = 0;
-  for (const std::string& name : titled.texts("participants")) {
-    const std::size_t index = index_of_dependency(titled, "participants", name, dependencies);
+  for (const std::string& name : class_section.texts("participants")) {
+    const std::size_t index = index_of_dependency(class_section, "participants", name, dependencies);
     if (std::find(participants.begin(), participants.end(), index) != participants.end())
-      titled.fail("participants", "name one twice", name);
+      class_section.fail("participants", "lists a dependency twice", name);
     participants.push_back(index);
     if (dependencies.endpoints[index].one_phase) ++one_phase;
   }
-  if (one_phase > 1) titled.fail("participants", "have more than one that cannot prepare");
+  if (one_phase > 1)
+    class_section.fail("participants", "lists more than one dependency with one_phase = yes");
   return participants;
 }
 
-write_plan read_plan(const section& titled, const std::string& title, const config& platform) {
+write_plan read_plan(const section& class_section, const std::string& title, const config& configuration) {
   write_plan plan;
-  plan.request_class = index_of_title(titled, platform.settings.classes, title);
-  if (!platform.keyed || platform.keyed->windows[plan.request_class].count() == 0)
-    titled.fail("participants", "go with keyed = yes: a write over several is known by its key");
-  if (!platform.dependencies) titled.fail("participants", "name no dependency");
-  plan.participants = read_participants(titled, *platform.dependencies);
-  plan.reserve = read_reserve(titled);
-  plan.window = platform.keyed->windows[plan.request_class];
+  plan.request_class = index_of_title(class_section, configuration.settings.classes, title);
+  if (!configuration.keyed || configuration.keyed->windows[plan.request_class].count() == 0)
+    class_section.fail("participants", "needs keyed = yes, because a transaction is identified by its key");
+  if (!configuration.dependencies)
+    class_section.fail("participants", "is set, but there is no section dependency");
+  plan.participants = read_participants(class_section, *configuration.dependencies);
+  plan.reserve = read_reserve(class_section);
+  plan.window = configuration.keyed->windows[plan.request_class];
   return plan;
 }
 
-std::vector<write_plan> read_plans(const parsed_file& file, const config& platform) {
+std::vector<write_plan> read_plans(const parsed_file& file, const config& configuration) {
   std::vector<write_plan> plans;
-  file.each("class", [&](const section& titled, const std::string& title) {
-    if (titled.has("participants")) plans.push_back(read_plan(titled, title, platform));
+  file.for_each("class", [&](const section& class_section, const std::string& title) {
+    if (class_section.has("participants")) plans.push_back(read_plan(class_section, title, configuration));
   });
   return plans;
 }
 
-// Guards against an outcome that no batch can hold: its transaction could never end.
-void check_segment(const section& writes, const writes_config& settings, const config& platform) {
+// Rejects a segment size for which the outcome of a transaction might not fit in a batch; the transaction
+// could then never end.
+void check_segment(const section& writes, const writes_config& settings, const config& configuration) {
   for (const write_plan& plan : settings.plans) {
     const std::uint64_t results =
-        plan.participants.size() * (platform.bounds.result + platform.bounds.response_head);
-    const std::uint64_t largest_batch = std::max<std::uint64_t>(results, platform.bounds.write_buffer) +
-                                        platform.keyed->longest_key + batch_overhead_bytes;
+        plan.participants.size() * (configuration.bounds.result + configuration.bounds.response_head);
+    const std::uint64_t largest_batch = std::max<std::uint64_t>(results, configuration.bounds.write_buffer) +
+                                        configuration.keyed->longest_key + batch_overhead_bytes;
     if (largest_batch > settings.segment / batches_per_segment)
-      writes.fail("segment", "is too small for the results of so many participants", writes.text("segment"));
+      writes.fail("segment", "is too small for the results of all participants of a class",
+                  writes.text("segment"));
   }
 }
 
@@ -81,23 +86,24 @@
 }
 
 void read_writes(const parsed_file& file, config& settings) {
-  writes_config read;
-  read.plans = read_plans(file, settings);
-  if (read.plans.empty()) return;
-  if (!file.has("writes")) file.fail("writes", "is missing, and a class has participants");
-  const section writes = file.only("writes");
-  read.folder = writes.required_text("folder");
-  read.step_var = writes.required_text("step_var");
-  read.id_var = writes.required_text("id_var");
-  read.segment = writes.bytes("segment", std::uint64_t{1} << 20, std::uint64_t{1} << 30);
-  check_segment(writes, read, settings);
-  // Compaction needs room to turn.
-  read.space = writes.bytes("space", store::least_segments * read.segment, std::uint64_t{1} << 50);
-  read.retry = writes.duration("retry", 10ms, 60s);
-  read.longest_retry = writes.duration("longest_retry", read.retry, one_hour);
-  read.outcomes = writes.count("outcomes", 1, 100'000'000);
-  read.scrub = writes.duration("scrub", 0s, longest_background_period);
-  settings.writes = std::move(read);
+  writes_config writes_settings;
+  writes_settings.plans = read_plans(file, settings);
+  if (writes_settings.plans.empty()) return;
+  if (!file.has("writes")) file.fail("writes", "is missing, but a class has participants");
+  const section writes = file.get_section("writes");
+  writes_settings.folder = writes.required_text("folder");
+  writes_settings.step_var = writes.required_text("step_var");
+  writes_settings.id_var = writes.required_text("id_var");
+  writes_settings.segment = writes.bytes("segment", std::uint64_t{1} << 20, std::uint64_t{1} << 30);
+  check_segment(writes, writes_settings, settings);
+  // Compaction needs free segments to copy live records to.
+  writes_settings.space =
+      writes.bytes("space", store::least_segments * writes_settings.segment, std::uint64_t{1} << 50);
+  writes_settings.retry = writes.duration("retry", 10ms, 60s);
+  writes_settings.longest_retry = writes.duration("longest_retry", writes_settings.retry, one_hour);
+  writes_settings.outcomes = writes.count("outcomes", 1, 100'000'000);
+  writes_settings.scrub = writes.duration("scrub", 0s, longest_background_period);
+  settings.writes = std::move(writes_settings);
 }
 
 }  // namespace marblewharf::sections
--- a/src/config/sections/writes.hpp
+++ b/src/config/sections/writes.hpp
@@ -1,4 +1,4 @@
-// The section `writes` and the participants that classes name: transactions over several upstreams.
+// The section `writes` and the key `participants` of classes: transactions over several upstreams.
 #pragma once
 
 #include "config/config.hpp"
@@ -8,7 +8,8 @@
 
 schema writes_schema();
 
-// Sets `settings.writes` where a class has participants. `settings` has the dependencies and `keyed` already.
+// Sets `settings.writes` if a class has participants. Must be called after the dependencies and `keyed` were
+// added to `settings`.
 void read_writes(const parsed_file& file, config& settings);
 
 }  // namespace marblewharf::sections
--- a/tests/net/budgets_test.cpp
+++ b/tests/net/budgets_test.cpp
@@ -284,18 +284,19 @@
     return std::to_string(ended) + " " + n.log();
   };
   CHECK(status("budget a {\n unit = runs\n whole = 4\n}\n")
-            .find(":4: budget \"a\" is set, and fleet is missing") != std::string::npos);
-  CHECK(status("budgets {\n lease = 2s\n}\n").find(":3: budgets is set, and no budget is named") !=
+            .find(":4: budget \"a\" is set, but section fleet is missing") != std::string::npos);
+  CHECK(status("budgets {\n lease = 2s\n}\n").find(":3: budgets is set, but there is no section budget") !=
         std::string::npos);
   const std::string fleet =
       "fleet {\n name = k\n listen = \"127.0.0.1:7946\"\n zone = z\n seeds = {\"127.0.0.1:7946\"}\n}\n"
       "zone z {\n region = r\n members = {\"127.0.0.1:7946\", \"127.0.0.1:7947\"}\n}\n";
   CHECK(status(fleet + "budget a {\n unit = runs\n whole = 4\n safe = 3\n}\n")
-            .find(":14: budget \"a\".safe of 2 members is more than the whole: \"3\"") != std::string::npos);
+            .find(":14: budget \"a\".safe times 2 members exceeds whole: \"3\"") != std::string::npos);
   CHECK(status(fleet + "budget a {\n unit = requests\n whole = 4\n tenant = nobody\n}\n")
-            .find(":14: budget \"a\".tenant names nothing in the settings: \"nobody\"") != std::string::npos);
+            .find(":14: budget \"a\".tenant is not defined in the platform's settings: \"nobody\"") !=
+        std::string::npos);
   CHECK(status(fleet + "budget a {\n unit = runs\n whole = 4\n tenant = isar-invest\n}\n")
-            .find(":14: budget \"a\".tenant goes with unit = requests") != std::string::npos);
+            .find(":14: budget \"a\".tenant is only allowed with unit = requests") != std::string::npos);
 }
 
 }  // namespace
--- a/tests/net/dependencies_test.cpp
+++ b/tests/net/dependencies_test.cpp
@@ -219,11 +219,11 @@
             "operators.conf:17: part \"kurse\".from needs 4000ms one after the other"));
   CHECK(has(fault(head + " from = kurse\n fallback = {\"dependency kurse\"}\n}\n"), "which it has tried"));
   CHECK(has(fault(head + " from = none\n}\n"),
-            "operators.conf:17: part \"kurse\".from names no dependency: \"none\""));
+            "operators.conf:17: part \"kurse\".from names an unknown dependency: \"none\""));
   CHECK(has(fault(head + " from = kurse\n fallback = {\"stale soon\"}\n}\n"),
-            "operators.conf:18: part \"kurse\".fallback is none of"));
+            "operators.conf:18: part \"kurse\".fallback is not one of"));
   CHECK(has(fault("part kurse {\n class = kurs-meldung\n from = kurse\n}\n"),
-            "has an effect: only reads are gathered"));
+            "names a class with effects, but only reads can be fan-outs"));
 }
 
 }  // namespace
--- a/tests/net/node_test.cpp
+++ b/tests/net/node_test.cpp
@@ -620,20 +620,21 @@
       {"\"sockets\":1024", "\"sockets\":3", "limits.sockets"},
       {"\"memory_mb\":192", "\"memory_mb\":1", "limits.memory_mb"},
       {"\"listen\":\"", "\"listen\":\"nowhere", "listen"},
-      {"\"Classes\":[", "\"Classes\":[],\"Others\":[", "settings.Classes has no class"},
+      {"\"Classes\":[", "\"Classes\":[],\"Others\":[", "settings.Classes contains no class"},
       {"\"Effect\":\"unsafe\"", "\"Effect\":\"sometimes\"", "settings.Classes.1.Effect"},
-      {"\"Objective\":20000000000", "\"Objective\":60000000001", "settings.Classes.0.Deadline is under"},
+      {"\"Objective\":20000000000", "\"Objective\":60000000001",
+       "settings.Classes.0.Deadline is shorter than"},
       {"\"Deadline\":60000000000,", "", "settings.Classes.0.Deadline is missing"},
       {"\"Deadline\":60000000000", "\"Deadline\":-1", "settings.Classes.0.Deadline"},
-      {"\"limits\"", "\"bounds\"", "limits is no object"},
+      {"\"limits\"", "\"bounds\"", "limits is not an object"},
       {"\"sockets\":1024", "\"sockets\":-1024", "limits.sockets"},
       {"\"cores\":1.0,\"memory_mb\":192", "\"cores\":1.0", "limits.memory_mb is missing"},
       {",\"sockets\":1024", "", "limits.sockets is missing"},
       {"\"cores\":1.0", "\"cores\":0", "limits.cores"},
       {"\"Name\":\"kurs-abfrage\"", "\"Name\":\"kurs\\nabfrage\"",
-       "settings.Classes.0.Name has a control sign"},
-      {"\"Name\":\"kurs-abfrage\"", "\"Name\":\"kurs-meldung\"", "settings.Classes.1.Name is there twice"},
-      {"\"Name\":\"lech-vermoegen\"", "\"Name\":\"isar-invest\"", "settings.Tenants.1.Name is there twice"},
+       "settings.Classes.0.Name contains a control character"},
+      {"\"Name\":\"kurs-abfrage\"", "\"Name\":\"kurs-meldung\"", "settings.Classes.1.Name is used twice"},
+      {"\"Name\":\"lech-vermoegen\"", "\"Name\":\"isar-invest\"", "settings.Tenants.1.Name is used twice"},
       {"\"Name\":\"isar-invest\"", "\"Name\":\"\"", "settings.Tenants.0.Name is missing"},
       {"\"QuotaPerS\":100.0", "\"QuotaPerS\":-1.0", "settings.Tenants.0.QuotaPerS"},
       {"\"Credit\":1", "\"Credit\":-1", "settings.Classes.0.Credit"},
@@ -641,8 +642,8 @@
       {"\"RunFactor\":8.0", "\"RunFactor\":-8.0", "settings.Extra.RunFactor"},
       {"\"Halt\":\"pause\"", "\"Halt\":\"maybe\"", "settings.Extra.Halt"},
       {"\"DrainGrace\":2500000000", "\"DrainGrace\":-1", "settings.Safety.DrainGrace"},
-      {"\"name\":\"n0\"", "\"name\":\"n/0\"", "name has a space, a slash"},
-      {"{", "[", "no JSON"}};
+      {"\"name\":\"n0\"", "\"name\":\"n/0\"", "name contains a space, a slash"},
+      {"{", "[", "not valid JSON"}};
   for (const auto& w : wrong) {
     runtime r;
     node_options o;
--- a/tests/net/ops_test.cpp
+++ b/tests/net/ops_test.cpp
@@ -333,7 +333,7 @@
                                .listen_port = first.n.port,
                                .tmpdir = folder.path});
   CHECK(second.wait() != 0);
-  CHECK(second.log().find("marblewharf: stop_ms is no number") != std::string::npos);
+  CHECK(second.log().find("marblewharf: stop_ms is not a number") != std::string::npos);
   CHECK(first_line(call(first.console_port, "ready\n")) == "200 yes");
   connection c = connection::to(first.n.port);
   c.send(execute(1, usual(1), "a"));
--- a/tests/net/settings_test.cpp
+++ b/tests/net/settings_test.cpp
@@ -1,4 +1,4 @@
-// The operator's file: what it means, and that each fault names file, line and key.
+// Reading the operator's file: the resulting configuration, and error texts that name file, line and key.
 #include <unistd.h>
 
 #include <fstream>
@@ -15,7 +15,7 @@
 
 namespace {
 
-std::string work_folder() {
+std::string test_folder() {
   static const std::string folder = [] {
     char name[] = "/tmp/marblewharf-settings-XXXXXX";
     CHECK(::mkdtemp(name) != nullptr);
@@ -34,7 +34,7 @@
 }
 
 config read(const std::string& text) {
-  const std::string path = work_folder() + "/node.conf";
+  const std::string path = test_folder() + "/node.conf";
   std::ofstream(path) << text;
   config c = platform();
   apply_operator_file(c, path);
@@ -45,7 +45,7 @@
   try {
     read(text);
   } catch (const bad_config& e) {
-    return std::string(e.what()).substr(work_folder().size());
+    return std::string(e.what()).substr(test_folder().size());
   }
   return "none";
 }
@@ -53,11 +53,11 @@
 const std::string keyed =
     "keyed {\n  folder = \"/tmp/x\"\n  thrift_field = key\n}\nclass kurs-meldung {\n  keyed = yes\n}\n";
 
-const std::string two_members =
+const std::string two_member_fleet =
     "fleet {\n  name = kurse\n  listen = \"127.0.0.1:7946\"\n  zone = z0\n  seeds = {\"127.0.0.1:7947\"}\n"
     "  hold_down = 3s\n}\nzone z0 {\n  region = r\n  members = {\"127.0.0.1:7946\", \"127.0.0.1:7947\"}\n}\n";
 
-void means_what_it_says() {
+void reads_all_sections() {
   const config c = read(
       "# comment\nuwsgi {\n  listen = \"127.0.0.1:3030\"\n  servers = {\"127.0.0.1:1\", \"127.0.0.1:2\"}\n"
       "  class_var = P\n  tenant_var = T\n  held = 8KiB\n}\nclass kurs-meldung {\n  uwsgi_values = {\"/a\", "
@@ -69,9 +69,9 @@
         c.uwsgi->tenant.values.at("i") == "isar-invest");
   CHECK(c.uwsgi->default_cost[1] == 1500 && c.uwsgi->reserved_kb == 8);
   CHECK(c.keyed && c.keyed->windows[0] == 0s && c.keyed->windows[1] == 90s && c.keyed->space == 64u << 20);
-  CHECK(!read("").uwsgi && !read("").keyed && !read("").fleet);  // no fleet named: membership is off
+  CHECK(!read("").uwsgi && !read("").keyed && !read("").fleet);  // no section: disabled
   const config f =
-      read(two_members +
+      read(two_member_fleet +
            "uwsgi {\n  listen = \"127.0.0.1:3030\"\n  servers = {\"127.0.0.1:1\"}\n  class_var = P\n"
            "  tenant_var = T\n}\ndependency kurse {\n  endpoints = {\"127.0.0.1:1\", \"127.0.0.1:2\"}\n"
            "  places = {\"127.0.0.1:7947\", z0}\n  most_each = 7\n}\n");
@@ -81,43 +81,45 @@
   CHECK(f.fleet->zones.size() == 1 && f.fleet->zones[0].members.size() == 2);
 }
 
-void names_file_line_and_key() {
+void errors_name_file_line_and_key() {
   const std::map<std::string, std::string> faults = {
-      {"uwsgi {\n\n  listen = nowhere\n}\n", "/node.conf:3: uwsgi.listen is no host:port: \"nowhere\""},
+      {"uwsgi {\n\n  listen = nowhere\n}\n",
+       "/node.conf:3: uwsgi.listen is not an address host:port: \"nowhere\""},
       {"uwsgi {\n  listne = x\n}\n", "/node.conf:2: no such option 'listne'"},
       {"class kurs-foo {\n}\n",
-       "/node.conf:2: class \"kurs-foo\" names nothing in the settings (the section ends on this line)"},
+       "/node.conf:2: class \"kurs-foo\" is not defined in the platform's settings (the section ends on this "
+       "line)"},
       {"class kurs-meldung {\n  keyed = maybe\n}\n",
        "/node.conf:2: class \"kurs-meldung\".keyed is neither yes nor no: \"maybe\""},
       {"class kurs-meldung {\n  keyed = yes\n}\n",
-       "/node.conf:0: keyed is missing, and a class has keyed = yes"},
+       "/node.conf:0: keyed is missing, but a class has keyed = yes"},
       {keyed + "class kurs-abfrage {\n  keyed = yes\n  window = 3s\n}\n",
-       "/node.conf:10: class \"kurs-abfrage\".window is out of bounds: \"3s\""},
+       "/node.conf:10: class \"kurs-abfrage\".window is outside the allowed range: \"3s\""},
       {"keyed {\n  folder = a\n  thrift_field = k\n  space = 12parsecs\n}\n",
-       "/node.conf:4: keyed.space is no size such as 64MiB: \"12parsecs\""},
+       "/node.conf:4: keyed.space is not a size such as 64MiB: \"12parsecs\""},
       {"keyed {\n  folder = a\n}\n",
        "/node.conf:3: keyed.uwsgi_var and thrift_field are both missing (the section ends on this line)"},
       {"fleet {\n  name = kurse\n  listen = \"127.0.0.1:7946\"\n  zone = z0\n}\n",
-       "/node.conf:5: fleet.seeds names no seed (the section ends on this line)"},
-      {"zone z0 {\n  region = r\n}\n", "/node.conf:0: zone is set, and fleet is missing"},
+       "/node.conf:5: fleet.seeds lists no seed (the section ends on this line)"},
+      {"zone z0 {\n  region = r\n}\n", "/node.conf:0: zone is set, but section fleet is missing"},
       {"fleet {\n  name = kurse\n  listen = \"127.0.0.1:7946\"\n  zone = z0\n  seeds = "
        "{\"127.0.0.1:7947\"}\n}\n"
        "zone z0 {\n  region = r\n  members = {\"127.0.0.1:7947\"}\n}\n",
-       "/node.conf:3: fleet.listen is no member of the zone named in zone: \"z0\""},
+       "/node.conf:3: fleet.listen is not a member of the zone that is set in zone: \"z0\""},
       {"dependency kurse {\n  endpoints = {\"127.0.0.1:1\"}\n  places = {z0}\n}\n",
-       "/node.conf:3: dependency \"kurse\".places is set, and fleet is missing"},
-      {two_members + "dependency kurse {\n  endpoints = {\"127.0.0.1:1\"}\n  places = {z0, z0}\n}\n",
-       "/node.conf:14: dependency \"kurse\".places are not as many as endpoints"},
-      {two_members + "dependency kurse {\n  endpoints = {\"127.0.0.1:1\"}\n  places = {z9}\n}\n",
-       "/node.conf:14: dependency \"kurse\".places names neither a zone nor a member of the fleet: \"z9\""},
+       "/node.conf:3: dependency \"kurse\".places is set, but section fleet is missing"},
+      {two_member_fleet + "dependency kurse {\n  endpoints = {\"127.0.0.1:1\"}\n  places = {z0, z0}\n}\n",
+       "/node.conf:14: dependency \"kurse\".places does not have as many entries as endpoints"},
+      {two_member_fleet + "dependency kurse {\n  endpoints = {\"127.0.0.1:1\"}\n  places = {z9}\n}\n",
+       "/node.conf:14: dependency \"kurse\".places lists neither a zone nor a member of the fleet: \"z9\""},
   };
   for (const auto& [text, message] : faults) {
     if (fault(text) != message) std::fprintf(stderr, "got: %s\n", fault(text).c_str());
     CHECK(fault(text) == message);
   }
   CHECK(fault(keyed) == "none");
-  // Writes: what an outcome may take fits into a batch, and the space is enough for cleaning to turn.
-  const auto writes_over = [](int participants, const std::string& sizes) {
+  // Section `writes`: the largest outcome must fit in a batch, and the space must be enough for compaction.
+  const auto writes_with_participants = [](int participants, const std::string& sizes) {
     std::string text =
                     "uwsgi {\n  listen = \"127.0.0.1:1\"\n  servers = {\"127.0.0.1:2\"}\n  class_var = C\n  "
                     "tenant_var = T\n}\n"
@@ -131,23 +133,23 @@
     return text + "class kurs-meldung {\n  keyed = yes\n  participants = {" + names +
            "}\n}\nwrites {\n  folder = \"/tmp/y\"\n  step_var = S\n  id_var = I\n" + sizes + "}\n";
   };
-  CHECK(fault(writes_over(2, "  segment = 1MiB\n  space = 12MiB\n")) == "none");
-  CHECK(fault(writes_over(2, "  segment = 1MiB\n  space = 11MiB\n"))
-            .find("writes.space is not from 12582912") != std::string::npos);
-  CHECK(fault(writes_over(40, "  segment = 1MiB\n")).find("writes.segment is too small for the results") !=
-        std::string::npos);
-  CHECK(fault(writes_over(40, "")) == "none");
+  CHECK(fault(writes_with_participants(2, "  segment = 1MiB\n  space = 12MiB\n")) == "none");
+  CHECK(fault(writes_with_participants(2, "  segment = 1MiB\n  space = 11MiB\n"))
+            .find("writes.space is outside the range 12582912") != std::string::npos);
+  CHECK(fault(writes_with_participants(40, "  segment = 1MiB\n"))
+            .find("writes.segment is too small for the results") != std::string::npos);
+  CHECK(fault(writes_with_participants(40, "")) == "none");
   try {
     config c = platform();
-    apply_operator_file(c, work_folder() + "/none.conf");
+    apply_operator_file(c, test_folder() + "/none.conf");
     CHECK(false);
   } catch (const bad_config& e) {
     CHECK(std::string(e.what()).find("none.conf: cannot be read") != std::string::npos);
   }
 }
 
-// The same faults as typed values: file, line, key, problem and what was found.
-void faults_are_typed() {
+// operator_file_error carries the same faults as typed fields: file, line, key, problem and invalid value.
+void errors_have_typed_fields() {
   const auto typed_fault = [](const std::string& text) {
     try {
       read(text);
@@ -157,34 +159,34 @@
     CHECK(false);
     return operator_file_fault{};
   };
-  const std::string file = work_folder() + "/node.conf";
+  const std::string file = test_folder() + "/node.conf";
   const operator_file_fault value = typed_fault("uwsgi {\n\n  listen = nowhere\n}\n");
   CHECK(value.file == file && value.line == 3 && value.key == "uwsgi.listen");
-  CHECK(value.problem == "is no host:port" && value.found == "nowhere" && !value.at_section_end);
+  CHECK(value.problem == "is not an address host:port" && value.found == "nowhere" && !value.at_section_end);
   const operator_file_fault absent = typed_fault("keyed {\n  folder = a\n}\n");
   CHECK(absent.line == 3 && absent.key == "keyed.uwsgi_var" && absent.found.empty() && absent.at_section_end);
   const operator_file_fault unknown = typed_fault("uwsgi {\n  listne = x\n}\n");
   CHECK(unknown.line == 2 && unknown.key.empty() && unknown.problem == "no such option 'listne'");
   const operator_file_fault missing = typed_fault("class kurs-meldung {\n  keyed = yes\n}\n");
   CHECK(missing.line == 0 && missing.key == "keyed");
-  CHECK(missing.problem == "is missing, and a class has keyed = yes");
+  CHECK(missing.problem == "is missing, but a class has keyed = yes");
   try {
     config c = platform();
-    apply_operator_file(c, work_folder() + "/none.conf");
+    apply_operator_file(c, test_folder() + "/none.conf");
     CHECK(false);
   } catch (const operator_file_error& error) {
-    CHECK(!error.fault().line && error.fault().file == work_folder() + "/none.conf");
+    CHECK(!error.fault().line && error.fault().file == test_folder() + "/none.conf");
   }
 }
 
-// The examples under deploy/ are files that a node starts with.
-void examples() {
+// The example files under deploy/ are valid.
+void accepts_example_files() {
   for (const char* name : {"marblewharf.conf", "marblewharf-keyed.conf", "marblewharf-dependencies.conf",
                            "marblewharf-fleet.conf"}) {
     config c = platform();
-    for (const char* more : {"kurs-liste", "kurs-auftrag"}) {
+    for (const char* extra_class : {"kurs-liste", "kurs-auftrag"}) {
       c.settings.classes.push_back(c.settings.classes[0]);
-      c.settings.classes.back().name = more;
+      c.settings.classes.back().name = extra_class;
       c.settings.classes.back().latency_objective = 2s;
     }
     apply_operator_file(c, std::string(DEPLOY) + "/" + name);
@@ -192,10 +194,10 @@
   }
 }
 
-void units() {
+void parses_units() {
   CHECK(parse_time("90s") == 90s && parse_time("1.5h") == 90min && parse_time("250us") == 250us);
-  for (const char* bad : {"", "s", "90", "-1s", "1e3s", "90 s", "1000000d", "inf s", "nans"})
-    CHECK(!parse_time(bad));
+  for (const char* invalid : {"", "s", "90", "-1s", "1e3s", "90 s", "1000000d", "inf s", "nans"})
+    CHECK(!parse_time(invalid));
   CHECK(parse_bytes("64MiB") == 64u << 20 && parse_bytes("512") == 512u && !parse_bytes("1MB"));
   CHECK(parse_count("7") == 7u && !parse_count("7.5") && !parse_count("") &&
         !parse_count("99999999999999999999"));
@@ -204,13 +206,13 @@
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {{"means", means_what_it_says},
-                                                   {"faults", names_file_line_and_key},
-                                                   {"typed_faults", faults_are_typed},
-                                                   {"units", units},
-                                                   {"examples", examples}};
+  const std::map<std::string, void (*)()> tests = {{"reads_sections", reads_all_sections},
+                                                   {"error_texts", errors_name_file_line_and_key},
+                                                   {"error_fields", errors_have_typed_fields},
+                                                   {"units", parses_units},
+                                                   {"examples", accepts_example_files}};
   tests.at(argv[1])();
-  ::unlink((work_folder() + "/node.conf").c_str());
-  ::rmdir(work_folder().c_str());
+  ::unlink((test_folder() + "/node.conf").c_str());
+  ::rmdir(test_folder().c_str());
   return 0;
 }
