--- a/src/middleware/exchange.cpp
+++ b/src/middleware/exchange.cpp
@@ -66,7 +66,7 @@
   set("WWW-Authenticate", "Basic realm=\"" + realm + "\"");
 }
 
-std::string captured_response::whole() {
+std::string captured_response::serialize() {
   const std::string body = body_.str();
   setChunkedTransferEncoding(false);
   setContentLength(static_cast<std::streamsize>(body.size()));
@@ -75,22 +75,22 @@
   return out.str() + body;
 }
 
-void replay(const std::string& whole, HTTPServerResponse& to) {
-  std::istringstream in(whole);
+void replay(const std::string& stored_bytes, HTTPServerResponse& response) {
+  std::istringstream in(stored_bytes);
   Poco::Net::HTTPResponse stored;
   stored.read(in);
-  const std::size_t head_size = whole.find(end_of_head);
-  if (head_size == std::string::npos) throw Poco::DataFormatException("a kept response without a head");
-  to.setStatus(stored.getStatus());
-  to.setReason(stored.getReason());
+  const std::size_t head_size = stored_bytes.find(end_of_head);
+  if (head_size == std::string::npos) throw Poco::DataFormatException("stored response has no complete head");
+  response.setStatus(stored.getStatus());
+  response.setReason(stored.getReason());
   std::set<std::string> replaced;
   for (const auto& [name, value] : stored) {  // a header may occur several times
-    if (replaced.insert(name).second) to.erase(name);
-    to.add(name, value);
+    if (replaced.insert(name).second) response.erase(name);
+    response.add(name, value);
   }
-  const std::string body = whole.substr(head_size + end_of_head.size());
-  to.setContentLength(static_cast<std::streamsize>(body.size()));
-  to.send() << body;
+  const std::string body = stored_bytes.substr(head_size + end_of_head.size());
+  response.setContentLength(static_cast<std::streamsize>(body.size()));
+  response.send() << body;
 }
 
 }  // namespace marblewharf::middleware
--- a/src/middleware/exchange.hpp
+++ b/src/middleware/exchange.hpp
@@ -1,6 +1,6 @@
-// A keyed HTTP request and its response in memory: the body is read before the handler runs, so that the
-// request has a fingerprint, and the response is stored before any byte of it is sent. Each object belongs to
-// the server's thread that handles its request.
+// Buffers a keyed HTTP request and its response in memory: the body is read before the handler runs, so that
+// a fingerprint of the request can be computed, and the response is stored before any of its bytes are sent.
+// Each object is used only by the server's thread that handles its request.
 #pragma once
 
 #include <Poco/Net/HTTPServerRequest.h>
@@ -12,10 +12,10 @@
 
 namespace marblewharf::middleware {
 
-// The whole body; none where it has more than `max_bytes`.
+// Reads the whole body. Returns no value if the body is larger than `max_bytes`.
 std::optional<std::string> read_body(Poco::Net::HTTPServerRequest& request, std::size_t max_bytes);
 
-// A request whose body is in memory. `original` and `response` outlive it.
+// A request whose body is in memory. `original` and `response` must outlive the object.
 class buffered_request : public Poco::Net::HTTPServerRequest {
  public:
   buffered_request(Poco::Net::HTTPServerRequest& original, std::string body,
@@ -34,10 +34,10 @@
   std::istringstream body_;
 };
 
-// A response that a handler writes into memory. Nothing is sent.
+// A response that is written into memory and not sent.
 class captured_response : public Poco::Net::HTTPServerResponse {
  public:
-  void sendContinue() override {}  // the body was read before the handler began
+  void sendContinue() override {}  // the body has already been read
   std::ostream& send() override;
   void sendFile(const std::string& path, const std::string& media_type) override;
   void sendBuffer(const void* buffer, std::size_t length) override;
@@ -45,16 +45,16 @@
   void requireAuthentication(const std::string& realm) override;
   bool sent() const override { return sent_; }
 
-  // Head and body, in the form in which they are stored.
-  std::string whole();
+  // Returns head and body in the form in which they are stored.
+  std::string serialize();
 
  private:
   std::ostringstream body_;
   bool sent_ = false;
 };
 
-// Sends a stored response. Headers that the connection set stay unless the stored response has them, too.
-// Throws Poco::Exception where `whole` is no stored response.
-void replay(const std::string& whole, Poco::Net::HTTPServerResponse& to);
+// Sends a stored response. A header already set in `response` is kept unless the stored response has the same
+// header. Throws Poco::Exception if `stored_bytes` is not a stored response.
+void replay(const std::string& stored_bytes, Poco::Net::HTTPServerResponse& response);
 
 }  // namespace marblewharf::middleware
--- a/src/middleware/gate.cpp
+++ b/src/middleware/gate.cpp
@@ -12,14 +12,15 @@
 constexpr duration min_timer_wait = 1ms;
 constexpr duration max_timer_wait = 100ms;
 constexpr std::uint64_t min_segment_bytes = std::uint64_t{1} << 20;
-constexpr std::uint64_t results_per_segment = 16;  // of the largest
-constexpr std::uint64_t min_segments = 4;          // that the folder's space allows
+constexpr std::uint64_t results_per_segment = 16;  // a segment holds this many results of maximum size
+constexpr std::uint64_t min_segments = 4;          // the folder's space holds at least this many
 
 time_point steady_now() {
   return std::chrono::steady_clock::now().time_since_epoch();
 }
 
-// Handlers cannot be stopped from outside, and a keyed class has its window from the folder's settings.
+// Adapts the settings for the policy: running handlers cannot be paused or stopped, and classes with a window
+// in `keys` are keyed.
 admission_policy::settings policy_settings_of(admission_policy::settings settings,
                                               const std::optional<keyed_settings>& keys) {
   settings.halt = admission_policy::halt_mode::none;
@@ -44,8 +45,8 @@
   options.folder = keys.folder;
   options.windows = keys.windows;
   options.windows.resize(settings.classes.size());
-  for (const auto& each : settings.classes) options.classes.push_back(each.name);
-  for (const auto& each : settings.tenants) options.tenants.push_back(each.name);
+  for (const auto& request_class : settings.classes) options.classes.push_back(request_class.name);
+  for (const auto& tenant : settings.tenants) options.tenants.push_back(tenant.name);
   options.longest_key = keys.longest_key;
   options.largest_result = keys.largest_response;
   options.entries = keys.entries;
@@ -90,7 +91,7 @@
 
 void gate_impl::open_store(const admission_policy::settings& settings) {
   const auto notify = [this] {
-    const std::lock_guard lock(mutex_);  // the timer thread may be between its step and its wait
+    const std::lock_guard lock(mutex_);  // else the timer thread could miss the notification before its wait
     changed_.notify_all();
   };
   store_ = std::make_unique<idempotency::durable_service>(files_, store_options_of(*keys_, settings),
@@ -108,16 +109,16 @@
 // ---- The server's threads ---------------------------------------------------------------------------------
 
 attempt gate_impl::admit(const traits& request_traits, std::string key, std::uint64_t fingerprint) {
-  request what;
-  what.request_class = request_traits.request_class;
-  what.tenant = request_traits.tenant;
-  what.reserved_kb = request_traits.held_kb;
-  what.expected_work = request_traits.work;
-  what.key = std::move(key);
-  what.fingerprint = fingerprint;
+  request arrived;
+  arrived.request_class = request_traits.request_class;
+  arrived.tenant = request_traits.tenant;
+  arrived.reserved_kb = request_traits.held_kb;
+  arrived.expected_work = request_traits.work;
+  arrived.key = std::move(key);
+  arrived.fingerprint = fingerprint;
   std::unique_lock lock(mutex_);
   attempt admitted;
-  admitted.id = dispatcher_.on_arrival(*this, *this, std::move(what));
+  admitted.id = dispatcher_.on_arrival(*this, *this, std::move(arrived));
   waiting_.emplace(admitted.id, &admitted);
   step_and_notify();
   wait_for_answer(lock, admitted);
@@ -140,8 +141,8 @@
   finished.id = running.id;
   const bool failed_before = take_failed_while_running(running.id);
   if (!failed_before) waiting_.emplace(finished.id, &finished);
-  const run_end how = response ? run_end::succeeded : run_end::lost;
-  dispatcher_.on_end(running.id, how, response ? std::string_view(*response) : std::string_view(),
+  const run_end run_result = response ? run_end::succeeded : run_end::lost;
+  dispatcher_.on_end(running.id, run_result, response ? std::string_view(*response) : std::string_view(),
                      steady_now() - running.started_at);
   step_and_notify();
   if (failed_before) {
@@ -178,8 +179,8 @@
 
 void gate_impl::respond(request_id id, const answer& final) {
   const auto found = waiting_.find(id);
-  const bool somebody_waits = found != waiting_.end() && found->second->state == attempt_state::waiting;
-  if (!somebody_waits) {
+  const bool has_waiter = found != waiting_.end() && found->second->state == attempt_state::waiting;
+  if (!has_waiter) {
     if (final.status == response_status::failed && final.deadline_exceeded) failed_while_running_.insert(id);
     return;
   }
@@ -212,13 +213,14 @@
   dispatcher_.step(now, values);
 }
 
-// Wakes the threads whose attempts have changed, and the timer thread, whose next timer may be sooner now.
+// Also wakes the threads whose attempts may have changed, and the timer thread, because the next timer may
+// now be due earlier.
 void gate_impl::step_and_notify() {
   step();
   changed_.notify_all();
 }
 
-// The share of the cores that this process used; other processes are not seen.
+// Measures the CPU utilization of this process, relative to its cores. Other processes are not included.
 void gate_impl::measure_cpu(time_point now) {
   if (now - measured_at_ < cpu_measuring_period) return;
   const std::clock_t used = std::clock();
--- a/src/middleware/gathering.cpp
+++ b/src/middleware/gathering.cpp
@@ -21,8 +21,8 @@
   return std::chrono::steady_clock::now().time_since_epoch();
 }
 
-part_state state_of(fan_out::sub_response_state how) {
-  switch (how) {
+part_state state_of(fan_out::sub_response_state state) {
+  switch (state) {
     case fan_out::sub_response_state::fresh: return part_state::fresh;
     case fan_out::sub_response_state::stale: return part_state::stale;
     case fan_out::sub_response_state::fallback: return part_state::stand_in;
@@ -33,8 +33,8 @@
 
 }  // namespace
 
-// The fan-out state machine under a lock. Each source has worker threads of its own, so that one that hangs
-// blocks none of the others; one more thread drives the timers.
+// Protects the fan-out state machine with a lock. Each source has its own worker threads, so that a hanging
+// source does not block other sources; one more thread drives the timers.
 class gathering::impl {
  public:
   impl(std::vector<source> sources, const std::vector<part_of>& parts, duration latency_objective,
@@ -44,7 +44,7 @@
                        cache_bytes, seed),
         pools_(sources_.size()) {
     for (std::size_t i = 0; i < sources_.size(); ++i) {
-      for (unsigned n = 0; n < sources_[i].threads; ++n) threads_.emplace_back([this, i] { work(i); });
+      for (unsigned n = 0; n < sources_[i].threads; ++n) threads_.emplace_back([this, i] { run_worker(i); });
     }
     threads_.emplace_back([this] { drive_timers(); });
   }
@@ -56,7 +56,7 @@
       for (auto& [id, cancelled] : cancel_flags_) *cancelled = true;
     }
     changed_.notify_all();
-    for (std::thread& each : threads_) each.join();
+    for (std::thread& thread : threads_) thread.join();
   }
 
   gathered gather(std::uint64_t subject, duration within) {
@@ -75,10 +75,10 @@
 
   void set_reachable(const std::string& name, std::size_t endpoint, bool reachable) {
     const std::lock_guard lock(mutex_);
-    const std::size_t which = detail::find_source(sources_, name);
-    if (endpoint >= sources_[which].where.size())
-      throw std::invalid_argument("no place of an endpoint: " + name);
-    state_machine_.set_reachable(which, endpoint, reachable);
+    const std::size_t source_index = detail::find_source(sources_, name);
+    if (endpoint >= sources_[source_index].where.size())
+      throw std::invalid_argument("endpoint index is not in where, source: " + name);
+    state_machine_.set_reachable(source_index, endpoint, reachable);
   }
 
  private:
@@ -95,15 +95,15 @@
   };
   struct worker_pool {
     std::deque<call_task> tasks;
-    unsigned busy = 0;  // threads in a call
+    unsigned busy = 0;  // threads that are making a call
   };
   struct call_result {
     fan_out::call_result end = fan_out::call_result::failed;
     std::string bytes;
-    duration retry_after{};  // where it ended as not_now
+    duration retry_after{};  // set if the call threw not_now
   };
 
-  // Ids wrap around: 0 is none, and one that is still pending is passed over.
+  // Ids wrap around. 0 stands for no id, and ids that are still pending are skipped.
   fan_out::fan_out_id next_id() {
     do {
       ++last_id_;
@@ -111,14 +111,15 @@
     return last_id_;
   }
 
-  // ---- Actions of the state machine, with the lock held ---------------------------------------------------
+  // ---- Actions of the state machine; require the lock -----------------------------------------------------
 
   void apply_actions() {
     while (std::optional<fan_out::action> next = state_machine_.next_action())
       std::visit([this](auto& action) { apply(action); }, *next);
   }
 
-  // The pool's threads may all be in calls that were cancelled and have not returned: no room for a new one.
+  // The call fails at once if all threads of the pool are in use, for example by cancelled calls that have
+  // not returned yet.
   void apply(const fan_out::start_call& action) {
     worker_pool& pool = pools_[action.dependency];
     if (pool.busy + pool.tasks.size() >= sources_[action.dependency].threads) {
@@ -141,18 +142,18 @@
     gathered& result = found->second->result;
     result.complete = action.complete;
     result.failed = action.missing_required.has_value();
-    for (fan_out::sub_response& each : action.parts)
-      result.parts.push_back({state_of(each.state), each.age, std::move(each.bytes)});
+    for (fan_out::sub_response& part : action.parts)
+      result.parts.push_back({state_of(part.state), part.age, std::move(part.bytes)});
     found->second->done = true;
   }
 
-  void apply(const fan_out::endpoint_changed&) {}  // for the daemon's log
+  void apply(const fan_out::endpoint_changed&) {}  // only logged by the daemon
 
   // ---- Threads --------------------------------------------------------------------------------------------
 
-  void work(std::size_t which) {
+  void run_worker(std::size_t source_index) {
     std::unique_lock lock(mutex_);
-    worker_pool& pool = pools_[which];
+    worker_pool& pool = pools_[source_index];
     while (true) {
       changed_.wait(lock, [this, &pool] { return stopping_ || !pool.tasks.empty(); });
       if (stopping_) return;
@@ -162,7 +163,7 @@
       call_result result;
       if (!*task.cancelled) {
         lock.unlock();
-        result = make_call(sources_[which].endpoints[task.call.endpoint], task);
+        result = make_call(sources_[source_index].endpoints[task.call.endpoint], task);
         lock.lock();
       }
       --pool.busy;
@@ -174,7 +175,7 @@
     }
   }
 
-  // Without the lock.
+  // Must be called without the lock.
   static call_result make_call(const source_call& call, const call_task& task) {
     call_result result;
     try {
@@ -183,7 +184,7 @@
     } catch (const not_now& advice) {
       result.end = fan_out::call_result::rejected;
       result.retry_after = advice.after;
-    } catch (...) {  // any other exception of the embedder's function is a failed call
+    } catch (...) {  // any other exception means that the call failed
       result.end = fan_out::call_result::failed;
     }
     return result;
@@ -204,12 +205,12 @@
   }
 
   const std::vector<source> sources_;
-  std::mutex mutex_;  // guards all below
+  std::mutex mutex_;  // guards all members below
   std::condition_variable changed_;
   fan_out::state_machine state_machine_;
   std::vector<worker_pool> pools_;                                       // by source
   std::unordered_map<fan_out::fan_out_id, pending_gathering*> pending_;  // owned by the threads that wait
-  std::unordered_map<fan_out::call_id, cancel_flag> cancel_flags_;       // of calls under way
+  std::unordered_map<fan_out::call_id, cancel_flag> cancel_flags_;       // of queued and running calls
   fan_out::fan_out_id last_id_ = 0;
   bool stopping_ = false;
   std::vector<std::thread> threads_;
--- a/src/middleware/gathering_plan.hpp
+++ b/src/middleware/gathering_plan.hpp
@@ -1,4 +1,4 @@
-// Translates an embedder's sources and parts to the rules and plans of the fan-out's decisions, and checks
+// Converts an embedder's sources and parts to the rules and plans of the fan-out state machine, and validates
 // them.
 #pragma once
 
@@ -10,14 +10,15 @@
 
 namespace marblewharf::middleware::detail {
 
-// The index of a source. Throws std::invalid_argument where there is none of this name.
+// The index of the source called `name`. Throws std::invalid_argument if there is none.
 std::size_t find_source(const std::vector<source>& sources, const std::string& name);
 
-// The rules of each source, in their order. Throws std::invalid_argument, naming the source at fault.
+// The rules of the sources, in the order of the sources. Throws std::invalid_argument, which names the
+// invalid source.
 std::vector<upstream::dependency_rules> rules_of(const std::vector<source>& sources);
 
-// The one plan of a gathering. Throws std::invalid_argument, naming the part at fault, for a plan that could
-// not be kept.
+// The plan of a gathering, as the only element. Throws std::invalid_argument, which names the invalid part,
+// if the plan cannot be fulfilled.
 std::vector<upstream::request_plan> plans_of(const std::vector<source>& sources,
                                              const std::vector<part_of>& parts, duration latency_objective);
 
--- a/src/middleware/middleware.cpp
+++ b/src/middleware/middleware.cpp
@@ -24,8 +24,8 @@
     : impl_(std::make_unique<detail::gate_impl>(settings, std::move(keys), seed)) {}
 gate::~gate() = default;
 
-void gate::drain(std::chrono::nanoseconds left) {
-  impl_->drain(left);
+void gate::drain(std::chrono::nanoseconds time_left) {
+  impl_->drain(time_left);
 }
 
 bool gate::healthy() const {
@@ -42,10 +42,10 @@
 using detail::attempt_state;
 using detail::failure_cause;
 
-constexpr std::int64_t min_retry_after_seconds = 1;  // 0 would ask for a retry at once
+constexpr std::int64_t min_retry_after_seconds = 1;  // 0 would ask for an immediate retry
 constexpr std::string_view fingerprint_protocol = "http";
 
-// ---- Responses that no handler wrote ----------------------------------------------------------------------
+// ---- Responses of the middleware itself -------------------------------------------------------------------
 
 void set_status(HTTPServerResponse& response, HTTPResponse::HTTPStatus status) {
   response.setStatusAndReason(status);
@@ -81,18 +81,19 @@
   }
 }
 
-// An attempt whose handler did not run, or is not known to have ended.
-void send_without_result(HTTPServerResponse& response, const attempt& ended) {
-  if (ended.state == attempt_state::rejected) {
-    send_unavailable(response, ended.retry_after);
+// Sends the response to an attempt whose handler did not run, or whose outcome is unknown.
+void send_without_result(HTTPServerResponse& response, const attempt& final_attempt) {
+  if (final_attempt.state == attempt_state::rejected) {
+    send_unavailable(response, final_attempt.retry_after);
   } else {
-    send_failure(response, ended.cause);
+    send_failure(response, final_attempt.cause);
   }
 }
 
 // ---- Handlers ---------------------------------------------------------------------------------------------
 
-// Runs the wrapped handler when the gate admits the request. Lives for one request, on its thread.
+// Runs the wrapped handler after the gate has admitted the request. Created for one request and used only on
+// its thread.
 class admitted_handler : public Poco::Net::HTTPRequestHandler {
  public:
   admitted_handler(std::unique_ptr<Poco::Net::HTTPRequestHandler> wrapped, detail::gate_impl& gate,
@@ -118,14 +119,14 @@
       wrapped_->handleRequest(request, response);
     } catch (...) {
       gate_.finish(admitted, false);
-      throw;  // the server answers as it does without the middleware
+      throw;  // the server handles the exception as it does without the middleware
     }
     const bool succeeded = response.getStatus() < HTTPResponse::HTTP_INTERNAL_SERVER_ERROR;
     const bool in_time = gate_.finish(admitted, succeeded);
     if (!in_time && !response.sent()) send_status(response, HTTPResponse::HTTP_GATEWAY_TIMEOUT);
   }
 
-  // The handler runs at most once for a key, and nothing of its response is sent before it is stored.
+  // The handler runs at most once per key. Its response is sent only after it is stored.
   void handle_keyed(const keyed_settings& keys, HTTPServerRequest& request, HTTPServerResponse& response) {
     const std::string key = key_of(keys, request);
     if (idempotency::fault_of_key(key, keys.longest_key) != nullptr) {
@@ -159,16 +160,16 @@
                     std::string body) {
     captured_response captured;
     buffered_request buffered(request, std::move(body), captured);
-    std::optional<std::string> whole;
+    std::optional<std::string> stored_bytes;
     try {
       wrapped_->handleRequest(buffered, captured);
-      whole = captured.whole();
-    } catch (...) {  // what the handler had done by then is not known
+      stored_bytes = captured.serialize();
+    } catch (...) {  // the handler may already have had an effect
       gate_.finish_keyed(admitted, std::nullopt);
       throw;
     }
-    if (whole->size() > keys.largest_response) whole.reset();
-    return gate_.finish_keyed(admitted, whole);
+    if (stored_bytes->size() > keys.largest_response) stored_bytes.reset();
+    return gate_.finish_keyed(admitted, stored_bytes);
   }
 
   std::unique_ptr<Poco::Net::HTTPRequestHandler> wrapped_;
@@ -178,9 +179,9 @@
 
 }  // namespace
 
-handler_factory::handler_factory(Poco::Net::HTTPRequestHandlerFactory::Ptr wrapped, gate& g,
+handler_factory::handler_factory(Poco::Net::HTTPRequestHandlerFactory::Ptr wrapped, gate& admission,
                                  classifier classify)
-    : wrapped_(std::move(wrapped)), gate_(g), classify_(std::move(classify)) {}
+    : wrapped_(std::move(wrapped)), gate_(admission), classify_(std::move(classify)) {}
 
 Poco::Net::HTTPRequestHandler* handler_factory::createRequestHandler(const HTTPServerRequest& request) {
   std::unique_ptr<Poco::Net::HTTPRequestHandler> wrapped(wrapped_->createRequestHandler(request));
