--- a/include/wrenrill/policy.hpp
+++ b/include/wrenrill/policy.hpp
@@ -1,8 +1,8 @@
 // Deprecated: include <admission_policy/policy.hpp> and use the namespace admission_policy.
 //
-// The names that the library had before, for code that is not moved yet. Where only a type's name changed it
-// is an alias; settings and arrivals, whose fields were renamed as well, are converted when they are handed
-// over. Nothing else is done here.
+// Provides the previous names of the library for code that has not been migrated. A type of which only the
+// name changed is an alias. Settings and arrivals, whose fields were renamed as well, are converted when they
+// are passed to the policy. This header has no other logic.
 #pragma once
 
 #include <span>
@@ -170,13 +170,14 @@
 
 class policy {
  public:
-  policy(const settings& given, std::uint64_t seed, time_point now) : policy_(given, seed, now) {}
+  policy(const settings& old_settings, std::uint64_t seed, time_point now)
+      : policy_(old_settings, seed, now) {}
 
   const std::vector<action>& handle(time_point now, std::span<const event> events) {
     std::vector<admission_policy::event> converted;
     converted.reserve(events.size());
     for (const event& e : events) {
-      std::visit([&converted](const auto& what) { converted.emplace_back(to_current(what)); }, e);
+      std::visit([&converted](const auto& content) { converted.emplace_back(to_current(content)); }, e);
     }
     return policy_.handle(now, converted);
   }
--- a/src/pcap/reassembly.hpp
+++ b/src/pcap/reassembly.hpp
@@ -1,4 +1,4 @@
-// One direction of a TCP connection, put back in order from its segments, within bounds.
+// Reassembles one direction of a TCP connection from captured segments, with bounded memory.
 #pragma once
 
 #include <cstddef>
@@ -12,31 +12,34 @@
 
 class reassembly {
  public:
-  // Bytes that follow all before, at the time of the segment that completed them.
+  // Receives the next bytes of the stream.
   using sink = std::function<void(std::string_view bytes)>;
 
-  // `most_waiting`: bytes kept behind a hole; more, and the hole counts as a gap.
-  explicit reassembly(std::size_t most_waiting) : most_waiting_(most_waiting) {}
+  // `max_waiting`: maximum number of bytes buffered after a gap. When they are exceeded, the stream is
+  // broken.
+  explicit reassembly(std::size_t max_waiting) : max_waiting_(max_waiting) {}
 
-  void begin(std::uint32_t first);  // after a SYN: the number of the first byte
-  void add(std::uint32_t number, std::string_view bytes, const sink& in_order);
+  // Starts a new stream. `first`: sequence number of the first byte, one more than that of the SYN.
+  void begin(std::uint32_t first);
+  // Adds a segment and passes the bytes that are now in order to `in_order`.
+  void add(std::uint32_t sequence, std::string_view bytes, const sink& in_order);
 
-  // Bytes are missing for good: what follows does not go on where the last ended. Nothing is delivered any
-  // more until begin().
+  // Whether the stream has a gap that is not filled any more. No more bytes are delivered until begin().
   bool broken() const { return broken_; }
-  bool waiting() const { return !waiting_.empty(); }  // behind a hole
+  bool waiting() const { return !waiting_.empty(); }  // segments are buffered after a gap
   bool begun() const { return begun_; }
-  std::uint64_t repeated() const { return repeated_; }    // segments with nothing new
-  std::uint64_t reordered() const { return reordered_; }  // segments that came before their turn
+  std::uint64_t repeated() const { return repeated_; }    // segments without new bytes
+  std::uint64_t reordered() const { return reordered_; }  // segments that arrived before an earlier one
 
  private:
-  void deliver(std::uint64_t at, std::string_view bytes, const sink& in_order);
+  void deliver(std::uint64_t position, std::string_view bytes, const sink& in_order);
 
-  std::size_t most_waiting_;
+  std::size_t max_waiting_;
   bool begun_ = false;
   bool broken_ = false;
-  std::uint64_t next_ = 0;  // position of the byte that is due; its low half is its sequence number
-  std::map<std::uint64_t, std::string> waiting_;
+  // Position of the next byte in the stream. The low 32 bits are its sequence number.
+  std::uint64_t next_ = 0;
+  std::map<std::uint64_t, std::string> waiting_;  // segments after a gap, by position
   std::size_t waiting_bytes_ = 0;
   std::uint64_t repeated_ = 0, reordered_ = 0;
 };
--- a/src/pcap/recorder.cpp
+++ b/src/pcap/recorder.cpp
@@ -5,31 +5,34 @@
 
 namespace marblewharf::pcap {
 
-void recorder::on_open(const void* which, const std::string& caller, const std::string& server) {
+void recorder::on_open(const void* connection, const std::string& caller, const std::string& server) {
   if (writer_.full()) return;
   try {
-    open_.insert_or_assign(which, writer_.open(to_address(caller), to_address(server), net::unix_us()));
-  } catch (const write_failed& e) {
-    telemetry::log("record", "connection left out: %s", e.what());
+    open_.insert_or_assign(connection,
+                           writer_.open(parse_address(caller), parse_address(server), net::unix_us()));
+  } catch (const write_error& error) {
+    telemetry::log("record", "connection is not recorded: %s", error.what());
   }
 }
 
-void recorder::on_read(const void* which, std::string_view bytes) {
-  if (const auto at = open_.find(which); at != open_.end()) writer_.sent(at->second, bytes, net::unix_us());
+void recorder::on_read(const void* connection, std::string_view bytes) {
+  if (const auto entry = open_.find(connection); entry != open_.end())
+    writer_.add_caller_bytes(entry->second, bytes, net::unix_us());
 }
 
-void recorder::on_written(const void* which, std::string_view bytes) {
-  if (const auto at = open_.find(which); at != open_.end())
-    writer_.answered(at->second, bytes, net::unix_us());
+void recorder::on_written(const void* connection, std::string_view bytes) {
+  if (const auto entry = open_.find(connection); entry != open_.end())
+    writer_.add_server_bytes(entry->second, bytes, net::unix_us());
 }
 
-void recorder::on_close(const void* which) {
-  const auto at = open_.find(which);
-  if (at == open_.end()) return;
-  writer_.close(at->second, net::unix_us());
-  open_.erase(at);
+void recorder::on_close(const void* connection) {
+  const auto entry = open_.find(connection);
+  if (entry == open_.end()) return;
+  writer_.close(entry->second, net::unix_us());
+  open_.erase(entry);
   writer_.flush();
-  if (writer_.full()) telemetry::log("record", "the capture file has reached its bound");
+  if (writer_.full())
+    telemetry::log("record", "the capture file is full or cannot be written; nothing more is recorded");
 }
 
 }  // namespace marblewharf::pcap
--- a/src/pcap/writer.hpp
+++ b/src/pcap/writer.hpp
@@ -1,5 +1,5 @@
-// Writes connections to a capture file that other tools open: IPv4 packets with checksums, a handshake, data
-// in segments and an end, for each connection.
+// Writes connections to a capture file that common tools can read. Each connection is written as IPv4 packets
+// with valid checksums: a TCP handshake, data segments and the closing segments.
 #pragma once
 
 #include <cstddef>
@@ -11,46 +11,53 @@
 
 namespace marblewharf::pcap {
 
-struct write_failed : std::runtime_error {
+// Thrown if a capture file cannot be created or written, or an address cannot be parsed.
+struct write_error : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 struct address {
-  std::uint32_t host = 0;  // IPv4, as a number
+  std::uint32_t host = 0;  // IPv4 address in host byte order
   std::uint16_t port = 0;
 };
 
-// From `a.b.c.d:port`. Throws write_failed.
-address to_address(const std::string& text);
+// Parses `a.b.c.d:port`. Throws write_error.
+address parse_address(const std::string& text);
 
-// One connection in the file, between what it was given at its start.
-struct conversation {
+// A connection that is being written to the file, with the addresses of both ends.
+struct recorded_connection {
   address caller, server;
-  std::uint32_t sent = 0;      // sequence number of the caller's next byte
-  std::uint32_t answered = 0;  // of the server's
+  std::uint32_t caller_sequence = 0;  // sequence number of the caller's next byte
+  std::uint32_t server_sequence = 0;  // sequence number of the server's next byte
 };
 
 class writer {
  public:
-  // Throws write_failed. Nothing is written beyond `most_bytes`.
-  writer(const std::string& path, std::size_t most_bytes);
+  // Throws write_error if the file cannot be created. `max_bytes`: maximum size of the packets in the file;
+  // later packets are dropped.
+  writer(const std::string& path, std::size_t max_bytes);
   ~writer();
 
-  conversation open(address caller, address server, std::int64_t unix_us);
-  void sent(conversation& c, std::string_view bytes, std::int64_t unix_us);
-  void answered(conversation& c, std::string_view bytes, std::int64_t unix_us);
-  void close(conversation& c, std::int64_t unix_us);
+  // Writes the handshake of a connection.
+  recorded_connection open(address caller, address server, std::int64_t unix_us);
+  // Writes bytes that the caller sent.
+  void add_caller_bytes(recorded_connection& connection, std::string_view bytes, std::int64_t unix_us);
+  // Writes bytes that the server sent.
+  void add_server_bytes(recorded_connection& connection, std::string_view bytes, std::int64_t unix_us);
+  // Writes the closing segments of a connection.
+  void close(recorded_connection& connection, std::int64_t unix_us);
 
   void flush();
+  // Whether the maximum size was reached or a write failed. Nothing more is written then.
   bool full() const { return full_; }
 
  private:
   struct file;
-  void segment(const conversation& c, bool from_caller, unsigned flags, std::string_view bytes,
-               std::int64_t unix_us);
+  void write_segment(const recorded_connection& connection, bool from_caller, unsigned flags,
+                     std::string_view bytes, std::int64_t unix_us);
 
   std::unique_ptr<file> file_;
-  std::size_t left_;
+  std::size_t remaining_bytes_;
   bool full_ = false;
 };
 
--- a/tests/net/pcap_test.cpp
+++ b/tests/net/pcap_test.cpp
@@ -1,5 +1,5 @@
-// Capture files: written by the node from its front, and read by the command, also when they are in bad
-// order.
+// Capture files: the node records its front's connections, and marblewharf_pcap reads the file, also with
+// reordered, repeated, missing and invalid packets.
 #include <map>
 
 #include "harness.hpp"
@@ -8,19 +8,19 @@
 
 namespace {
 
-struct ran {
+struct command_result {
   int status = -1;
   std::string out;  // standard output and error
 };
-ran command(const std::string& arguments) {
-  FILE* p = ::popen((std::string(MARBLEWHARF_PCAP) + " " + arguments + " 2>&1").c_str(), "r");
-  CHECK(p != nullptr);
-  ran r;
+command_result run_command(const std::string& arguments) {
+  FILE* pipe = ::popen((std::string(MARBLEWHARF_PCAP) + " " + arguments + " 2>&1").c_str(), "r");
+  CHECK(pipe != nullptr);
+  command_result result;
   char chunk[4096];
   std::size_t n;
-  while ((n = std::fread(chunk, 1, sizeof chunk, p)) > 0) r.out.append(chunk, n);
-  r.status = WEXITSTATUS(::pclose(p));
-  return r;
+  while ((n = std::fread(chunk, 1, sizeof chunk, pipe)) > 0) result.out.append(chunk, n);
+  result.status = WEXITSTATUS(::pclose(pipe));
+  return result;
 }
 
 std::string read_all(const std::string& path) {
@@ -29,8 +29,8 @@
   return text.str();
 }
 
-// The records of a capture file; the first is the file's own header.
-std::vector<std::string> records(const std::string& bytes) {
+// Splits a capture file into its records. The first element is the file header.
+std::vector<std::string> split_records(const std::string& bytes) {
   std::vector<std::string> found = {bytes.substr(0, 24)};
   for (std::size_t at = 24; at < bytes.size();) {
     const auto size = [&](std::size_t i) {
@@ -50,8 +50,9 @@
   return record.size() > 16 + 40;
 }
 
-struct recorded {
-  recorded() {
+// A capture file with four requests on two connections, recorded by a node.
+struct recording {
+  recording() {
     char name[] = "/tmp/marblewharf-pcap-XXXXXX";
     CHECK(::mkdtemp(name) != nullptr);
     dir = name;
@@ -77,93 +78,99 @@
     n.signal(SIGTERM);
     CHECK(n.wait() == 0);
   }
-  ~recorded() {
+  ~recording() {
     for (const char* file : {"/front.pcap", "/other.pcap"}) ::unlink((dir + file).c_str());
     ::rmdir(dir.c_str());
   }
-  ran run(const std::string& what, const std::string& file, const std::string& more = "") const {
-    return command(what + " " + dir + "/" + file + " --thrift-port " + std::to_string(port) + " " + more);
+  command_result run(const std::string& action, const std::string& file,
+                     const std::string& options = "") const {
+    return run_command(action + " " + dir + "/" + file + " --thrift-port " + std::to_string(port) + " " +
+                       options);
   }
   std::string dir, path;
   int port = 0;
 };
 
-int lines(const std::string& text) {
+int line_count(const std::string& text) {
   return static_cast<int>(std::count(text.begin(), text.end(), '\n'));
 }
 
-void records_and_lists() {
-  const recorded c;
-  const ran listed = c.run("list", "front.pcap");
-  CHECK(listed.status == 0 && lines(listed.out) == 4);
+void lists_recorded_requests() {
+  const recording capture;
+  const command_result listed = capture.run("list", "front.pcap");
+  CHECK(listed.status == 0 && line_count(listed.out) == 4);
   for (int i : {1, 2, 3, 9}) CHECK(listed.out.find(label(i)) != std::string::npos);
   CHECK(listed.out.find(" kurs-meldung isar-invest work_ms=12.50 held_kb=24.5 ") != std::string::npos);
-  const ran summary = c.run("summary", "front.pcap");
+  const command_result summary = capture.run("summary", "front.pcap");
   CHECK(summary.out.find("thrift kurs-abfrage isar-invest requests=3 work_ms=37.5 ") != std::string::npos);
   CHECK(summary.out.find(" gaps=0 malformed=0 undecodable=0") != std::string::npos);
 }
 
-void filters_to_a_file() {
-  const recorded c;
-  const ran filtered = c.run("filter", "front.pcap", "--class kurs-meldung --out " + c.dir + "/other.pcap");
+void filters_to_another_file() {
+  const recording capture;
+  const command_result filtered =
+      capture.run("filter", "front.pcap", "--class kurs-meldung --out " + capture.dir + "/other.pcap");
   CHECK(filtered.status == 0 && filtered.out.empty());
-  const ran listed = c.run("list", "other.pcap");
-  CHECK(listed.status == 0 && lines(listed.out) == 1 && listed.out.find(label(2)) != std::string::npos);
-  CHECK(c.run("list", "front.pcap", "--tenant lech-vermoegen").out.empty());
+  const command_result listed = capture.run("list", "other.pcap");
+  CHECK(listed.status == 0 && line_count(listed.out) == 1 && listed.out.find(label(2)) != std::string::npos);
+  CHECK(capture.run("list", "front.pcap", "--tenant lech-vermoegen").out.empty());
 }
 
-// Guards against requests lost or read twice where segments come late, twice or never.
-void puts_segments_in_order() {
-  const recorded c;
-  const std::vector<std::string> all = records(read_all(c.path));
-  std::vector<std::string> mixed = all;
+// Guards against requests that are lost or read twice when segments are reordered, repeated or missing.
+void reassembles_segments() {
+  const recording capture;
+  const std::vector<std::string> packets = split_records(read_all(capture.path));
+  std::vector<std::string> mixed = packets;
   int swapped = 0;
   for (std::size_t i = 1; i + 1 < mixed.size(); ++i) {
     if (!has_data(mixed[i]) || !has_data(mixed[i + 1])) continue;
     std::swap(mixed[i], mixed[i + 1]);
     mixed.insert(mixed.begin() + static_cast<std::ptrdiff_t>(i + 2),
-                 std::string(mixed[i]));  // and one of them twice
+                 std::string(mixed[i]));  // one segment twice
     ++swapped;
     i += 2;
   }
   CHECK(swapped >= 3);
-  write(c.dir + "/other.pcap", mixed);
-  const ran listed = c.run("list", "other.pcap");
-  CHECK(listed.status == 0 && lines(listed.out) == 4);
-  const ran summary = c.run("summary", "other.pcap");
+  write(capture.dir + "/other.pcap", mixed);
+  const command_result listed = capture.run("list", "other.pcap");
+  CHECK(listed.status == 0 && line_count(listed.out) == 4);
+  const command_result summary = capture.run("summary", "other.pcap");
   CHECK(summary.out.find(" reordered=0") == std::string::npos &&
         summary.out.find(" repeated=0") == std::string::npos);
 
-  // A segment that never came: what was whole before it is listed, and so is the other connection.
-  std::vector<std::string> holed = all;
+  // With a segment missing, the complete requests before it and the requests of the other connection are
+  // listed.
+  std::vector<std::string> incomplete = packets;
   int large = 0;
-  for (std::size_t i = 1; i < holed.size(); ++i) {
-    if (holed[i].size() < 1400 || ++large < 2) continue;
-    holed.erase(holed.begin() + static_cast<std::ptrdiff_t>(i));
+  for (std::size_t i = 1; i < incomplete.size(); ++i) {
+    if (incomplete[i].size() < 1400 || ++large < 2) continue;
+    incomplete.erase(incomplete.begin() + static_cast<std::ptrdiff_t>(i));
     break;
   }
-  write(c.dir + "/other.pcap", holed);
-  const ran rest = c.run("list", "other.pcap");
-  CHECK(lines(rest.out) == 2 && rest.out.find(label(1)) != std::string::npos &&
-        rest.out.find(label(9)) != std::string::npos);
-  CHECK(c.run("summary", "other.pcap").out.find(" gaps=1 ") != std::string::npos);
+  write(capture.dir + "/other.pcap", incomplete);
+  const command_result remaining = capture.run("list", "other.pcap");
+  CHECK(line_count(remaining.out) == 2 && remaining.out.find(label(1)) != std::string::npos &&
+        remaining.out.find(label(9)) != std::string::npos);
+  CHECK(capture.run("summary", "other.pcap").out.find(" gaps=1 ") != std::string::npos);
 }
 
-void names_the_bad_packet() {
-  const recorded c;
-  const std::vector<std::string> all = records(read_all(c.path));
+void error_names_the_invalid_packet() {
+  const recording capture;
+  const std::vector<std::string> packets = split_records(read_all(capture.path));
   std::string whole;
-  for (std::size_t i = 0; i < 4; ++i) whole += all[i];
-  write(c.dir + "/other.pcap", {whole, all[4].substr(0, 20)});  // breaks off in its fourth packet
-  const ran cut = c.run("list", "other.pcap");
-  CHECK(cut.status != 0 && cut.out.find("packet 4") != std::string::npos && lines(cut.out) == 1);
-  write(c.dir + "/other.pcap", {"no capture file at all, only text"});
-  const ran none = c.run("list", "other.pcap");
-  CHECK(none.status != 0 && none.out.find("packet 1") != std::string::npos);
-  std::vector<std::string> bad = all;
-  bad[2][16] = '\x4f';  // an IPv4 header longer than its packet
-  write(c.dir + "/other.pcap", bad);
-  const ran skipped = c.run("list", "other.pcap");
+  for (std::size_t i = 0; i < 4; ++i) whole += packets[i];
+  write(capture.dir + "/other.pcap",
+        {whole, packets[4].substr(0, 20)});  // truncated within the fourth packet
+  const command_result truncated = capture.run("list", "other.pcap");
+  CHECK(truncated.status != 0 && truncated.out.find("packet 4") != std::string::npos &&
+        line_count(truncated.out) == 1);
+  write(capture.dir + "/other.pcap", {"no capture file at all, only text"});
+  const command_result not_a_capture = capture.run("list", "other.pcap");
+  CHECK(not_a_capture.status != 0 && not_a_capture.out.find("packet 1") != std::string::npos);
+  std::vector<std::string> with_invalid_header = packets;
+  with_invalid_header[2][16] = '\x4f';  // an IPv4 header longer than its packet
+  write(capture.dir + "/other.pcap", with_invalid_header);
+  const command_result skipped = capture.run("list", "other.pcap");
   CHECK(skipped.status != 0 && skipped.out.find("packet 2: ") != std::string::npos);
   CHECK(skipped.out.find(label(3)) != std::string::npos);
 }
@@ -172,10 +179,10 @@
 
 int main(int, char** argv) {
   const std::map<std::string, void (*)()> tests = {
-      {"list", records_and_lists},
-      {"filter", filters_to_a_file},
-      {"order", puts_segments_in_order},
-      {"bad_packet", names_the_bad_packet},
+      {"list", lists_recorded_requests},
+      {"filter", filters_to_another_file},
+      {"order", reassembles_segments},
+      {"bad_packet", error_names_the_invalid_packet},
   };
   tests.at(argv[1])();
   return 0;
