--- a/include/marblewharf/gathering.hpp
+++ b/include/marblewharf/gathering.hpp
@@ -31,12 +31,13 @@
   std::chrono::nanoseconds after;
 };
 
-// The locality of an endpoint relative to this process. Nearer endpoints are preferred while enough of them
-// are available.
+// The locality level of an endpoint relative to this process. Nearer endpoints are preferred while enough of
+// them are available.
 enum class nearness { own_zone, own_region, elsewhere };
 struct near_rules {
-  double overprovisioning = 1.4;  // a level gets all calls while at least 1/1.4 of it is available
-  // If the levels cannot take all calls and less than this share of all endpoints is available, calls are
+  // A locality level gets all calls while at least 1/1.4 of its endpoints are available.
+  double overprovisioning = 1.4;
+  // If the levels cannot take all calls, and less than this share of all endpoints is available, calls are
   // spread evenly over all endpoints.
   double panic_threshold = 0.5;
   unsigned most_each = 0;  // concurrent calls per endpoint before a less near one is used; 0: no limit
@@ -46,9 +47,9 @@
   std::string name;
   std::vector<source_call> endpoints;
   std::chrono::nanoseconds budget = std::chrono::seconds(1);  // for all attempts at one part together
-  unsigned tries = 2;             // first attempt and retries; 1: calls are not repeatable
-  double hedge_share = 0;         // hedged requests per first attempt; 0: no hedging
-  unsigned threads = 8;           // maximum concurrent calls; bounds the threads blocked by a hanging source
+  unsigned tries = 2;      // first attempt and retries; 1: no retries, for calls that must not be repeated
+  double hedge_share = 0;  // hedged requests per first attempt; 0: no hedging
+  unsigned threads = 8;    // maximum concurrent calls; bounds the threads blocked by a hanging source
   std::vector<nearness> where{};  // locality by endpoint; empty: no preference
   near_rules near{};
 };
@@ -94,7 +95,7 @@
   gathering& operator=(const gathering&) = delete;
 
   // Blocks until every part has a result or a fallback, `within` has passed, or a required part has failed.
-  // `subject`: identifies what the parts are about, for stale fallbacks.
+  // `subject`: the id of the object that the parts describe; a stale fallback has the same subject.
   gathered gather(std::uint64_t subject, std::chrono::nanoseconds within);
 
   // Reports what the embedder knows about an endpoint, for example that its zone is down. An unreachable
--- a/include/marblewharf/middleware.hpp
+++ b/include/marblewharf/middleware.hpp
@@ -28,7 +28,7 @@
   unsigned request_class = 0;       // index of the class in the settings
   unsigned tenant = 0;              // index of the tenant in the settings
   double held_kb = 0;               // memory reserved while the request is queued, in KB
-  std::chrono::nanoseconds work{};  // expected CPU time on one core; 0: unknown
+  std::chrono::nanoseconds work{};  // expected work on one core; 0: unknown
   std::string key{};                // idempotency key of a keyed class; empty: taken from the header
 };
 // Called once per request, on the server's thread that handles the request.
@@ -41,7 +41,7 @@
 
 // Idempotency: responses to keyed requests are stored in a folder and survive restarts. A duplicate gets the
 // stored response, and its handler does not run. While the first request waits or runs, the duplicate waits
-// for its response in a thread of its own. A response is stored before it is sent, so the handlers of keyed
+// on the server's thread that handles it. A response is stored before it is sent, so the handlers of keyed
 // classes write into memory, and the size of their responses is bounded.
 struct keyed_settings {
   std::string folder;                             // on a durable disk, used by this process only
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -60,9 +60,9 @@
   // empty: no inquiries are sent.
   std::string inquiry_var, inquiry_value;
   unsigned inquiry_tries = 3;
-  std::chrono::nanoseconds inquiry_pause =
-      std::chrono::milliseconds(200);  // before the second attempt; doubles after each attempt
-  std::chrono::nanoseconds scrub{};    // interval between scrubs of the folder; 0: no scrubbing
+  // Delay before the second attempt. The delay doubles after each attempt.
+  std::chrono::nanoseconds inquiry_pause = std::chrono::milliseconds(200);
+  std::chrono::nanoseconds scrub{};  // interval between scrubs of the folder; 0: no scrubbing
 };
 
 // Idempotency in memory, for keyed classes of the platform's settings. Unused if there is a keyed_config.
@@ -81,10 +81,10 @@
   std::uint64_t read = std::uint64_t{16} << 20;  // bytes per second, for all jobs together
   // Utilization of the cores, 0 to 1: full headroom up to `quiet`, no headroom from `busy` on.
   double quiet = 0.5, busy = 0.85;
-  std::chrono::nanoseconds calm =
-      std::chrono::seconds(1);  // no headroom for this long after a request was queued
-  std::chrono::nanoseconds deadline =
-      std::chrono::hours(24);  // a job overdue for this long runs without headroom
+  // There is no headroom for this long after a request was queued.
+  std::chrono::nanoseconds calm = std::chrono::seconds(1);
+  // A job that is overdue for this long runs also without headroom.
+  std::chrono::nanoseconds deadline = std::chrono::hours(24);
 };
 
 // Section `dependency`: an upstream of fan-outs and transactions. upstream::dependency_rules has the rules
@@ -122,8 +122,8 @@
   std::uint64_t segment = std::uint64_t{8} << 20;  // size of a segment file in bytes
   std::uint64_t space = std::uint64_t{256} << 20;  // maximum size of the folder in bytes
   std::string step_var, id_var;  // vars that pass the step and the transaction's id to a participant
-  std::chrono::nanoseconds retry =
-      std::chrono::milliseconds(200);  // of an unanswered step; doubles each time
+  // Delay before an unanswered step is repeated. The delay doubles after each attempt, up to `longest_retry`.
+  std::chrono::nanoseconds retry = std::chrono::milliseconds(200);
   std::chrono::nanoseconds longest_retry = std::chrono::seconds(5);
   std::size_t outcomes = 1'000'000;  // maximum number of outcomes retained by key; about 100 bytes each
   std::chrono::nanoseconds scrub{};  // interval between scrubs of the folder; 0: no scrubbing
--- a/src/config/limits.hpp
+++ b/src/config/limits.hpp
@@ -27,18 +27,18 @@
 
   // Resources of this process.
   std::size_t descriptors = 1024;    // open files, including sockets
-  std::size_t own_descriptors = 64;  // reserved: backend links, logs, listeners, files, rejections
+  std::size_t own_descriptors = 64;  // reserved for links, logs, listeners, files and rejections
   std::size_t connections = 900;     // client connections: all descriptors not reserved otherwise
   double kept = 0.75;                // share of `connections` above which unused connections are closed
   // Connections from uwsgi callers; as many more may go to uwsgi servers. They are separate from the Thrift
   // connections, so that uwsgi traffic cannot exhaust those.
   std::size_t uwsgi_connections = 240;
-  int backlog = 512;                                  // of listen(2)
+  int backlog = 512;                                  // argument of listen()
   std::size_t write_buffer = std::size_t{144} << 10;  // bytes of unsent answers per connection
   std::size_t buffered = std::size_t{48} << 20;       // bytes buffered by all connections together
   std::size_t kept_results = std::size_t{24} << 20;   // bytes of idempotent results in memory
-  std::size_t read_chunk = std::size_t{16}
-                           << 10;  // bytes read per connection and reactor round, for fairness
+  // Bytes read per connection and reactor round. The limit prevents one connection from starving the others.
+  std::size_t read_chunk = std::size_t{16} << 10;
   std::size_t discard_chunk = std::size_t{64} << 10;  // same, for a connection whose input is discarded
   unsigned accepts = 64;                              // connections accepted per reactor round
   std::size_t record = std::size_t{64} << 20;  // maximum size in bytes of a capture file that is written
@@ -54,8 +54,8 @@
   std::size_t console_share = 16;
   std::size_t console_line = 256;                           // bytes of a command
   duration console_wait = std::chrono::milliseconds(5000);  // timeout for a whole command line
-  duration console_bind_retry =
-      std::chrono::milliseconds(200);  // retry interval while the predecessor process still listens
+  // Retry interval for bind() while the predecessor process still uses the address.
+  duration console_bind_retry = std::chrono::milliseconds(200);
 
   // Graceful shutdown (lifecycle/graceful_shutdown.hpp). `stop` runs from the shutdown notice to the kill.
   // Each of the next three phases starts the given time before the kill; they are listed in order.
@@ -66,11 +66,11 @@
   duration last_rounds = std::chrono::milliseconds(50);   // extra time to answer late requests
 
   // Intervals.
-  duration longest_poll =
-      std::chrono::milliseconds(20);  // maximum wait of the reactor; bounds the delay of a signal
-  duration report_every =
-      std::chrono::milliseconds(250);  // to the registry, which drops a silent node after 3 s
-  duration gauges_every = std::chrono::milliseconds(50);    // half of the admission policy's window
+  // Maximum wait of the reactor, and so the maximum delay until it handles a signal.
+  duration longest_poll = std::chrono::milliseconds(20);
+  // Interval of reports to the registry, which drops a node after 3 s without a report.
+  duration report_every = std::chrono::milliseconds(250);
+  duration gauges_every = std::chrono::milliseconds(50);    // polling interval; half of the policy's window
   duration gauges_stale = std::chrono::milliseconds(1000);  // older gauges are ignored
   duration connect = std::chrono::seconds(1);               // connect timeout to the runtime
   duration same_start = std::chrono::seconds(1);            // start times closer than this are the same start
@@ -79,7 +79,7 @@
   duration sweep_every =
       std::chrono::milliseconds(100);                   // interval between timeout checks of all connections
   duration hand_over = std::chrono::milliseconds(300);  // timeout for the runtime's new address to answer
-  duration reconnect_every = std::chrono::milliseconds(100);  // between connection attempts to the runtime
+  duration reconnect_every = std::chrono::milliseconds(100);  // between attempts to connect to the runtime
 };
 
 }  // namespace marblewharf
--- a/src/config/sections/background.cpp
+++ b/src/config/sections/background.cpp
@@ -4,7 +4,7 @@
 
 #include <cstdint>
 
-#include "config/sections/limits.hpp"
+#include "config/sections/bounds.hpp"
 
 namespace marblewharf::sections {
 
--- a/src/config/sections/budgets.cpp
+++ b/src/config/sections/budgets.cpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <utility>
 
-#include "config/sections/limits.hpp"
+#include "config/sections/bounds.hpp"
 #include "config/sections/references.hpp"
 
 namespace marblewharf::sections {
--- a/src/config/sections/fleet.cpp
+++ b/src/config/sections/fleet.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "config/sections/limits.hpp"
+#include "config/sections/bounds.hpp"
 
 namespace marblewharf::sections {
 namespace {
--- a/src/config/sections/keyed.cpp
+++ b/src/config/sections/keyed.cpp
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <utility>
 
-#include "config/sections/limits.hpp"
+#include "config/sections/bounds.hpp"
 
 namespace marblewharf::sections {
 namespace {
--- a/src/config/sections/section.hpp
+++ b/src/config/sections/section.hpp
@@ -25,7 +25,7 @@
   // `name`: the section in error messages, with its title if it has one.
   section(cfg_t* parsed, const option_lines& lines, const std::string& path, std::string name);
 
-  // Whether the key has a value or a default.
+  // Whether the list `key` has at least one element.
   bool has(const char* key) const;
   // The unparsed value. Empty if the key has neither a value nor a default.
   std::string text(const char* key) const;
--- a/src/config/sections/writes.cpp
+++ b/src/config/sections/writes.cpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <utility>
 
+#include "config/sections/bounds.hpp"
 #include "config/sections/classes.hpp"
-#include "config/sections/limits.hpp"
 #include "config/sections/references.hpp"
 #include "store/cleaning.hpp"
 
--- a/src/middleware/exchange.cpp
+++ b/src/middleware/buffered_exchange.cpp
@@ -1,4 +1,4 @@
-#include "middleware/exchange.hpp"
+#include "middleware/buffered_exchange.hpp"
 
 #include <Poco/Exception.h>
 
--- a/src/middleware/middleware.cpp
+++ b/src/middleware/middleware.cpp
@@ -7,7 +7,7 @@
 #include <array>
 
 #include "idempotency/fingerprint.hpp"
-#include "middleware/exchange.hpp"
+#include "middleware/buffered_exchange.hpp"
 #include "middleware/gate.hpp"
 
 namespace marblewharf::middleware {
--- a/src/pcap/reassembly.hpp
+++ b/src/pcap/reassembly.hpp
@@ -15,7 +15,7 @@
   // Receives the next bytes of the stream.
   using sink = std::function<void(std::string_view bytes)>;
 
-  // `max_waiting`: maximum number of bytes buffered after a gap. When they are exceeded, the stream is
+  // `max_waiting`: maximum number of bytes buffered after a gap. If more bytes arrive, the stream is
   // broken.
   explicit reassembly(std::size_t max_waiting) : max_waiting_(max_waiting) {}
 
--- a/src/pcap/writer.hpp
+++ b/src/pcap/writer.hpp
@@ -33,8 +33,8 @@
 
 class writer {
  public:
-  // Throws write_error if the file cannot be created. `max_bytes`: maximum size of the packets in the file;
-  // later packets are dropped.
+  // Throws write_error if the file cannot be created. `max_bytes`: maximum total size of the packet
+  // records; later packets are dropped.
   writer(const std::string& path, std::size_t max_bytes);
   ~writer();
 
--- a/tests/net/pcap_test.cpp
+++ b/tests/net/pcap_test.cpp
@@ -32,13 +32,13 @@
 // Splits a capture file into its records. The first element is the file header.
 std::vector<std::string> split_records(const std::string& bytes) {
   std::vector<std::string> found = {bytes.substr(0, 24)};
-  for (std::size_t at = 24; at < bytes.size();) {
-    const auto size = [&](std::size_t i) {
-      return static_cast<std::size_t>(static_cast<std::uint8_t>(bytes[at + 8 + i])) << (8 * i);
+  for (std::size_t offset = 24; offset < bytes.size();) {
+    const auto length_byte = [&](std::size_t i) {
+      return static_cast<std::size_t>(static_cast<std::uint8_t>(bytes[offset + 8 + i])) << (8 * i);
     };
-    const std::size_t whole = 16 + (size(0) | size(1) | size(2) | size(3));
-    found.push_back(bytes.substr(at, whole));
-    at += whole;
+    const std::size_t record_size = 16 + (length_byte(0) | length_byte(1) | length_byte(2) | length_byte(3));
+    found.push_back(bytes.substr(offset, record_size));
+    offset += record_size;
   }
   return found;
 }
@@ -63,18 +63,18 @@
     node n(r, o);
     r.up();
     port = n.port;
-    connection c = connection::to(n.port);
-    connection d = connection::to(n.port);
+    connection first = connection::to(n.port);
+    connection second = connection::to(n.port);
     for (int i = 1; i <= 3; ++i) {
-      c.send(execute(i, usual(i, i == 2 ? "kurs-meldung" : "kurs-abfrage"), std::string(1800, 'x')));
+      first.send(execute(i, usual(i, i == 2 ? "kurs-meldung" : "kurs-abfrage"), std::string(1800, 'x')));
       r.end(r.expect("start"), "fine", "YQ==");
-      CHECK(read_reply(c).kind == "served");
+      CHECK(read_reply(first).kind == "served");
     }
-    d.send(execute(1, usual(9), "y"));
+    second.send(execute(1, usual(9), "y"));
     r.end(r.expect("start"), "fine", "YQ==");
-    CHECK(read_reply(d).kind == "served");
-    c.close();
-    d.close();
+    CHECK(read_reply(second).kind == "served");
+    first.close();
+    second.close();
     n.signal(SIGTERM);
     CHECK(n.wait() == 0);
   }
--- a/tests/net/settings_test.cpp
+++ b/tests/net/settings_test.cpp
@@ -25,32 +25,32 @@
 }
 
 config platform() {
-  config c;
-  c.settings.cores = 1;
-  c.settings.classes.push_back({.name = "kurs-abfrage", .latency_objective = 500ms, .deadline = 2s});
-  c.settings.classes.push_back({.name = "kurs-meldung", .latency_objective = 1s, .deadline = 3s});
-  c.settings.tenants.push_back({.name = "isar-invest", .quota = 5});
-  return c;
+  config settings;
+  settings.settings.cores = 1;
+  settings.settings.classes.push_back({.name = "kurs-abfrage", .latency_objective = 500ms, .deadline = 2s});
+  settings.settings.classes.push_back({.name = "kurs-meldung", .latency_objective = 1s, .deadline = 3s});
+  settings.settings.tenants.push_back({.name = "isar-invest", .quota = 5});
+  return settings;
 }
 
 config read(const std::string& text) {
   const std::string path = test_folder() + "/node.conf";
   std::ofstream(path) << text;
-  config c = platform();
-  apply_operator_file(c, path);
-  return c;
+  config settings = platform();
+  apply_operator_file(settings, path);
+  return settings;
 }
 
 std::string fault(const std::string& text) {
   try {
     read(text);
-  } catch (const bad_config& e) {
-    return std::string(e.what()).substr(test_folder().size());
+  } catch (const bad_config& error) {
+    return std::string(error.what()).substr(test_folder().size());
   }
   return "none";
 }
 
-const std::string keyed =
+const std::string keyed_section =
     "keyed {\n  folder = \"/tmp/x\"\n  thrift_field = key\n}\nclass kurs-meldung {\n  keyed = yes\n}\n";
 
 const std::string two_member_fleet =
@@ -58,27 +58,29 @@
     "  hold_down = 3s\n}\nzone z0 {\n  region = r\n  members = {\"127.0.0.1:7946\", \"127.0.0.1:7947\"}\n}\n";
 
 void reads_all_sections() {
-  const config c = read(
+  const config settings = read(
       "# comment\nuwsgi {\n  listen = \"127.0.0.1:3030\"\n  servers = {\"127.0.0.1:1\", \"127.0.0.1:2\"}\n"
       "  class_var = P\n  tenant_var = T\n  held = 8KiB\n}\nclass kurs-meldung {\n  uwsgi_values = {\"/a\", "
       "\"/b\"}\n"
       "  uwsgi_cost = 1.5s\n  keyed = yes\n  window = 90s\n}\ntenant isar-invest { uwsgi_values = {i} }\n"
       "keyed {\n  folder = \"/tmp/x\"\n  uwsgi_var = K\n  space = 64MiB\n}\n");
-  CHECK(c.uwsgi && c.uwsgi->servers.size() == 2 && c.uwsgi->servers[1].port == 2);
-  CHECK(c.uwsgi->request_class.values.at("/b") == "kurs-meldung" &&
-        c.uwsgi->tenant.values.at("i") == "isar-invest");
-  CHECK(c.uwsgi->default_cost[1] == 1500 && c.uwsgi->reserved_kb == 8);
-  CHECK(c.keyed && c.keyed->windows[0] == 0s && c.keyed->windows[1] == 90s && c.keyed->space == 64u << 20);
+  CHECK(settings.uwsgi && settings.uwsgi->servers.size() == 2 && settings.uwsgi->servers[1].port == 2);
+  CHECK(settings.uwsgi->request_class.values.at("/b") == "kurs-meldung" &&
+        settings.uwsgi->tenant.values.at("i") == "isar-invest");
+  CHECK(settings.uwsgi->default_cost[1] == 1500 && settings.uwsgi->reserved_kb == 8);
+  CHECK(settings.keyed && settings.keyed->windows[0] == 0s && settings.keyed->windows[1] == 90s &&
+        settings.keyed->space == 64u << 20);
   CHECK(!read("").uwsgi && !read("").keyed && !read("").fleet);  // no section: disabled
-  const config f =
+  const config with_fleet =
       read(two_member_fleet +
            "uwsgi {\n  listen = \"127.0.0.1:3030\"\n  servers = {\"127.0.0.1:1\"}\n  class_var = P\n"
            "  tenant_var = T\n}\ndependency kurse {\n  endpoints = {\"127.0.0.1:1\", \"127.0.0.1:2\"}\n"
            "  places = {\"127.0.0.1:7947\", z0}\n  most_each = 7\n}\n");
-  const auto& near = f.dependencies->rules[0].near;
+  const auto& near = with_fleet.dependencies->rules[0].near;
   CHECK(near.where.size() == 2 && near.where[0] == failover::level::zone && near.rules.most_each == 7);
-  CHECK(f.fleet && f.fleet->name == "kurse" && f.fleet->seeds.size() == 1 && f.fleet->hold_down == 3s);
-  CHECK(f.fleet->zones.size() == 1 && f.fleet->zones[0].members.size() == 2);
+  CHECK(with_fleet.fleet && with_fleet.fleet->name == "kurse" && with_fleet.fleet->seeds.size() == 1 &&
+        with_fleet.fleet->hold_down == 3s);
+  CHECK(with_fleet.fleet->zones.size() == 1 && with_fleet.fleet->zones[0].members.size() == 2);
 }
 
 void errors_name_file_line_and_key() {
@@ -93,7 +95,7 @@
        "/node.conf:2: class \"kurs-meldung\".keyed is neither yes nor no: \"maybe\""},
       {"class kurs-meldung {\n  keyed = yes\n}\n",
        "/node.conf:0: keyed is missing, but a class has keyed = yes"},
-      {keyed + "class kurs-abfrage {\n  keyed = yes\n  window = 3s\n}\n",
+      {keyed_section + "class kurs-abfrage {\n  keyed = yes\n  window = 3s\n}\n",
        "/node.conf:10: class \"kurs-abfrage\".window is outside the allowed range: \"3s\""},
       {"keyed {\n  folder = a\n  thrift_field = k\n  space = 12parsecs\n}\n",
        "/node.conf:4: keyed.space is not a size such as 64MiB: \"12parsecs\""},
@@ -117,7 +119,7 @@
     if (fault(text) != message) std::fprintf(stderr, "got: %s\n", fault(text).c_str());
     CHECK(fault(text) == message);
   }
-  CHECK(fault(keyed) == "none");
+  CHECK(fault(keyed_section) == "none");
   // Section `writes`: the largest outcome must fit in a batch, and the space must be enough for compaction.
   const auto writes_with_participants = [](int participants, const std::string& sizes) {
     std::string text =
@@ -140,11 +142,11 @@
             .find("writes.segment is too small for the results") != std::string::npos);
   CHECK(fault(writes_with_participants(40, "")) == "none");
   try {
-    config c = platform();
-    apply_operator_file(c, test_folder() + "/none.conf");
+    config settings = platform();
+    apply_operator_file(settings, test_folder() + "/none.conf");
     CHECK(false);
-  } catch (const bad_config& e) {
-    CHECK(std::string(e.what()).find("none.conf: cannot be read") != std::string::npos);
+  } catch (const bad_config& error) {
+    CHECK(std::string(error.what()).find("none.conf: cannot be read") != std::string::npos);
   }
 }
 
@@ -171,8 +173,8 @@
   CHECK(missing.line == 0 && missing.key == "keyed");
   CHECK(missing.problem == "is missing, but a class has keyed = yes");
   try {
-    config c = platform();
-    apply_operator_file(c, test_folder() + "/none.conf");
+    config settings = platform();
+    apply_operator_file(settings, test_folder() + "/none.conf");
     CHECK(false);
   } catch (const operator_file_error& error) {
     CHECK(!error.fault().line && error.fault().file == test_folder() + "/none.conf");
@@ -183,14 +185,14 @@
 void accepts_example_files() {
   for (const char* name : {"marblewharf.conf", "marblewharf-keyed.conf", "marblewharf-dependencies.conf",
                            "marblewharf-fleet.conf"}) {
-    config c = platform();
+    config settings = platform();
     for (const char* extra_class : {"kurs-liste", "kurs-auftrag"}) {
-      c.settings.classes.push_back(c.settings.classes[0]);
-      c.settings.classes.back().name = extra_class;
-      c.settings.classes.back().latency_objective = 2s;
+      settings.settings.classes.push_back(settings.settings.classes[0]);
+      settings.settings.classes.back().name = extra_class;
+      settings.settings.classes.back().latency_objective = 2s;
     }
-    apply_operator_file(c, std::string(DEPLOY) + "/" + name);
-    CHECK(c.uwsgi);
+    apply_operator_file(settings, std::string(DEPLOY) + "/" + name);
+    CHECK(settings.uwsgi);
   }
 }
 
