--- a/tests/fan_out/library_test.cpp
+++ b/tests/fan_out/library_test.cpp
@@ -99,7 +99,7 @@
     return std::string();
   };
   CHECK(error_for({{"p", "a", false, {}}}, 2s).empty());
-  CHECK(error_for({{"p", "c", false, {}}}, 2s) == "no source: c");
+  CHECK(error_for({{"p", "c", false, {}}}, 2s) == "unknown source: c");
   CHECK(error_for({{"p", "a", false, {}}}, 500ms) != "");
   CHECK(error_for({{"p", "a", false, {{.source = "a", .oldest = {}, .fixed = {}}}}}, 9s) ==
         "part p falls back on a, which the part already calls");
