--- a/tests/net/keyed_test.cpp
+++ b/tests/net/keyed_test.cpp
@@ -1,5 +1,5 @@
-// Idempotency of the real program: what a duplicate is answered while its primary is queued, runs, has ended,
-// or was cut off.
+// Idempotency of the real program: the answer that a duplicate gets while its primary is queued, while it
+// runs, after it has ended, and after a crash or a lost connection interrupted it.
 #include <sys/stat.h>
 
 #include <filesystem>
@@ -14,8 +14,11 @@
 
 namespace {
 
+// A node with a Thrift front, a uwsgi front and a folder of stored results, its runtime and one uwsgi server.
 struct site {
-  explicit site(node_options o = {}, std::string more_keyed = "", const std::string& more = "")
+  // `keyed_settings` are added to the section `keyed`, `read_class_settings` to the class kurs-abfrage.
+  explicit site(node_options o = {}, std::string keyed_settings = "",
+                const std::string& read_class_settings = "")
       : options(std::move(o)) {
     char name[] = "/tmp/marblewharf-keyed-XXXXXX";
     CHECK(::mkdtemp(name) != nullptr);
@@ -27,26 +30,26 @@
         std::to_string(server.port) +
         "\"}\n class_var = PATH_INFO\n tenant_var = REMOTE_USER\n}\n"
         "class kurs-abfrage {\n uwsgi_values = {\"/kurs/abfrage\"}\n " +
-        more +
+        read_class_settings +
         "}\nclass kurs-meldung {\n uwsgi_values = {\"/kurs/meldung\"}\n keyed = yes\n window = 10m\n}\n"
         "keyed {\n folder = \"" +
-        folder + "/results\"\n uwsgi_var = KEY\n thrift_field = key\n " + more_keyed + "\n}\n";
+        folder + "/results\"\n uwsgi_var = KEY\n thrift_field = key\n " + keyed_settings + "\n}\n";
     start();
   }
   ~site() {
-    n.reset();
+    price_node.reset();
     std::filesystem::remove_all(folder);
   }
   void start() {
-    n = std::make_unique<node>(*r, options);
-    r->up();
+    price_node = std::make_unique<node>(*fake_runtime, options);
+    fake_runtime->up();
   }
-  // As a crash would end it.
+  // Kills the node with SIGKILL, as a crash would end it, and closes the link to the runtime.
   void kill() {
-    n.reset();
-    r->link.close();
+    price_node.reset();
+    fake_runtime->link.close();
   }
-  connection thrift() { return connection::to(n->port); }
+  connection thrift() { return connection::to(price_node->port); }
   connection uwsgi(const std::string& bytes) {
     connection c = connection::to(uwsgi_port);
     c.send(bytes);
@@ -55,21 +58,24 @@
 
   node_options options;
   std::string folder;
-  std::unique_ptr<runtime> r = std::make_unique<runtime>();
-  listener server;
+  std::unique_ptr<runtime> fake_runtime = std::make_unique<runtime>();
+  listener server;  // the uwsgi server
   int uwsgi_port;
-  std::unique_ptr<node> n;
+  std::unique_ptr<node> price_node;
 };
 
+// A keyed write over Thrift; an empty key leaves the field out.
 std::string write_of(int seqid, int label_number, const std::string& key, const std::string& body = "price",
-                     const std::string& verb = "kurs-meldung", const std::string& team = "isar-invest") {
-  fields f = usual(label_number, verb);
+                     const std::string& request_class = "kurs-meldung",
+                     const std::string& tenant = "isar-invest") {
+  fields f = usual(label_number, request_class);
   for (auto& [k, v] : f) {
-    if (k == "team") v = team;
+    if (k == "team") v = tenant;
   }
   if (!key.empty()) f.emplace_back("key", key);
   return execute(seqid, f, body);
 }
+// A keyed write over uwsgi; an empty key leaves the variable out.
 std::string uwsgi_write(const std::string& key, const std::string& body = "price",
                         const std::string& path = "/kurs/meldung",
                         const std::string& tenant = "isar-invest") {
@@ -80,21 +86,22 @@
   if (!key.empty()) vars.emplace_back("KEY", key);
   return uwsgi_peer::packet(vars, body);
 }
-bool starts_with(const std::string& text, const std::string& with) {
-  return text.rfind(with, 0) == 0;
+bool starts_with(const std::string& text, const std::string& prefix) {
+  return text.rfind(prefix, 0) == 0;
 }
 
 std::string whole_response() {
   return std::string("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n") + std::string("d\0ne", 4);
 }
 
-// The stored result: byte for byte the same, on both fronts, also after a restart, and nothing runs again.
+// A duplicate gets the stored result byte for byte, on both fronts and also after a restart, and starts no
+// second run.
 void duplicates_get_the_stored_result() {
   site s;
   connection c = s.thrift();
   c.send(write_of(1, 1, "k1"));
-  const std::string call = s.r->expect("start");
-  s.r->end(call, "fine", "AP8B");  // 00 ff 01
+  const std::string call = s.fake_runtime->expect("start");
+  s.fake_runtime->end(call, "fine", "AP8B");  // 00 ff 01
   const std::string first = result(read_reply(c));
   CHECK(first == std::string("\x00\xff\x01", 3));
   c.send(write_of(2, 2, "k1"));
@@ -111,23 +118,24 @@
   d.send(write_of(1, 3, "k1"));
   CHECK(result(read_reply(d)) == first);
   CHECK(s.uwsgi(uwsgi_write("u1")).rest() == whole_response());
-  // Nothing came to the runtime or the server meanwhile.
+  // The duplicates reached neither the runtime nor the uwsgi server: the next start is that of the new key.
   d.send(write_of(2, 4, "k2"));
-  CHECK(s.r->expect("start") == label(4));
+  CHECK(s.fake_runtime->expect("start") == label(4));
   CHECK(!s.server.waiting(50));
 }
 
-// One run, one answer each: in one read, and while it runs.
+// Duplicates share one run and each gets its own answer: one that arrives in the same read as the primary,
+// and one that arrives while the primary runs.
 void duplicates_are_coalesced() {
   site s;
   connection c = s.thrift();
   connection d = s.thrift();
   c.send(write_of(1, 1, "k1") + write_of(2, 2, "k1"));
-  const std::string call = s.r->expect("start");
+  const std::string call = s.fake_runtime->expect("start");
   d.send(write_of(7, 3, "k1"));
   d.send(check(8));
-  CHECK(read_reply(d).seqid == 8);  // it was read before the end comes
-  s.r->end(call, "fine", "cQ==");
+  CHECK(read_reply(d).seqid == 8);  // so the node has read the duplicate before the run ends
+  s.fake_runtime->end(call, "fine", "cQ==");
   std::set<int> seqids;
   for (int i = 0; i < 2; ++i) {
     const reply r = read_reply(c);
@@ -137,60 +145,63 @@
   const reply third = read_reply(d);
   CHECK(third.kind == "served" && third.seqid == 7 && result(third) == "q");
   c.send(write_of(3, 5, "k2"));
-  CHECK(s.r->expect("start") == label(5));
+  CHECK(s.fake_runtime->expect("start") == label(5));
 }
 
-// A client that cancels takes nothing from the others.
+// A run continues when the client of its primary disconnects: waiting duplicates and later ones get the
+// result.
 void cancelled_primary_runs_on_for_duplicates() {
   site s;
   std::optional<connection> c = s.thrift();
   connection d = s.thrift();
   c->send(write_of(1, 1, "k1"));
-  const std::string call = s.r->expect("start");
+  const std::string call = s.fake_runtime->expect("start");
   d.send(write_of(1, 2, "k1"));
   d.send(check(2));
   CHECK(read_reply(d).seqid == 2);
   c.reset();
   std::this_thread::sleep_for(200ms);
-  s.r->end(call, "fine", "cQ==");  // no stop came before: expect() below would see it
+  s.fake_runtime->end(call, "fine",
+                      "cQ==");  // the node has sent no stop for the run: expect("start") below would fail
   CHECK(result(read_reply(d)) == "q");
-  // All have cancelled: the run goes on, and a later duplicate gets its result.
+  // The only client disconnects: the run continues, and a later duplicate gets its result.
   {
     connection e = s.thrift();
     e.send(write_of(1, 3, "k2"));
-    CHECK(s.r->expect("start") == label(3));
+    CHECK(s.fake_runtime->expect("start") == label(3));
   }
   std::this_thread::sleep_for(200ms);
-  s.r->end(label(3), "fine", "cQ==");
+  s.fake_runtime->end(label(3), "fine", "cQ==");
   d.send(write_of(3, 4, "k2"));
   CHECK(result(read_reply(d)) == "q");
   d.send(write_of(4, 5, "k3"));
-  CHECK(s.r->expect("start") == label(5));
+  CHECK(s.fake_runtime->expect("start") == label(5));
 }
 
-// The key is bound to tenant and class, and to what was asked for.
+// A key belongs to one tenant and one request class. A request that reuses a key with other content is
+// answered with a conflict.
 void keys_are_scoped() {
   site s({}, "", "keyed = yes\n window = 10m\n");
   connection c = s.thrift();
   c.send(write_of(1, 1, "k"));
-  s.r->end(s.r->expect("start"), "fine", "cQ==");
+  s.fake_runtime->end(s.fake_runtime->expect("start"), "fine", "cQ==");
   CHECK(read_reply(c).kind == "served");
   c.send(write_of(2, 2, "k", "price", "kurs-meldung", "lech-vermoegen"));
-  s.r->end(s.r->expect("start"), "fine", "cg==");
+  s.fake_runtime->end(s.fake_runtime->expect("start"), "fine", "cg==");
   CHECK(result(read_reply(c)) == "r");
   c.send(write_of(3, 3, "k", "price", "kurs-abfrage"));
-  s.r->end(s.r->expect("start"), "fine", "cw==");
+  s.fake_runtime->end(s.fake_runtime->expect("start"), "fine", "cw==");
   CHECK(result(read_reply(c)) == "s");
-  // Other content: an error of its own, and the first is undisturbed.
+  // Other content under the same key is a conflict; the stored result of the first request stays.
   c.send(write_of(4, 4, "k", "another price"));
   const reply conflict = read_reply(c);
   CHECK(conflict.kind == "failed" && conflict.rest.find("conflict") != std::string::npos);
-  // The same key on the other front asks for something else: its result would be of another form.
+  // The same key on the other front is a conflict too: the stored result has the form of a Thrift answer.
   CHECK(starts_with(s.uwsgi(uwsgi_write("k")).rest(), "HTTP/1.1 422 "));
   c.send(write_of(5, 5, "k"));
   CHECK(result(read_reply(c)) == "q");
   CHECK(!s.server.waiting(50));
-  // While the first runs, too.
+  // The conflict is also detected while the primary runs.
   connection u = s.uwsgi(uwsgi_write("u"));
   connection a = s.server.accept();
   CHECK(starts_with(s.uwsgi(uwsgi_write("u", "other")).rest(), "HTTP/1.1 422 "));
@@ -198,6 +209,8 @@
   CHECK(u.rest() == whole_response());
 }
 
+// A request of a keyed class without a key, or with a key that is too long, is answered with an error and
+// does not run.
 void unusable_keys_are_rejected() {
   site s({}, "longest_key = 8");
   connection c = s.thrift();
@@ -207,20 +220,21 @@
   CHECK(read_reply(c).kind == "failed");
   CHECK(starts_with(s.uwsgi(uwsgi_write("")).rest(), "HTTP/1.1 400 "));
   CHECK(starts_with(s.uwsgi(uwsgi_write("123456789")).rest(), "HTTP/1.1 400 "));
-  c.send(write_of(3, 3, "", "price", "kurs-abfrage"));  // that class is not keyed
-  CHECK(s.r->expect("start") == label(3));
+  c.send(write_of(3, 3, "", "price", "kurs-abfrage"));  // this request class needs no key
+  CHECK(s.fake_runtime->expect("start") == label(3));
   CHECK(!s.server.waiting(50));
 }
 
-// A run that a crash cut off never runs again, and its client is answered so; a recorded result stays.
+// A run that a crash interrupts is never started again: its duplicates are answered with an unknown outcome.
+// Results that were recorded before the crash are kept.
 void crash_leaves_the_outcome_unknown() {
   site s;
   {
     connection c = s.thrift();
     c.send(write_of(1, 1, "k1") + write_of(2, 2, "k2"));
-    s.r->expect("start");
-    s.r->expect("start");
-    s.r->end(label(2), "fine", "cQ==");
+    s.fake_runtime->expect("start");
+    s.fake_runtime->expect("start");
+    s.fake_runtime->end(label(2), "fine", "cQ==");
     CHECK(result(read_reply(c)) == "q");
     s.kill();
   }
@@ -232,66 +246,71 @@
   c.send(write_of(2, 4, "k2"));
   CHECK(result(read_reply(c)) == "q");
   c.send(write_of(3, 5, "k5"));
-  CHECK(s.r->expect("start") == label(5));
-  // On uwsgi the status is its own.
+  CHECK(s.fake_runtime->expect("start") == label(5));
+  // The uwsgi front answers an unknown outcome with status 409 and a header.
   connection u = s.uwsgi(uwsgi_write("u1"));
-  s.server.accept().take(10);  // and hangs up
+  s.server.accept().take(10);  // then closes the connection
   CHECK(starts_with(u.rest(), "HTTP/1.1 409 "));
   CHECK(s.uwsgi(uwsgi_write("u1")).rest().find("Outcome: unknown") != std::string::npos);
   CHECK(!s.server.waiting(50));
 }
 
-// A request that is proven never to have run frees its key.
+// A nack of the runtime proves that a request never ran: its key is released and a later request may run,
+// also after a crash.
 void released_key_may_run() {
   site s;
   connection c = s.thrift();
   c.send(write_of(1, 1, "k1"));
-  s.r->send("{\"msg\":\"nack\",\"how\":\"start\",\"call\":\"" + s.r->expect("start") + "\"}");
+  s.fake_runtime->send("{\"msg\":\"nack\",\"how\":\"start\",\"call\":\"" + s.fake_runtime->expect("start") +
+                       "\"}");
   CHECK(read_reply(c).kind == "failed");
   c.send(write_of(2, 2, "k1"));
-  CHECK(s.r->expect("start") == label(2));
-  s.r->end(label(2), "fine", "cQ==");
+  CHECK(s.fake_runtime->expect("start") == label(2));
+  s.fake_runtime->end(label(2), "fine", "cQ==");
   CHECK(result(read_reply(c)) == "q");
-  // Nor does a crash make a doubt of it.
+  // The outcome of the released key is not unknown after a crash either.
   c.send(write_of(3, 3, "k3"));
-  s.r->send("{\"msg\":\"nack\",\"how\":\"start\",\"call\":\"" + s.r->expect("start") + "\"}");
+  s.fake_runtime->send("{\"msg\":\"nack\",\"how\":\"start\",\"call\":\"" + s.fake_runtime->expect("start") +
+                       "\"}");
   CHECK(read_reply(c).kind == "failed");
-  c.send(write_of(4, 4, "k4"));  // a commit behind that of the release
-  s.r->expect("start");
+  c.send(write_of(4, 4, "k4"));  // its intent is committed after the record of the release
+  s.fake_runtime->expect("start");
   s.kill();
   s.start();
   connection d = s.thrift();
   d.send(write_of(1, 5, "k3"));
-  CHECK(s.r->expect("start") == label(5));
+  CHECK(s.fake_runtime->expect("start") == label(5));
 }
 
-// A failure that the backend states is an outcome: a duplicate gets it too and runs nothing.
+// A failure that the backend reports is a stored outcome: a duplicate gets the same failure and starts no
+// run.
 void stated_failure_is_stored() {
   site s;
   connection c = s.thrift();
   c.send(write_of(1, 1, "k1"));
-  s.r->end(s.r->expect("start"), "fault");
+  s.fake_runtime->end(s.fake_runtime->expect("start"), "fault");
   CHECK(read_reply(c).kind == "failed");
   c.send(write_of(2, 2, "k1"));
   CHECK(read_reply(c).kind == "failed");
   c.send(write_of(3, 3, "k2"));
-  CHECK(s.r->expect("start") == label(3));
+  CHECK(s.fake_runtime->expect("start") == label(3));
 }
 
-// A duplicate of a queued primary is rejected with it, and the key is free.
+// A queued primary that is rejected takes its waiting duplicate with it, and its key is released.
 void rejected_primary_frees_its_key() {
   node_options o;
   o.cores = 1;
   o.aim_ms = 1000;
   o.write_aim_ms = 1000;
   site s(o);
-  s.r->stats = "1.0,1,0.1,3";  // no core idles, so that no second run is added
+  s.fake_runtime->stats = "1.0,1,0.1,3";  // all cores are busy, so that the node starts no second run
   connection c = s.thrift();
   connection d = s.thrift();
   c.send(execute(1, usual(100), "long"));
-  const std::string busy = s.r->expect("start");
+  const std::string busy = s.fake_runtime->expect("start");
   int refused = 0;
-  // The held write cannot make its aim behind a run that does not end; its repeat goes with it.
+  // The queued write cannot meet its latency objective because the first run does not end; its duplicate is
+  // rejected together with the write.
   d.send(write_of(1, 1, "k1") + write_of(2, 2, "k1"));
   for (int i = 0; i < 2; ++i) {
     const reply r = read_reply(d);
@@ -299,17 +318,18 @@
     refused += r.kind == "refused";
   }
   CHECK(refused == 2);
-  s.r->end(busy, "fine", "cQ==");
+  s.fake_runtime->end(busy, "fine", "cQ==");
   d.send(write_of(3, 3, "k1"));
-  // The stop of the first run may come between.
+  // The node may send the stop of the first run before the start.
   std::string line;
   do {
-    line = s.r->command();
+    line = s.fake_runtime->command();
   } while (member(line, "msg") != "start");
   CHECK(member(line, "call") == label(3));
 }
 
-// A run whose deadline passed goes on; its duplicate gets the result.
+// A keyed run continues past its deadline: the primary is answered with a failure, a later duplicate with the
+// result.
 void run_goes_on_past_its_deadline() {
   node_options o;
   o.aim_ms = 300;
@@ -317,20 +337,21 @@
   site s(o);
   connection c = s.thrift();
   c.send(write_of(1, 1, "k1"));
-  const std::string call = s.r->expect("start");
+  const std::string call = s.fake_runtime->expect("start");
   const reply late = read_reply(c);
   CHECK(late.kind == "failed");
-  s.r->end(call, "fine", "cQ==");  // nothing stopped it
+  s.fake_runtime->end(call, "fine", "cQ==");  // the node did not stop the run
   c.send(write_of(2, 2, "k1"));
   CHECK(result(read_reply(c)) == "q");
-  // A joined repeat that runs out of time is failed, never refused.
+  // A duplicate whose deadline passes while it waits for its primary is failed, never refused.
   c.send(write_of(3, 3, "k2"));
-  s.r->expect("start");
+  s.fake_runtime->expect("start");
   c.send(write_of(4, 4, "k2"));
   for (int i = 0; i < 2; ++i) CHECK(read_reply(c).kind == "failed");
 }
 
-// No capacity: new writes are rejected with a retry-after, reads and duplicates go on.
+// While the folder of stored results is full, new keys are rejected with a retry-after; reads and duplicates
+// are still answered, and the folder stays within its configured size.
 void full_folder_rejects_new_keys() {
   site s({}, "segment = 64KiB\n space = 256KiB");
   connection c = s.thrift();
@@ -351,14 +372,14 @@
       refused = r.rest;
       break;
     }
-    std::string line = s.r->link.readable(300) ? s.r->command() : "";
+    std::string line = s.fake_runtime->link.readable(300) ? s.fake_runtime->command() : "";
     if (line.empty()) {
       const reply r = read_reply(c);
       CHECK(r.kind == "refused");
       refused = r.rest;
       break;
     }
-    s.r->end(member(line, "call"), "fine", blob);
+    s.fake_runtime->end(member(line, "call"), "fine", blob);
     CHECK(read_reply(c).kind == "served");
     ++served;
   }
@@ -370,22 +391,23 @@
   c.send(write_of(1001, 1001, "k1"));
   CHECK(read_reply(c).kind == "served");
   c.send(execute(1002, usual(1002), "read"));
-  CHECK(s.r->expect("start") == label(1002));
-  s.n->signal(SIGUSR1);
-  s.n->logged("no_room=1");
+  CHECK(s.fake_runtime->expect("start") == label(1002));
+  s.price_node->signal(SIGUSR1);
+  s.price_node->logged("no_room=1");
 }
 
-// A drain and a reload with a coalesced duplicate: each client gets its answer.
+// A primary and its waiting duplicate are both answered when the settings are reloaded and the node gets its
+// shutdown notice while they run.
 void drain_answers_coalesced_duplicates() {
   site s;
   connection c = s.thrift();
   c.send(write_of(1, 1, "k1") + write_of(2, 2, "k1"));
-  const std::string call = s.r->expect("start");
-  s.n->reload(*s.r, s.options);
-  s.n->logged("reload");
-  s.n->signal(SIGTERM);
-  s.n->logged("drain");
-  s.r->end(call, "fine", "cQ==");
+  const std::string call = s.fake_runtime->expect("start");
+  s.price_node->reload(*s.fake_runtime, s.options);
+  s.price_node->logged("reload");
+  s.price_node->signal(SIGTERM);
+  s.price_node->logged("drain");
+  s.fake_runtime->end(call, "fine", "cQ==");
   int answers = 0;
   for (int i = 0; i < 3 && answers < 2; ++i) {
     const reply r = read_reply(c);
@@ -394,46 +416,48 @@
     ++answers;
   }
   CHECK(answers == 2);
-  CHECK(s.n->wait() == 0);
+  CHECK(s.price_node->wait() == 0);
 }
 
-// The link is lost with an intent open: the run goes on and its end is reported on the next link.
+// The link to the runtime is lost while a keyed run is open: the run continues and its end is reported on the
+// next link. If the runtime has restarted, the outcome of the run is unknown.
 void lost_link_keeps_the_run() {
   site s;
   connection c = s.thrift();
   c.send(write_of(1, 1, "k1"));
-  const std::string call = s.r->expect("start");
-  s.r->link.close();
-  s.r->up();
+  const std::string call = s.fake_runtime->expect("start");
+  s.fake_runtime->link.close();
+  s.fake_runtime->up();
   c.send(write_of(2, 2, "k1"));
   c.send(check(3));
   CHECK(read_reply(c).seqid == 3);
-  // It is asked whether the start came; then the end is told.
-  s.r->end(call, "fine", "cQ==");
+  // The runtime reports the end of the run that it started before the link was lost.
+  s.fake_runtime->end(call, "fine", "cQ==");
   for (int i = 0; i < 2; ++i) CHECK(result(read_reply(c)) == "q");
-  // A runtime that came up anew has forgotten its runs: nobody knows how they ended.
+  // A restarted runtime no longer knows its runs, so that their outcomes are unknown.
   c.send(write_of(4, 4, "k4"));
   std::string line;
   do {
-    line = s.r->command();
+    line = s.fake_runtime->command();
   } while (member(line, "msg") != "start");
-  s.r->link.close();
-  s.r->serial = 0;
-  s.r->up("starting", 0);
+  s.fake_runtime->link.close();
+  s.fake_runtime->serial = 0;
+  s.fake_runtime->up("starting", 0);
   CHECK(read_reply(c).rest.find("outcome") != std::string::npos);
   c.send(write_of(5, 5, "k4"));
   CHECK(read_reply(c).rest.find("outcome") != std::string::npos);
 }
 
-// The outcome is unknown and the server can be asked: its reply is recorded, and inquiries are bounded.
+// After an unknown outcome a duplicate makes the node ask the uwsgi server for it: a definite reply is
+// recorded, a 404 releases the key, and the node gives up after `inquiry_tries` inquiries.
 void inquiries_find_the_outcome() {
   site s({}, "inquiry_var = INQUIRY\n inquiry_value = yes\n inquiry_tries = 2\n inquiry_pause = 20ms");
-  const auto cut_off = [&](const std::string& key) {
+  const auto leave_outcome_unknown = [&](const std::string& key) {
     connection u = s.uwsgi(uwsgi_write(key));
     s.server.accept().take(10);
     CHECK(starts_with(u.rest(), "HTTP/1.1 409 "));
   };
-  const auto asked = [&] {
+  const auto accept_inquiry = [&] {
     connection a = s.server.accept();
     const std::string head = a.take(4);
     const std::string vars =
@@ -441,59 +465,61 @@
     CHECK(vars.find("INQUIRY") != std::string::npos);
     return a;
   };
-  cut_off("known");
+  leave_outcome_unknown("known");
   connection u = s.uwsgi(uwsgi_write("known"));
-  asked().send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-  asked().send(whole_response());
+  accept_inquiry().send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+  accept_inquiry().send(whole_response());
   CHECK(u.rest() == whole_response());
   CHECK(s.uwsgi(uwsgi_write("known")).rest() == whole_response());
-  cut_off("never");
+  leave_outcome_unknown("never");
   connection v = s.uwsgi(uwsgi_write("never"));
-  asked().send("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
+  accept_inquiry().send("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
   CHECK(starts_with(v.rest(), "HTTP/1.1 503 "));
   connection w = s.uwsgi(uwsgi_write("never"));
   s.server.accept().send(whole_response());
   CHECK(w.rest() == whole_response());
-  cut_off("unknown");
+  leave_outcome_unknown("unknown");
   connection x = s.uwsgi(uwsgi_write("unknown"));
   connection y = s.uwsgi(uwsgi_write("unknown"));
-  asked().send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-  asked().send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+  accept_inquiry().send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+  accept_inquiry().send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
   CHECK(starts_with(x.rest(), "HTTP/1.1 409 "));
   CHECK(starts_with(y.rest(), "HTTP/1.1 409 "));
   CHECK(!s.server.waiting(100));
 }
 
-// Runs a command and returns its output and exit status.
+// Runs the program under test with these arguments and returns its output and exit status.
 std::pair<std::string, int> run(const std::string& arguments) {
-  std::FILE* p = ::popen((std::string(MARBLEWHARF) + " " + arguments + " 2>&1").c_str(), "r");
-  CHECK(p != nullptr);
+  std::FILE* pipe = ::popen((std::string(MARBLEWHARF) + " " + arguments + " 2>&1").c_str(), "r");
+  CHECK(pipe != nullptr);
   std::string out;
-  char some[512];
-  while (const std::size_t n = std::fread(some, 1, sizeof some, p)) out.append(some, n);
-  const int status = ::pclose(p);
+  char chunk[512];
+  while (const std::size_t n = std::fread(chunk, 1, sizeof chunk, pipe)) out.append(chunk, n);
+  const int status = ::pclose(pipe);
   return {out, WEXITSTATUS(status)};
 }
 
-void unusable_folders_stop_the_start() {
+// The folder of stored results is used by one process at a time: a second node serves, but rejects keyed
+// requests. A damaged segment stops the start with the file and the offset until an operator sets it aside.
+void locked_and_damaged_folders_are_reported() {
   site s;
   connection c = s.thrift();
   c.send(write_of(1, 1, "k1"));
-  s.r->end(s.r->expect("start"), "fine", "cQ==");
+  s.fake_runtime->end(s.fake_runtime->expect("start"), "fine", "cQ==");
   CHECK(read_reply(c).kind == "served");
   c.send(write_of(2, 2, "k2"));
-  s.r->expect("start");
-  const auto held = run("results verify " + s.folder + "/results");
-  CHECK(held.second == 1 && held.first.find("another process holds this folder") != std::string::npos);
+  s.fake_runtime->expect("start");
+  const auto locked = run("results verify " + s.folder + "/results");
+  CHECK(locked.second == 1 && locked.first.find("another process holds this folder") != std::string::npos);
   {
     runtime other;
     node_options o = s.options;
-    const std::string from = std::to_string(s.uwsgi_port);
-    o.operators.replace(o.operators.find(from), from.size(), std::to_string(free_port()));
+    const std::string first_port = std::to_string(s.uwsgi_port);
+    o.operators.replace(o.operators.find(first_port), first_port.size(), std::to_string(free_port()));
     node second(other, o);
     other.up();
-    // It serves, but keeps its hands off the folder: keyed requests are refused, never run, until it is let
-    // go.
+    // The second node serves, but leaves the folder alone: it refuses keyed requests without running them
+    // until the first node releases the folder.
     second.logged(
         "another process holds this folder; keyed requests are rejected until the folder is released");
     connection d = connection::to(second.port);
@@ -510,57 +536,59 @@
   CHECK(run("results show " + results + " isar-invest kurs-meldung k1").first == "q");
   CHECK(run("results show " + results + " isar-invest kurs-meldung k2").second == 1);
   CHECK(run("results verify " + results).first.find("keys=2 in_doubt=1") != std::string::npos);
-  // A damaged record in the middle: file and offset, and no start until it is set aside.
+  // A damaged record in the middle of a segment is reported with file and offset, and the node does not
+  // start.
   const std::string segment = results + "/0000000000000001.seg";
-  const auto change = [&](std::streamoff at) {
+  const auto flip_bit = [&](std::streamoff offset) {
     std::fstream f(segment, std::ios::in | std::ios::out | std::ios::binary);
-    f.seekg(at);
-    const char c1 = static_cast<char>(f.get());
-    f.seekp(at);
-    f.put(static_cast<char>(c1 ^ 1));
+    f.seekg(offset);
+    const char byte = static_cast<char>(f.get());
+    f.seekp(offset);
+    f.put(static_cast<char>(byte ^ 1));
   };
-  change(130);
+  flip_bit(130);
   const auto broken = run("results verify " + results);
   CHECK(broken.second == 1 &&
         broken.first.find("0000000000000001.seg at byte 80: damaged") != std::string::npos);
   {
-    node n(*s.r, s.options);
+    node n(*s.fake_runtime, s.options);
     CHECK(n.wait() == 1);
     CHECK(n.log().find("0000000000000001.seg at byte 80") != std::string::npos);
   }
-  change(130);
-  change(8);  // the version
+  flip_bit(130);
+  flip_bit(8);  // in the format version
   CHECK(run("results verify " + results).first.find("format version") != std::string::npos);
   CHECK(run("results set-aside " + results + " 0000000000000001.seg").second == 0);
   s.start();
   connection d = s.thrift();
   d.send(write_of(1, 9, "k1"));
-  CHECK(s.r->expect("start") == label(9));
+  CHECK(s.fake_runtime->expect("start") == label(9));
 }
 
-// A byte of a closed segment that the disk changed is found by the scrubbing, which names file and byte;
-// other results are read and new ones stored all the while.
+// Scrubbing finds a changed byte in a closed segment and logs the file and the byte's offset. The node still
+// answers duplicates from stored results and stores new ones.
 void scrubbing_finds_a_changed_byte() {
   site s({}, "scrub = 100ms\n segment = 64KiB\n space = 1MiB");
   connection c = s.thrift();
   std::string blob;
   for (int i = 0; i < 300; ++i) blob += "QUFB";
-  const auto ask = [&](int number, bool runs) {
-    c.send(write_of(number, number, "k" + std::to_string(runs ? number : number - 1000)));
-    if (runs) s.r->end(s.r->expect("start"), "fine", blob);
+  // A request that is no new key repeats the key of the number less 1000.
+  const auto ask = [&](int number, bool new_key) {
+    c.send(write_of(number, number, "k" + std::to_string(new_key ? number : number - 1000)));
+    if (new_key) s.fake_runtime->end(s.fake_runtime->expect("start"), "fine", blob);
     CHECK(read_reply(c).kind == "served");
   };
   for (int i = 1; i <= 150; ++i) ask(i, true);
   const std::string first = s.folder + "/results/0000000000000001.seg";
   CHECK(std::filesystem::exists(s.folder + "/results/0000000000000003.seg"));
-  CHECK(s.n->log().find("scrub-results") == std::string::npos);
+  CHECK(s.price_node->log().find("scrub-results") == std::string::npos);
   {
     std::fstream file(first, std::ios::in | std::ios::out | std::ios::binary);
     file.seekp(20000);
     file.put('\x7f');
   }
-  s.n->logged("background: scrub-results: " + first + " at byte ");
-  ask(1150, false);  // a repeat of the last one
+  s.price_node->logged("background: scrub-results: " + first + " at byte ");
+  ask(1150, false);  // a duplicate of request 150
   ask(151, true);
 }
 
@@ -581,7 +609,7 @@
                                                    {"drain", drain_answers_coalesced_duplicates},
                                                    {"lost_link", lost_link_keeps_the_run},
                                                    {"inquiry", inquiries_find_the_outcome},
-                                                   {"folders", unusable_folders_stop_the_start},
+                                                   {"folders", locked_and_damaged_folders_are_reported},
                                                    {"scrub", scrubbing_finds_a_changed_byte}};
   tests.at(argv[1])();
   return 0;
