--- a/tests/net/dependencies_test.cpp
+++ b/tests/net/dependencies_test.cpp
@@ -1,4 +1,5 @@
-// Gathered answers on the real program, against stand-in dependencies that stall, break and come back.
+// Fan-out on the real program: one response assembled from the sub-responses (parts) of several dependencies,
+// with fake dependencies that stall, fail and recover.
 #include <map>
 #include <set>
 
@@ -14,20 +15,22 @@
 
 namespace {
 
-uwsgi_server::script says(const std::string& body, std::chrono::microseconds after = 0us) {
-  return [body, after](const uwsgi_request&) { return reaction{after, manner::whole, body}; };
+uwsgi_server::script responds(const std::string& body, std::chrono::microseconds delay = 0us) {
+  return [body, delay](const uwsgi_request&) { return reaction{delay, manner::whole, body}; };
 }
-uwsgi_server::script does(manner how, std::chrono::microseconds after = 0us) {
-  return [how, after](const uwsgi_request&) { return reaction{after, how, "late"}; };
+uwsgi_server::script behaves(manner behaviour, std::chrono::microseconds delay = 0us) {
+  return [behaviour, delay](const uwsgi_request&) { return reaction{delay, behaviour, "late"}; };
 }
 
+// A node with a uwsgi front and three dependencies: `kurse` and `stamm` have two endpoints, `ersatz` has one.
 struct site {
-  // `kurse` and `stamm` have two endpoints, `ersatz` one.
   explicit site(const std::string& parts, node_options o = {}) {
     o.aim_ms = o.aim_ms == 20000 ? 2900 : o.aim_ms;
     uwsgi_port = free_port();
-    const auto dependency = [](const std::string& name, const std::string& at, const std::string& more) {
-      return "dependency " + name + " {\n endpoints = {" + at + "}\n budget = 400ms\n " + more + "\n}\n";
+    const auto dependency = [](const std::string& name, const std::string& endpoints,
+                               const std::string& more) {
+      return "dependency " + name + " {\n endpoints = {" + endpoints + "}\n budget = 400ms\n " + more +
+             "\n}\n";
     };
     const auto quoted = [](const uwsgi_server& s) { return "\"" + s.address() + "\""; };
     o.operators = "uwsgi {\n listen = \"" + own_host() + ":" + std::to_string(uwsgi_port) +
@@ -40,8 +43,8 @@
                   "class kurs-abfrage {\n uwsgi_values = {\"/kurs/liste\"}\n}\n"
                   "class kurs-meldung {\n uwsgi_values = {\"/kurs/meldung\"}\n}\n" +
                   parts + o.operators;
-    n = std::make_unique<node>(r, o);
-    r.up();
+    price_node = std::make_unique<node>(fake_runtime, o);
+    fake_runtime.up();
   }
   connection ask(const std::string& query = "q=1", const std::string& path = "/kurs/liste") {
     connection c = connection::to(uwsgi_port);
@@ -54,18 +57,19 @@
   }
   std::string answer(const std::string& query = "q=1") { return ask(query).rest(); }
 
-  runtime r;
-  uwsgi_server plain{says("plain")};
-  uwsgi_server kurse1{says("101.42")}, kurse2{says("101.42")}, stamm1{says("DAX")}, stamm2{says("DAX")},
-      ersatz{says("90")};
+  runtime fake_runtime;
+  uwsgi_server plain{responds("plain")};
+  uwsgi_server kurse1{responds("101.42")}, kurse2{responds("101.42")}, stamm1{responds("DAX")},
+      stamm2{responds("DAX")}, ersatz{responds("90")};
   int uwsgi_port;
-  std::unique_ptr<node> n;
+  std::unique_ptr<node> price_node;
 };
 
 const std::string two_parts =
     "part kurse {\n class = kurs-abfrage\n from = kurse\n}\n"
     "part stamm {\n class = kurs-abfrage\n from = stamm\n}\n";
 
+// The state and the body of a part of the response, with a space between; "none" if the part is absent.
 std::string part(const std::string& answer, const std::string& name) {
   const std::size_t at = answer.find("Part: " + name + "\r\n");
   if (at == std::string::npos) return "none";
@@ -75,48 +79,50 @@
   return answer.substr(state, answer.find("\r\n", state) - state) + " " +
          answer.substr(body, static_cast<std::size_t>(std::stoi(answer.substr(size_at))));
 }
-bool has(const std::string& text, const std::string& what) {
-  return text.find(what) != std::string::npos;
+bool contains(const std::string& text, const std::string& wanted) {
+  return text.find(wanted) != std::string::npos;
 }
 
-// Any bytes of each, the budget told, other classes as ever.
-void gathers_parts() {
+// Each part is passed on byte for byte, also one that contains a multipart boundary. Each sub-request carries
+// its time budget. Request classes without parts are forwarded unchanged.
+void fan_out_assembles_the_parts() {
   site s(two_parts);
-  std::atomic<int> told = 0;
-  const uwsgi_server::script checks = [&](const uwsgi_request& q) {
-    told = std::stoi(q.vars.at("BUDGET_MS"));
+  std::atomic<int> budget_ms = 0;
+  const uwsgi_server::script check_request = [&](const uwsgi_request& q) {
+    budget_ms = std::stoi(q.vars.at("BUDGET_MS"));
     CHECK(q.body == "in" && q.vars.at("PATH_INFO") == "/kurs/liste");
     return reaction{0us, manner::whole, std::string("\0\r\n--part0\r\n", 12)};
   };
-  s.kurse1.change(checks);
-  s.kurse2.change(checks);
+  s.kurse1.change(check_request);
+  s.kurse2.change(check_request);
   std::atomic<bool> path_right = true;
-  const uwsgi_server::script on_path = [&](const uwsgi_request& q) {
+  const uwsgi_server::script check_path = [&](const uwsgi_request& q) {
     path_right = path_right && q.vars.at("PATH_INFO") == "/stamm";
     return reaction{0us, manner::whole, "DAX"};
   };
-  s.stamm1.change(on_path);
-  s.stamm2.change(on_path);
+  s.stamm1.change(check_path);
+  s.stamm2.change(check_path);
   for (int i = 0; i < 10; ++i) {
     const std::string a = s.answer();
-    CHECK(a.rfind("HTTP/1.1 200 ", 0) == 0 && has(a, "Partial: no"));
+    CHECK(a.rfind("HTTP/1.1 200 ", 0) == 0 && contains(a, "Partial: no"));
     CHECK(part(a, "kurse") == std::string("fresh \0\r\n--part0\r\n", 18) && part(a, "stamm") == "fresh DAX");
-    CHECK(!has(a, "boundary=part0\r\n"));
+    CHECK(!contains(a, "boundary=part0\r\n"));
   }
-  CHECK(told > 0 && told <= 400 && path_right);
-  CHECK(has(s.ask("", "/kurs/meldung").rest(), "plain"));
+  CHECK(budget_ms > 0 && budget_ms <= 400 && path_right);
+  CHECK(contains(s.ask("", "/kurs/meldung").rest(), "plain"));
 }
 
-// One stalls: its part is missing, in time, and the others are there.
-void one_stalls() {
+// A stalled dependency: the response comes within the deadline, without its part and with the others, and the
+// open sub-requests are cancelled.
+void stalled_dependency_gives_a_partial_response() {
   site s(two_parts);
-  s.kurse1.change(does(manner::whole, 10s));
-  s.kurse2.change(does(manner::hang));
+  s.kurse1.change(behaves(manner::whole, 10s));
+  s.kurse2.change(behaves(manner::hang));
   const auto begin = clock::now();
   const std::string a = s.answer();
   CHECK(clock::now() - begin < 2900ms);
-  CHECK(has(a, "Partial: yes") && part(a, "kurse") == "missing " && part(a, "stamm") == "fresh DAX");
-  // What was out is cancelled.
+  CHECK(contains(a, "Partial: yes") && part(a, "kurse") == "missing " && part(a, "stamm") == "fresh DAX");
+  // The open sub-requests are cancelled: the node closes their connections.
   const auto until = clock::now() + 5s;
   while (s.kurse1.hung_up + s.kurse2.hung_up == 0) {
     CHECK(clock::now() < until);
@@ -124,67 +130,70 @@
   }
 }
 
-// Whatever is wrong with an answer, the other endpoint has the next attempt.
-void tries_another_endpoint() {
-  for (const manner how :
+// Whichever way an endpoint fails, the next attempt goes to the other endpoint.
+void next_attempt_goes_to_another_endpoint() {
+  for (const manner behaviour :
        {manner::error, manner::reset, manner::half, manner::garbage, manner::huge, manner::busy}) {
     site s(two_parts);
-    s.kurse1.change(does(how));
+    s.kurse1.change(behaves(behaviour));
     int fresh = 0;
     for (int i = 0; i < 12; ++i) fresh += part(s.answer(), "kurse") == "fresh 101.42";
-    CHECK(fresh >= 9);  // within the budget of further attempts
+    CHECK(fresh >= 9);  // the retry budget allows so many further attempts
   }
 }
 
-void falls_back() {
+// The fallbacks of a part are tried in their order: another dependency, a stale response, a fixed text.
+void fallbacks_are_tried_in_order() {
   site s(
       "part kurse {\n class = kurs-abfrage\n from = kurse\n fallback = {\"dependency ersatz\", \"stale "
       "30s\", \"fixed -\"}\n}\n" +
       two_parts.substr(two_parts.find("part stamm")));
   CHECK(part(s.answer(), "kurse") == "fresh 101.42");
-  s.kurse1.change(does(manner::error));
-  s.kurse2.change(does(manner::error));
+  s.kurse1.change(behaves(manner::error));
+  s.kurse2.change(behaves(manner::error));
   CHECK(part(s.answer(), "kurse") == "stand-in 90");
-  s.ersatz.change(does(manner::whole, 10s));  // a fall-back that is itself slow
+  s.ersatz.change(behaves(manner::whole, 10s));  // the dependency of the first fallback is too slow
   std::string a = s.answer();
-  CHECK(part(a, "kurse") == "stale 101.42" && has(a, "Age: "));
-  CHECK(part(s.answer("q=other"), "kurse") == "stand-in -");  // nothing is known of that subject
-  s.n->signal(SIGUSR1);
-  s.n->logged("dependencies: kurse ");
+  CHECK(part(a, "kurse") == "stale 101.42" && contains(a, "Age: "));
+  CHECK(part(s.answer("q=other"), "kurse") == "stand-in -");  // no stale response for this query
+  s.price_node->signal(SIGUSR1);
+  s.price_node->logged("dependencies: kurse ");
 }
 
-// A required part that is missing ends it at once.
-void a_required_part() {
+// When a required part fails, the request fails at once without waiting for the other parts.
+void missing_required_part_fails_the_request() {
   site s("part kurse {\n class = kurs-abfrage\n from = kurse\n required = yes\n}\n" +
          two_parts.substr(two_parts.find("part stamm")));
-  s.kurse1.change(does(manner::error));
-  s.kurse2.change(does(manner::error));
-  s.stamm1.change(says("DAX", 350ms));
-  s.stamm2.change(says("DAX", 350ms));
+  s.kurse1.change(behaves(manner::error));
+  s.kurse2.change(behaves(manner::error));
+  s.stamm1.change(responds("DAX", 350ms));
+  s.stamm2.change(responds("DAX", 350ms));
   const auto begin = clock::now();
   CHECK(s.answer().rfind("HTTP/1.1 502 ", 0) == 0);
   CHECK(clock::now() - begin < 300ms || sanitized);
 }
 
-// All endpoints fail: no more are held out than the bound says, and when they are back they are used again.
-void comes_back() {
+// All endpoints of a dependency fail: outlier ejection removes no more of them than its limit allows, and the
+// endpoints get requests again after they have recovered.
+void recovered_endpoints_are_used_again() {
   site s(two_parts);
-  s.kurse1.change(does(manner::error));
-  s.kurse2.change(does(manner::error));
+  s.kurse1.change(behaves(manner::error));
+  s.kurse2.change(behaves(manner::error));
   for (int i = 0; i < 40; ++i) CHECK(part(s.answer(), "kurse") == "missing ");
-  s.n->logged("is ejected: too many consecutive failures");
-  s.kurse1.change(says("101.42"));
-  s.kurse2.change(says("101.42"));
+  s.price_node->logged("is ejected: too many consecutive failures");
+  s.kurse1.change(responds("101.42"));
+  s.kurse2.change(responds("101.42"));
   const auto until = clock::now() + 10s;
   while (part(s.answer(), "kurse") != "fresh 101.42") CHECK(clock::now() < until);
   for (int i = 0; i < 20; ++i) CHECK(part(s.answer(), "kurse") == "fresh 101.42");
 }
 
-// A caller that leaves, and a drain in the middle.
-void leaves_and_drains() {
+// A client that disconnects cancels its sub-requests; at a shutdown notice a request with a stalled part is
+// answered with the other parts before the process ends.
+void client_disconnect_and_shutdown_during_fan_out() {
   site s(two_parts);
-  s.kurse1.change(does(manner::whole, 10s));
-  s.kurse2.change(does(manner::whole, 10s));
+  s.kurse1.change(behaves(manner::whole, 10s));
+  s.kurse2.change(behaves(manner::whole, 10s));
   {
     connection c = s.ask();
     const auto until = clock::now() + 5s;
@@ -194,46 +203,51 @@
   while (s.kurse1.hung_up + s.kurse2.hung_up == 0) CHECK(clock::now() < until);
   connection c = s.ask();
   while (s.kurse1.requests + s.kurse2.requests < 2) CHECK(clock::now() < until + 5s);
-  s.n->signal(SIGTERM);
+  s.price_node->signal(SIGTERM);
   const std::string a = c.rest();
-  CHECK(has(a, "Partial: yes") && part(a, "stamm") == "fresh DAX");
-  CHECK(s.n->wait() == 0);
+  CHECK(contains(a, "Partial: yes") && part(a, "stamm") == "fresh DAX");
+  CHECK(s.price_node->wait() == 0);
 }
 
-void plans_are_checked() {
-  const auto fault = [](const std::string& parts) {
+// An unusable plan in the operator's file stops the start with file, line and key.
+void unusable_plans_stop_the_start() {
+  const auto start_error = [](const std::string& parts) {
     runtime r;
     node_options o;
     o.aim_ms = 2900;
-    const std::string at = "\"" + own_host() + ":1\"";
+    const std::string endpoint = "\"" + own_host() + ":1\"";
     o.operators =
-        "uwsgi {\n listen = \"" + own_host() + ":" + std::to_string(free_port()) + "\"\n servers = {" + at +
-        "}\n class_var = P\n tenant_var = T\n}\ndependency kurse {\n endpoints = {" + at +
-        "}\n budget = 2s\n}\ndependency ersatz {\n endpoints = {" + at + "}\n budget = 2s\n}\n" + parts;
+        "uwsgi {\n listen = \"" + own_host() + ":" + std::to_string(free_port()) + "\"\n servers = {" +
+        endpoint + "}\n class_var = P\n tenant_var = T\n}\ndependency kurse {\n endpoints = {" + endpoint +
+        "}\n budget = 2s\n}\ndependency ersatz {\n endpoints = {" + endpoint + "}\n budget = 2s\n}\n" + parts;
     node n(r, o);
     CHECK(n.wait() == 1);
     return n.log();
   };
   const std::string head = "part kurse {\n class = kurs-abfrage\n";
-  CHECK(has(fault(head + " from = kurse\n fallback = {\"dependency ersatz\"}\n}\n"),
-            "operators.conf:17: part \"kurse\".from needs 4000ms for its dependencies in sequence"));
-  CHECK(has(fault(head + " from = kurse\n fallback = {\"dependency kurse\"}\n}\n"),
-            "which the part already calls"));
-  CHECK(has(fault(head + " from = none\n}\n"),
-            "operators.conf:17: part \"kurse\".from names no dependency: \"none\""));
-  CHECK(has(fault(head + " from = kurse\n fallback = {\"stale soon\"}\n}\n"),
-            "operators.conf:18: part \"kurse\".fallback is none of"));
-  CHECK(has(fault("part kurse {\n class = kurs-meldung\n from = kurse\n}\n"),
-            "has an effect: only reads are gathered"));
+  CHECK(contains(start_error(head + " from = kurse\n fallback = {\"dependency ersatz\"}\n}\n"),
+                 "operators.conf:17: part \"kurse\".from needs 4000ms for its dependencies in sequence"));
+  CHECK(contains(start_error(head + " from = kurse\n fallback = {\"dependency kurse\"}\n}\n"),
+                 "which the part already calls"));
+  CHECK(contains(start_error(head + " from = none\n}\n"),
+                 "operators.conf:17: part \"kurse\".from names no dependency: \"none\""));
+  CHECK(contains(start_error(head + " from = kurse\n fallback = {\"stale soon\"}\n}\n"),
+                 "operators.conf:18: part \"kurse\".fallback is none of"));
+  CHECK(contains(start_error("part kurse {\n class = kurs-meldung\n from = kurse\n}\n"),
+                 "has an effect: only reads are gathered"));
 }
 
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {
-      {"gathers", gathers_parts},    {"stalls", one_stalls},        {"another", tries_another_endpoint},
-      {"falls_back", falls_back},    {"required", a_required_part}, {"comes_back", comes_back},
-      {"leaves", leaves_and_drains}, {"plans", plans_are_checked}};
+  const std::map<std::string, void (*)()> tests = {{"gathers", fan_out_assembles_the_parts},
+                                                   {"stalls", stalled_dependency_gives_a_partial_response},
+                                                   {"another", next_attempt_goes_to_another_endpoint},
+                                                   {"falls_back", fallbacks_are_tried_in_order},
+                                                   {"required", missing_required_part_fails_the_request},
+                                                   {"comes_back", recovered_endpoints_are_used_again},
+                                                   {"leaves", client_disconnect_and_shutdown_during_fan_out},
+                                                   {"plans", unusable_plans_stop_the_start}};
   tests.at(argv[1])();
   return 0;
 }
