--- a/tests/net/console_client.hpp
+++ b/tests/net/console_client.hpp
@@ -5,22 +5,22 @@
 
 namespace harness {
 
-// One call: the whole answer, up to the close.
-inline std::string call(int port, const std::string& line) {
+// Sends one command and returns the whole answer, up to the close of the connection.
+inline std::string call(int port, const std::string& command) {
   connection c = connection::to(port);
-  c.send(line);
+  c.send(command);
   return c.rest();
 }
 
-// Until the console's address takes connections.
+// Waits until the console accepts connections.
 inline void wait_console(int port) {
   const auto until = clock::now() + std::chrono::milliseconds(patience_ms);
   while (true) {
     const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    const sockaddr_in a = address_of(port);
-    const bool up = ::connect(fd, reinterpret_cast<const sockaddr*>(&a), sizeof a) == 0;
+    const sockaddr_in address = address_of(port);
+    const bool connected = ::connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
     ::close(fd);
-    if (up) return;
+    if (connected) return;
     CHECK(clock::now() < until);
     std::this_thread::sleep_for(10ms);
   }
