--- a/tests/peers/idle_runtime.hpp
+++ b/tests/peers/idle_runtime.hpp
@@ -1,5 +1,5 @@
-// A runtime on which nothing runs: it only has to be there, for any number of nodes, also one after the
-// other.
+// A fake runtime that answers sync and gauges on a thread of its own and runs nothing. Any number of nodes
+// may connect to it, at once or one after another.
 #pragma once
 
 #include <atomic>
@@ -14,45 +14,45 @@
  public:
   idle_runtime() : thread_([this] { serve(); }) {}
   ~idle_runtime() {
-    over_ = true;
+    stopping_ = true;
     thread_.join();
   }
 
-  harness::runtime at;  // for the nodes' configuration; nobody else uses it
+  harness::runtime at;  // the listener that the nodes' configuration names
 
  private:
   struct link {
-    frail talk;
+    frail connection;
     std::string in;
   };
 
   void serve() {
     std::list<link> links;
-    while (!over_) {
-      std::vector<pollfd> all = {{at.door.fd(), POLLIN, 0}};
-      for (const link& l : links) all.push_back({l.talk.fd(), POLLIN, 0});
-      ::poll(all.data(), all.size(), 20);
+    while (!stopping_) {
+      std::vector<pollfd> polled = {{at.door.fd(), POLLIN, 0}};
+      for (const link& l : links) polled.push_back({l.connection.fd(), POLLIN, 0});
+      ::poll(polled.data(), polled.size(), 20);
       std::size_t i = 1;
       for (auto l = links.begin(); l != links.end(); ++i) {
-        const bool ended = all[i].revents != 0 && !l->talk.more(l->in, 0);
+        const bool ended = polled[i].revents != 0 && !l->connection.more(l->in, 0);
         answer(*l);
-        l = ended || !l->talk.good() ? links.erase(l) : std::next(l);
+        l = ended || !l->connection.good() ? links.erase(l) : std::next(l);
       }
-      if (all[0].revents != 0) links.push_back({frail::accepted(at.door.fd()), {}});
+      if (polled[0].revents != 0) links.push_back({frail::accepted(at.door.fd()), {}});
     }
   }
   static void answer(link& l) {
     for (std::size_t end; (end = l.in.find('\n')) != std::string::npos; l.in.erase(0, end + 1)) {
       const std::string line = l.in.substr(0, end);
       const std::string msg = harness::member(line, "msg");
-      if (msg == "sync") l.talk.send("{\"msg\":\"ready\",\"how\":\"running\",\"duration\":60000}\n");
+      if (msg == "sync") l.connection.send("{\"msg\":\"ready\",\"how\":\"running\",\"duration\":60000}\n");
       if (msg == "gauges")
-        l.talk.send("{\"msg\":\"load\",\"cookie\":\"" + harness::member(line, "cookie") +
-                    "\",\"stats\":[0.2,1,0.1,3]}\n");
+        l.connection.send("{\"msg\":\"load\",\"cookie\":\"" + harness::member(line, "cookie") +
+                          "\",\"stats\":[0.2,1,0.1,3]}\n");
     }
   }
 
-  std::atomic<bool> over_ = false;
+  std::atomic<bool> stopping_ = false;
   std::thread thread_;
 };
 
--- a/tests/peers/quick_runtime.hpp
+++ b/tests/peers/quick_runtime.hpp
@@ -8,7 +8,8 @@
 
 namespace peers {
 
-// A runtime that ends each run at once with its body, on a thread of its own, until it is told to stop.
+// A fake runtime that ends each run at once and returns the request body as its result. It serves one node on
+// a thread of its own from start() to its destruction.
 class quick_runtime {
  public:
   void start() {
--- a/tests/peers/uwsgi_server.hpp
+++ b/tests/peers/uwsgi_server.hpp
@@ -1,5 +1,5 @@
-// A fake uwsgi server behind the node: one thread, any number of connections. A function of the test says for
-// each request when, and how well or badly, it is answered.
+// A fake uwsgi server for the node's upstream calls: one thread, any number of connections. A function of the
+// test decides for each request the delay and the kind of the response, faults included.
 #pragma once
 
 #include <atomic>
@@ -15,31 +15,35 @@
 
 using namespace std::chrono_literals;
 
+// A request as the server received it.
 struct uwsgi_request {
   std::map<std::string, std::string> vars;
   std::string body;
 };
 
+// The kinds of responses and faults.
 enum class manner {
-  whole,    // the response, at once
+  whole,    // a complete 200 response
   busy,     // 503 with Retry-After: 1
   error,    // 500
   refuse,   // 409
-  reset,    // closes without a byte
-  half,     // half of the response, then closes
-  hang,     // the first byte, then nothing
-  garbage,  // no HTTP
-  huge,     // a body without end
+  reset,    // closes the connection without a response
+  half,     // sends half of the response, then closes
+  hang,     // sends the first byte, then nothing
+  garbage,  // sends bytes that are not HTTP
+  huge,     // sends a large body without Content-Length
 };
 
+// The response to one request.
 struct reaction {
-  std::chrono::microseconds after{};
+  std::chrono::microseconds after{};  // the delay
   manner how = manner::whole;
   std::string body = "ok";
 };
 
 class uwsgi_server {
  public:
+  // Decides the response to a request; called on the server's thread under a lock.
   using script = std::function<reaction(const uwsgi_request&)>;
 
   explicit uwsgi_server(script s) : script_(std::move(s)) {
@@ -47,15 +51,16 @@
     thread_ = std::thread([this] { serve(); });
   }
   ~uwsgi_server() {
-    over_ = true;
+    stopping_ = true;
     thread_.join();
     for (auto& [fd, c] : open_) ::close(fd);
   }
   int port() const { return listener_.port; }
   std::string address() const { return harness::own_host() + ":" + std::to_string(listener_.port); }
 
-  // From any thread.
-  std::atomic<int> requests = 0, most_open = 0, hung_up = 0;  // hung_up: by the node, before the answer
+  // The following members may be used from any thread. most_open: the highest number of open connections so
+  // far; hung_up: connections that the node closed before the whole response was sent.
+  std::atomic<int> requests = 0, most_open = 0, hung_up = 0;
   void change(script s) {
     const std::lock_guard lock(guard_);
     script_ = std::move(s);
@@ -70,11 +75,13 @@
     bool answered = false;
   };
 
-  static std::size_t le16(const std::string& s, std::size_t at) {
-    return static_cast<std::uint8_t>(s[at]) | static_cast<std::size_t>(static_cast<std::uint8_t>(s[at + 1]))
-                                                  << 8;
+  // The 16-bit little-endian number at `offset`.
+  static std::size_t le16(const std::string& bytes, std::size_t offset) {
+    return static_cast<std::uint8_t>(bytes[offset]) |
+           static_cast<std::size_t>(static_cast<std::uint8_t>(bytes[offset + 1])) << 8;
   }
-  static std::optional<uwsgi_request> whole(const std::string& in) {
+  // The request, once it has arrived completely.
+  static std::optional<uwsgi_request> parse_request(const std::string& in) {
     if (in.size() < 4 || in.size() < 4 + le16(in, 1)) return std::nullopt;
     uwsgi_request r;
     const std::size_t end = 4 + le16(in, 1);
@@ -94,67 +101,68 @@
   }
 
   void serve() {
-    while (!over_) {
-      std::vector<pollfd> all = {{listener_.fd(), POLLIN, 0}};
-      int wait = 20;
-      for (const auto& [fd, t] : open_) {
-        all.push_back({fd, POLLIN, 0});
-        if (t.answer && !t.answered)
-          wait = std::clamp<int>(static_cast<int>((t.due - clock::now()) / 1ms), 0, wait);
+    while (!stopping_) {
+      std::vector<pollfd> polled = {{listener_.fd(), POLLIN, 0}};
+      int wait_ms = 20;
+      for (const auto& [fd, state] : open_) {
+        polled.push_back({fd, POLLIN, 0});
+        if (state.answer && !state.answered)
+          wait_ms = std::clamp<int>(static_cast<int>((state.due - clock::now()) / 1ms), 0, wait_ms);
       }
-      ::poll(all.data(), all.size(), wait);
-      if (all[0].revents != 0) {
+      ::poll(polled.data(), polled.size(), wait_ms);
+      if (polled[0].revents != 0) {
         for (int fd; (fd = ::accept4(listener_.fd(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK)) >= 0;)
           open_[fd];
         most_open = std::max<int>(most_open, static_cast<int>(open_.size()));
       }
-      for (std::size_t i = 1; i < all.size(); ++i) {
-        if (all[i].revents != 0) read(all[i].fd);
+      for (std::size_t i = 1; i < polled.size(); ++i) {
+        if (polled[i].revents != 0) read(polled[i].fd);
       }
       std::vector<int> due;
-      for (const auto& [fd, t] : open_) {
-        if (t.answer && !t.answered && t.due <= clock::now()) due.push_back(fd);
+      for (const auto& [fd, state] : open_) {
+        if (state.answer && !state.answered && state.due <= clock::now()) due.push_back(fd);
       }
       for (const int fd : due) answer(fd);
     }
   }
   void read(int fd) {
-    connection_state& t = open_[fd];
+    connection_state& state = open_[fd];
     char chunk[8192];
     const ssize_t n = ::recv(fd, chunk, sizeof chunk, 0);
     if (n < 0 && errno == EAGAIN) return;
     if (n <= 0) {
-      if (t.answer && !t.answered) ++hung_up;
+      if (state.answer && !state.answered) ++hung_up;
       ::close(fd);
       open_.erase(fd);
       return;
     }
-    t.in.append(chunk, static_cast<std::size_t>(n));
-    if (t.answer) return;
-    if (const auto r = whole(t.in)) {
+    state.in.append(chunk, static_cast<std::size_t>(n));
+    if (state.answer) return;
+    if (const auto r = parse_request(state.in)) {
       ++requests;
       const std::lock_guard lock(guard_);
-      t.answer = script_(*r);
-      t.due = clock::now() + t.answer->after;
+      state.answer = script_(*r);
+      state.due = clock::now() + state.answer->after;
     }
   }
   void answer(int fd) {
-    connection_state& t = open_[fd];
-    const std::string good = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(t.answer->body.size()) +
-                             "\r\n\r\n" + t.answer->body;
-    t.answered = true;
+    connection_state& state = open_[fd];
+    const std::string response =
+        "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(state.answer->body.size()) + "\r\n\r\n" +
+        state.answer->body;
+    state.answered = true;
     bool close = true;
-    switch (t.answer->how) {
-      case manner::whole: put(fd, good); break;
+    switch (state.answer->how) {
+      case manner::whole: put(fd, response); break;
       case manner::busy: put(fd, "HTTP/1.1 503 Busy\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"); break;
       case manner::error: put(fd, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"); break;
       case manner::refuse: put(fd, "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"); break;
       case manner::reset: break;
-      case manner::half: put(fd, good.substr(0, good.size() / 2)); break;
+      case manner::half: put(fd, response.substr(0, response.size() / 2)); break;
       case manner::hang:
-        put(fd, good.substr(0, 1));
-        t.answered = false;
-        t.due = clock::now() + 1h;
+        put(fd, response.substr(0, 1));
+        state.answered = false;
+        state.due = clock::now() + 1h;
         close = false;
         break;
       case manner::garbage: put(fd, "\x01\x02 no response at all\r\n\r\n"); break;
@@ -172,7 +180,7 @@
   std::mutex guard_;
   script script_;
   std::map<int, connection_state> open_;
-  std::atomic<bool> over_ = false;
+  std::atomic<bool> stopping_ = false;
   std::thread thread_;
 };
 
