--- a/tests/net/fleet_test.cpp
+++ b/tests/net/fleet_test.cpp
@@ -1,5 +1,5 @@
-// A cluster of nine price nodes in three zones on loopback: membership, zones decided in common and
-// locality-aware calls, with faults between the processes (ctest -L failover).
+// A cluster of nine price nodes in three zones on loopback: membership, majority votes on zones, and
+// locality-aware calls, with network faults between the processes (ctest -L failover).
 #include "../cluster/routed.hpp"
 #include "membership/wire.hpp"
 
@@ -8,10 +8,12 @@
 
 namespace {
 
+// Nine nodes that start together find each other and consider all members alive and all zones in.
 void converges() {
   test_cluster f({.regions = {"r0", "r0", "r1"}});
   f.wait_until_healthy();
-  std::this_thread::sleep_for(3s);  // past the start's grace: a member never heard of would count as gone now
+  // Waits out the grace period after a start: a member that never answered would be considered dead now.
+  std::this_thread::sleep_for(3s);
   f.wait_until_healthy();
   CHECK(f.declared_out(f.all()) == 0);
   const std::string text = f.members_seen_by(4);
@@ -20,8 +22,9 @@
   CHECK(f.zones_seen_by(4).find("\nregion r0 in 2/2\nregion r1 in 1/1\nEOF\n") != std::string::npos);
 }
 
-// A whole zone killed at once: the others decide it out, and with it its region; restarted with the same
-// addresses and new incarnations, it is in again after the hold-down.
+// All nodes of a zone are killed at once: the others vote the zone out, and its region with it. After a
+// restart with the same addresses and new incarnations the zone is voted in again once the hold-down has
+// passed.
 void zone_killed_and_restarted() {
   test_cluster f({.regions = {"r0", "r0", "r1"}});
   f.wait_until_healthy();
@@ -34,8 +37,8 @@
   f.at(0).logged("failover: zone z2 decided in by majority vote, epoch 2");
 }
 
-// One node killed and restarted with its address: dead, then alive with a higher incarnation; its zone stays
-// in.
+// One node is killed and restarted on the same address: it is considered dead, then alive with a higher
+// incarnation. Its zone stays in.
 void restarted_alone() {
   test_cluster f;
   f.wait_until_healthy();
@@ -45,18 +48,19 @@
     const std::size_t at = text.find(line);
     return at == std::string::npos ? 0 : std::stoull(text.substr(at + line.size()));
   };
-  const auto before = incarnation();
-  CHECK(before > 0);
+  const auto first_incarnation = incarnation();
+  CHECK(first_incarnation > 0);
   f.kill(4);
   f.wait_for_member_line(0, f.address(4) + " z1 r0 dead");
   f.start(4);
   f.wait_until_healthy();
-  CHECK(incarnation() > before);
+  CHECK(incarnation() > first_incarnation);
   CHECK(f.declared_out(f.all()) == 0);
 }
 
-// The cut-off zone 2 holds no quorum and decides nobody out; the others decide it out, once.
-void cut_off(bool both_ways) {
+// Zone 2 is partitioned from the others: it has no quorum and votes no zone out; the other two vote it out
+// exactly once. With `both_ways` false only the datagrams from zone 2 to the others are lost.
+void zone_partitioned(bool both_ways) {
   test_cluster f;
   f.wait_until_healthy();
   for (const int other : {0, 1}) {
@@ -64,19 +68,19 @@
     if (both_ways) f.relay->cut(other, 2);
   }
   f.wait_for_zone(f.members_of(0, 2), 2, true);
-  std::this_thread::sleep_for(2s);  // the cut-off side has observed and voted meanwhile
+  std::this_thread::sleep_for(2s);  // the partitioned zone has voted by then, without a quorum
   for (const int i : f.members_of(2, 3))
     for (const int z : {0, 1})
       CHECK(f.zones_seen_by(i).find(f.zone_line(z, false) + " 0 ") != std::string::npos);
-  CHECK(f.declared_out(f.members_of(0, 2)) == 6);  // z2, once each
+  CHECK(f.declared_out(f.members_of(0, 2)) == 6);  // one vote-out of z2 at each of the six nodes
   f.relay->heal();
   f.wait_until_healthy();
 }
 
-// Zone 2 comes and goes every 500 ms for 8 s: decided out once, and not in again before it was stable for the
-// hold-down (2 s). Half a second is less than a suspicion takes: its members stay alive, only probes go
-// unanswered.
-void flapping() {
+// Zone 2 is reachable and unreachable in turn, 500 ms each, for 8 s: it is voted out once, and not in again
+// before it was stable for the hold-down (2 s). 500 ms is less than the suspicion timeout, so that its
+// members stay alive and only probes fail.
+void flapping_zone() {
   test_cluster f({.hold_down = "2s"});
   f.wait_until_healthy();
   f.relay->cut_both_ways(2, 0);
@@ -97,8 +101,8 @@
   for (const int i : f.members_of(0, 2)) CHECK(statistic(f.console(i), "fleet.declared_back") == 1);
 }
 
-// Two partitions at once: zone 2 is decided out, then zones 0 and 1 lose each other too, so that nobody holds
-// a quorum; then both heal at the same instant.
+// Zone 2 is partitioned and voted out, then zones 0 and 1 are partitioned from each other too, so that no
+// side has a quorum; both partitions heal at the same instant. No further zone may be voted out.
 void two_partitions_heal_at_once() {
   test_cluster f;
   f.wait_until_healthy();
@@ -115,9 +119,9 @@
   CHECK(f.declared_out(f.members_of(0, 2)) == 6 && f.declared_out(f.members_of(2, 3)) == 0);
 }
 
-// A fifth of all datagrams lost, a tenth sent twice, each delayed by up to 30 ms so that they overtake each
-// other, for eight seconds: no zone is decided out.
-void lossy() {
+// For eight seconds a fifth of all datagrams is lost, a tenth is duplicated, and each is delayed by up to 30
+// ms, so that they are reordered: no zone is voted out.
+void lossy_network() {
   test_cluster f;
   f.wait_until_healthy();
   f.relay->lose(0.2);
@@ -140,23 +144,26 @@
   ::close(fd);
 }
 
-// Datagrams of another cluster, of a later version, and garbage: each is counted on its own, none disturbs
-// the cluster.
+// Datagrams of another cluster, of a later wire version and with invalid bytes are counted separately and
+// change nothing in the cluster.
 void unknown_datagrams_are_counted_and_dropped() {
   test_cluster f;
   f.wait_until_healthy();
   using namespace marblewharf::membership;
-  // A member_update that member 1 is dead, in another cluster's name: member 0 must not believe it.
-  const message lie{message_kind::ping,
-                    member_update{"127.0.0.9:1", "z0", "r0", 1, member_status::alive},
-                    1,
-                    "",
-                    {member_update{f.address(1), "z0", "r0", 1'000'000'000'000'000, member_status::dead}},
-                    {}};
-  send_datagram(f.udp(0), encode("renten", lie));
-  std::string later = encode("kurse", lie);
-  later[7] = static_cast<char>(wire_version + 1);  // fixarray, fixstr "kurse" (6 bytes), then the version
-  send_datagram(f.udp(0), later);
+  // Reports member 1 as dead. Member 0 must ignore the report under another cluster's name or a later
+  // version.
+  const message false_report{
+      message_kind::ping,
+      member_update{"127.0.0.9:1", "z0", "r0", 1, member_status::alive},
+      1,
+      "",
+      {member_update{f.address(1), "z0", "r0", 1'000'000'000'000'000, member_status::dead}},
+      {}};
+  send_datagram(f.udp(0), encode("renten", false_report));
+  std::string later_version = encode("kurse", false_report);
+  // Byte 7 is the version, after the fixarray and the fixstr "kurse" (6 bytes).
+  later_version[7] = static_cast<char>(wire_version + 1);
+  send_datagram(f.udp(0), later_version);
   send_datagram(f.udp(0), "GET / HTTP/1.0\r\n\r\n");
   f.wait_until([&] { return statistic(f.console(0), "fleet.undecodable") == 1; }, 0);
   CHECK(statistic(f.console(0), "fleet.foreign") == 1);
@@ -166,10 +173,10 @@
   f.wait_until_healthy();
 }
 
-// Hot restart of a whole zone, with both processes running for longer than a suspicion takes, and one first
-// process killed meanwhile: nobody is declared dead, no zone is decided out, each second process joins with a
-// higher incarnation once it has the address.
-void replaced() {
+// Hot restart of all nodes of a zone, with both processes of a node running for longer than the suspicion
+// timeout and one first process killed: no member is declared dead and no zone is voted out. Each second
+// process joins with a higher incarnation once it has bound the address.
+void zone_hot_restarted() {
   test_cluster f;
   f.wait_until_healthy();
   for (const int i : f.members_of(1, 2)) f.start_replacement(i);
@@ -185,16 +192,16 @@
   }
   f.wait_until_healthy();
   for (const int i : f.members_of(1, 2)) f.at(i).logged("is now bound by this process");
-  std::this_thread::sleep_for(3s);  // past the start's grace
+  std::this_thread::sleep_for(3s);  // past the grace period after a start
   f.wait_until_healthy();
   CHECK(f.declared_out(f.all()) == 0);
 }
 
 // ---- Locality ---------------------------------------------------------------------------------------------
 
-// All healthy: every call stays in the zone. Its endpoints broken: the region takes them. The region's other
-// zone decided out as well: the rest does.
-void near_while_safe() {
+// Calls stay in the caller's zone while its endpoints are healthy. When they fail, calls go to the other zone
+// of the region; when that zone is voted out, calls go to the other region.
+void calls_prefer_the_nearest_locality() {
   locality_cluster r;
   r.f->wait_until_healthy();
   CHECK(locality_cluster::sum(r.count_calls(60), 0, 3) == 60);
@@ -203,7 +210,7 @@
       return peers::reaction{0us, peers::manner::reset, ""};
     });
   r.f->wait_until([&] { return locality_cluster::sum(r.count_calls(10, false), 0, 3) == 0; },
-                  0);  // some fail until all three are ejected
+                  0);  // some calls fail until all three endpoints are ejected
   CHECK(locality_cluster::sum(r.count_calls(60), 3, 6) == 60);
   for (const int i : r.f->members_of(1, 2)) r.f->kill(i);
   r.f->wait_for_zone({0}, 1, true);
@@ -211,8 +218,8 @@
   CHECK(statistic(r.f->console(0), "dependency.kurse.calls_rest") == 60);
 }
 
-// Cut off from the others, a zone keeps calling its own endpoints; it decides nothing out.
-void cut_off_serves_on() {
+// A zone that is partitioned from the others keeps calling its own endpoints and votes no zone out.
+void partitioned_zone_keeps_serving() {
   locality_cluster r;
   r.f->wait_until_healthy();
   r.f->relay->cut_both_ways(0, 1);
@@ -225,20 +232,21 @@
   r.f->wait_until_healthy();
 }
 
-// A node paused past its suspicion timeout and resumed: no calls go to its place while it is suspect or dead;
-// then it refutes with a higher incarnation, and calls go there again. Its zone, two of three alive, stays
-// in.
+// A node is paused past its suspicion timeout and resumed: no calls go to the endpoint next to it while it is
+// suspect or dead. It then refutes the report with a higher incarnation, and calls go there again. Its zone
+// stays in, because two of its three members are alive.
 void paused_and_resumed() {
-  // Places by member: their addresses are known once the relay runs, so node 0 is restarted with them.
+  // The places of the endpoints are member addresses here. They are known only after the relay has started,
+  // so that node 0 is restarted with them.
   locality_cluster r;
   r.places.clear();
   for (int i = 0; i < 9; ++i) r.places += (i > 0 ? ", \"" : "\"") + r.f->address(i) + "\"";
   r.f->start(0);
   r.f->wait_until_healthy();
-  // A call that this machine made slow keeps others away for some of `fade`: it is waited for, not counted at
-  // once.
-  const auto shares = [&] { return r.count_calls(30)[1] > 5; };
-  r.f->wait_until(shares, 0);
+  // A call that is slow on a busy machine reduces the endpoint's share of calls for part of `fade`, so that
+  // the test waits until the endpoint gets its share instead of checking one sample.
+  const auto endpoint_has_its_share = [&] { return r.count_calls(30)[1] > 5; };
+  r.f->wait_until(endpoint_has_its_share, 0);
   r.f->at(1).signal(SIGSTOP);
   r.f->wait_for_member_line(0, r.f->address(1) + " z0 r0 suspect");
   CHECK(r.count_calls(60)[1] == 0);
@@ -246,7 +254,7 @@
   CHECK(r.count_calls(60)[1] == 0);
   r.f->at(1).signal(SIGCONT);
   r.f->wait_until_healthy();
-  r.f->wait_until(shares, 0);
+  r.f->wait_until(endpoint_has_its_share, 0);
   CHECK(r.f->declared_out(r.f->all()) == 0);
 }
 
@@ -266,21 +274,21 @@
   else if (name == "unknown_members")
     unknown_datagrams_are_counted_and_dropped();
   else if (name == "cut_both_ways")
-    cut_off(true);
+    zone_partitioned(true);
   else if (name == "cut_one_way")
-    cut_off(false);
+    zone_partitioned(false);
   else if (name == "flapping")
-    flapping();
+    flapping_zone();
   else if (name == "heal_at_once")
     two_partitions_heal_at_once();
   else if (name == "lossy")
-    lossy();
+    lossy_network();
   else if (name == "replaced")
-    replaced();
+    zone_hot_restarted();
   else if (name == "near")
-    near_while_safe();
+    calls_prefer_the_nearest_locality();
   else if (name == "cut_off_serves")
-    cut_off_serves_on();
+    partitioned_zone_keeps_serving();
   else
     CHECK(false);
   std::printf("%s passed\n", name.c_str());
