--- a/tests/net/ops_test.cpp
+++ b/tests/net/ops_test.cpp
@@ -124,8 +124,8 @@
 
   CHECK(is_healthy(w.price_node.port));
   CHECK(first_line(call(w.console_port, "drain\n")).rfind("200", 0) == 0);
-  CHECK(first_line(call(w.console_port, "drain\r\n")).rfind("200", 0) ==
-        0);  // a second drain changes nothing
+  // A second drain changes nothing.
+  CHECK(first_line(call(w.console_port, "drain\r\n")).rfind("200", 0) == 0);
   CHECK(!is_healthy(w.price_node.port));
   // A draining node still serves the requests that arrive.
   c.send(execute(3, usual(3), "c"));
--- a/tests/net/uwsgi_test.cpp
+++ b/tests/net/uwsgi_test.cpp
@@ -166,8 +166,8 @@
 // Guards against gateways that open connections and send nothing or only part of a packet: they must not use
 // up the connections that others need.
 void idle_connections_do_not_block_gateways() {
-  site s({.edit_from = "\"sockets\":1024",
-          .edit_to = "\"sockets\":128"});  // 16 of these sockets are for gateways
+  // 16 of the 128 sockets are for gateways.
+  site s({.edit_from = "\"sockets\":1024", .edit_to = "\"sockets\":128"});
   std::vector<connection> idle;
   for (int i = 0; i < 40; ++i) idle.push_back(s.caller(""));
   connection incomplete = s.caller(request(read_path, "isar-invest", "abc").substr(0, 20));
