--- a/tests/embedding/main.cpp
+++ b/tests/embedding/main.cpp
@@ -1,4 +1,5 @@
-// One request through arrival, start, a call and its end, one refused in a drain, and the stop.
+// The deprecated names of the package `wrenrill` as an outside project uses them: one request is started and
+// gets its dependency call; a second request, which arrives after the shutdown notice, is refused.
 #include <algorithm>
 #include <cstdio>
 #include <vector>
@@ -9,16 +10,16 @@
 namespace {
 
 template <typename T>
-bool has(const std::vector<wrenrill::action>& actions, wrenrill::request_id id) {
+bool contains(const std::vector<wrenrill::action>& actions, wrenrill::request_id id) {
   return std::any_of(actions.begin(), actions.end(), [id](const wrenrill::action& a) {
-    const T* t = std::get_if<T>(&a);
-    return t != nullptr && t->id == id;
+    const T* matching = std::get_if<T>(&a);
+    return matching != nullptr && matching->id == id;
   });
 }
 
-void expect(bool good, const char* what, int& failures) {
-  if (good) return;
-  std::printf("failed: %s\n", what);
+void expect(bool condition, const char* expectation, int& failures) {
+  if (condition) return;
+  std::printf("failed: %s\n", expectation);
   ++failures;
 }
 
@@ -40,14 +41,16 @@
   const auto send = [&](wrenrill::time_point now, std::vector<wrenrill::event> events) {
     return policy.handle(now, events);
   };
-  expect(has<wrenrill::start>(send(1ms, {first}), 1), "an idle server starts what arrives", failures);
-  expect(has<wrenrill::place_call>(send(20ms, {wrenrill::call_needed{1}}), 1), "its call is placed",
+  expect(contains<wrenrill::start>(send(1ms, {first}), 1), "an idle server starts an arriving request",
          failures);
+  expect(contains<wrenrill::place_call>(send(20ms, {wrenrill::call_needed{1}}), 1),
+         "its dependency call is placed", failures);
   send(40ms, {wrenrill::call_ended{1, wrenrill::outcome::ok, 20ms}});
   send(60ms, {wrenrill::completion{1, wrenrill::outcome::ok, 59ms}});
   send(70ms, {wrenrill::notice{3s}});
   wrenrill::arrival late;
   late.id = 2;
-  expect(has<wrenrill::refuse>(send(1500ms, {late}), 2), "what comes after the grace is refused", failures);
+  expect(contains<wrenrill::refuse>(send(1500ms, {late}), 2),
+         "a request that arrives after the drain's grace period is refused", failures);
   return failures;
 }
--- a/tests/embedding_admission_policy/main.cpp
+++ b/tests/embedding_admission_policy/main.cpp
@@ -1,4 +1,5 @@
-// One request through arrival, start, a call and its end, one refused in a drain, and the stop.
+// The installed package `admission_policy` as an outside project uses it: one request is started and gets its
+// dependency call; a second request, which arrives after the shutdown notice, is rejected.
 #include <admission_policy/policy.hpp>
 #include <algorithm>
 #include <cstdio>
@@ -9,16 +10,16 @@
 namespace {
 
 template <typename T>
-bool has(const std::vector<admission_policy::action>& actions, admission_policy::request_id id) {
+bool contains(const std::vector<admission_policy::action>& actions, admission_policy::request_id id) {
   return std::any_of(actions.begin(), actions.end(), [id](const admission_policy::action& a) {
-    const T* t = std::get_if<T>(&a);
-    return t != nullptr && t->id == id;
+    const T* matching = std::get_if<T>(&a);
+    return matching != nullptr && matching->id == id;
   });
 }
 
-void expect(bool good, const char* what, int& failures) {
-  if (good) return;
-  std::printf("failed: %s\n", what);
+void expect(bool condition, const char* expectation, int& failures) {
+  if (condition) return;
+  std::printf("failed: %s\n", expectation);
   ++failures;
 }
 
@@ -40,15 +41,16 @@
   const auto send = [&](admission_policy::time_point now, std::vector<admission_policy::event> events) {
     return policy.handle(now, events);
   };
-  expect(has<admission_policy::start>(send(1ms, {first}), 1), "an idle server starts what arrives", failures);
-  expect(has<admission_policy::place_call>(send(20ms, {admission_policy::call_needed{1}}), 1),
-         "its call is placed", failures);
+  expect(contains<admission_policy::start>(send(1ms, {first}), 1),
+         "an idle server starts an arriving request", failures);
+  expect(contains<admission_policy::place_call>(send(20ms, {admission_policy::call_needed{1}}), 1),
+         "its dependency call is placed", failures);
   send(40ms, {admission_policy::call_ended{1, admission_policy::outcome::ok, 20ms}});
   send(60ms, {admission_policy::completion{1, admission_policy::outcome::ok, 59ms}});
   send(70ms, {admission_policy::shutdown_notice{3s}});
   admission_policy::arrival late;
   late.id = 2;
-  expect(has<admission_policy::reject>(send(1500ms, {late}), 2), "what comes after the grace is refused",
-         failures);
+  expect(contains<admission_policy::reject>(send(1500ms, {late}), 2),
+         "a request that arrives after the drain's grace period is rejected", failures);
   return failures;
 }
