--- a/tests/net/keyed_test.cpp
+++ b/tests/net/keyed_test.cpp
@@ -161,8 +161,8 @@
   CHECK(read_reply(d).seqid == 2);
   c.reset();
   std::this_thread::sleep_for(200ms);
-  s.fake_runtime->end(call, "fine",
-                      "cQ==");  // the node has sent no stop for the run: expect("start") below would fail
+  // The node has sent no stop for the run: expect("start") below would fail.
+  s.fake_runtime->end(call, "fine", "cQ==");
   CHECK(result(read_reply(d)) == "q");
   // The only client disconnects: the run continues, and a later duplicate gets its result.
   {
@@ -296,7 +296,7 @@
   CHECK(s.fake_runtime->expect("start") == label(3));
 }
 
-// A queued primary that is rejected takes its waiting duplicate with it, and its key is released.
+// When a queued primary is rejected, its waiting duplicate is rejected too and the key is released.
 void rejected_primary_frees_its_key() {
   node_options o;
   o.cores = 1;
@@ -572,7 +572,7 @@
   connection c = s.thrift();
   std::string blob;
   for (int i = 0; i < 300; ++i) blob += "QUFB";
-  // A request that is no new key repeats the key of the number less 1000.
+  // With `new_key` false the request is a duplicate of request `number` - 1000.
   const auto ask = [&](int number, bool new_key) {
     c.send(write_of(number, number, "k" + std::to_string(new_key ? number : number - 1000)));
     if (new_key) s.fake_runtime->end(s.fake_runtime->expect("start"), "fine", blob);
--- a/tests/net/ops_test.cpp
+++ b/tests/net/ops_test.cpp
@@ -49,7 +49,7 @@
   return values;
 }
 
-// The answer to a health check on the Thrift port.
+// Whether the node answers a health check on its Thrift port with "healthy".
 bool is_healthy(int port) {
   connection c = connection::to(port);
   c.send(check(1));
@@ -401,8 +401,8 @@
   second.price_node.logged("is in use by another process");
   for (int i = 0; i < 10; ++i) CHECK(first_line(call(first.console_port, "drain\n")) == "200 draining");
   CHECK(first.price_node.log().find("drain: health") != std::string::npos);
-  CHECK(second.price_node.log().find("drain: health") ==
-        std::string::npos);  // no drain reached the successor
+  // No drain command reached the successor.
+  CHECK(second.price_node.log().find("drain: health") == std::string::npos);
   first.price_node.signal(SIGTERM);
   CHECK(first.price_node.wait() == 0);
   second.price_node.logged("which the other process has released");
--- a/tests/net/writing_test.cpp
+++ b/tests/net/writing_test.cpp
@@ -35,7 +35,7 @@
     const std::lock_guard lock(guard_);
     return steps_[key];
   }
-  // The number of transactions of which any step was received.
+  // The number of transactions that sent at least one step to this participant.
   std::size_t transactions() {
     const std::lock_guard lock(guard_);
     return transactions_.size();
@@ -175,7 +175,7 @@
   CHECK(rejected_with_retry_after(s.answer("late")));
   CHECK(s.konto.steps("late").empty() && s.buch.steps("late").empty());
   CHECK(site::status(s.answer("k3")) == "200" &&
-        s.konto.steps("k3") == "pc");  // a duplicate gets the stored answer
+        s.konto.steps("k3") == "pc");  // a duplicate gets the stored answer without further steps
   wait_until([&] { return site::status(s.answer("late")) == "200"; });
   CHECK(s.konto.steps("late") == "pc");
 }
@@ -200,8 +200,8 @@
 
 // Compaction keeps the folder within its configured size while more is written than fits into it: a write
 // that finds the folder full is rejected with a Retry-After, and accepted again once the first results have
-// expired and a background job has removed them. The second round, after a kill and a
-// restart of the node, behaves in the same way.
+// expired and a background job has removed them. The second round, after a kill and a restart of the node,
+// behaves in the same way.
 void compaction_bounds_the_folder() {
   site s({.write_aim_ms = 300, .window = "2s", .writes_settings = " segment = 1MiB\n space = 12MiB"});
   for (participant* p : {&s.konto, &s.buch})
