--- a/tests/net/cold_start_test.cpp
+++ b/tests/net/cold_start_test.cpp
@@ -1,4 +1,5 @@
-// Many real processes that start together: what all of them run while they are cold, and how soon they serve.
+// Tests of many real processes that start at the same time: how many requests they run in total during the
+// cold start, and how soon they serve.
 #include <array>
 #include <cmath>
 #include <map>
@@ -11,25 +12,25 @@
 
 namespace {
 
-constexpr std::size_t processes = 24;
+constexpr std::size_t process_count = 24;
 
-// The cold start as the harness's settings name it.
+// The cold start as the configuration of the harness sets it.
 constexpr double cores = 4, overload_factor = 5, start_capacity = 0.21, cold_s = 18;
 
-// The requests on the cores that a process survives so long after its start.
-double survivable(std::chrono::duration<double> age) {
+// How many requests a process of that age can run on its cores without overload.
+double sustainable_runs(std::chrono::duration<double> age) {
   const double speed = std::min(1.0, start_capacity + (1 - start_capacity) * age.count() / cold_s);
   return (1 + (overload_factor - 1) * speed) * cores;
 }
 
-// One price node with its runtime, which starts cold with it and keeps count of what runs on its cores.
-class member {
+// One price node and its runtime stub, which starts cold together with the node and records its runs.
+class cold_process {
  public:
-  member() { start(); }
+  cold_process() { start(); }
 
   void start() {
     options_.listen_port = port_;
-    options_.console_port = console_;
+    options_.console_port = console_port_;
     process_ = std::make_unique<node>(runtime_, options_);
     running_.clear();
   }
@@ -38,25 +39,26 @@
     runtime_.link.close();
   }
   void runtime_up() {
-    up_at_ = clock::now();  // before it says so: the process cannot be older
+    ready_at_ = clock::now();  // before `ready` is sent: the node is not older than this
     runtime_.up("starting", 0);
   }
-  bool is_ready() { return call(console_, "ready\n") == "200 yes\n"; }
+  bool is_ready() { return call(console_port_, "ready\n") == "200 yes\n"; }
 
-  void send(int first, int count) {
+  void send(int first_seqid, int count) {
     if (!client_) client_ = std::make_unique<connection>(connection::to(port_));
-    for (int i = first; i < first + count; ++i) client_->send(execute(i, usual(i), "a"));
+    for (int seqid = first_seqid; seqid < first_seqid + count; ++seqid)
+      client_->send(execute(seqid, usual(seqid), "a"));
   }
   void expect_served() { CHECK(read_reply(*client_).kind == "served"); }
 
-  // Takes one command that has come; false: none has.
-  bool take_command() {
+  // Handles one command that has arrived, and checks the limit of runs; returns false where none has arrived.
+  bool handle_command() {
     if (!runtime_.link.readable(0)) return false;
     const std::string line = runtime_.link.line();
     if (!runtime_.answer_gauges(line) && harness::member(line, "msg") == "start") {
       running_.push_back(harness::member(line, "call"));
       ++started_;
-      CHECK(static_cast<double>(running_.size()) <= allowed());
+      CHECK(static_cast<double>(running_.size()) <= allowed_runs());
     }
     return true;
   }
@@ -65,98 +67,101 @@
     running_.erase(running_.begin());
   }
 
-  double allowed() const { return survivable(clock::now() - up_at_); }
+  double allowed_runs() const { return sustainable_runs(clock::now() - ready_at_); }
   std::size_t running() const { return running_.size(); }
   std::size_t started() const { return started_; }
 
  private:
   runtime runtime_;
   int port_ = free_port();
-  int console_ = free_port();
+  int console_port_ = free_port();
   node_options options_;
   std::unique_ptr<node> process_;
   std::unique_ptr<connection> client_;
-  clock::time_point up_at_;
+  clock::time_point ready_at_;
   std::vector<std::string> running_;
   std::size_t started_ = 0;
 };
 
-using fleet = std::array<member, processes>;
+using process_group = std::array<cold_process, process_count>;
 
-void take_commands(fleet& all) {
-  bool any = true;
-  while (any) {
-    any = false;
-    for (member& m : all) any = m.take_command() || any;
+void handle_commands(process_group& group) {
+  bool any_handled = true;
+  while (any_handled) {
+    any_handled = false;
+    for (cold_process& process : group) any_handled = process.handle_command() || any_handled;
   }
 }
 
-// The sum of what all run, against the sum of what the settings allow them: without the 2 sqrt(N) + 2 that
-// the rule puts down to chance, as no part of it is chance here. Returns the highest share of the allowed
-// sum.
-double check_sum(const fleet& all) {
+// Checks the number of runs of all processes against the sum of their limits. The 2 sqrt(N) + 2 that the rule
+// adds for random variation is not added, because nothing here is random. Returns the share of the allowed
+// sum that is in use.
+double check_total_runs(const process_group& group) {
   double running = 0, allowed = 0;
-  for (const member& m : all) {
-    running += static_cast<double>(m.running());
-    allowed += m.allowed();
+  for (const cold_process& process : group) {
+    running += static_cast<double>(process.running());
+    allowed += process.allowed_runs();
   }
   CHECK(running <= allowed);
   return running / allowed;
 }
 
-// Far more is asked of every process at once than a cold one survives; first no run ends, then each does that
-// was started, so that others take its place.
-void the_ramp_holds_for_the_sum() {
-  fleet all;
-  for (member& m : all) m.runtime_up();
-  constexpr int asked = 32;
-  for (member& m : all) m.send(1, asked);
-  double most = 0;
-  const auto until = clock::now() + 2s;  // more than the span over which the crowd is averaged
+// Every process receives far more requests at once than a cold process can run. At first no run ends; then
+// every started run ends, so that waiting requests replace it. Guards against a slow start that admits more
+// runs than the limits of all processes allow in total.
+void slow_start_limits_total_runs() {
+  process_group group;
+  for (cold_process& process : group) process.runtime_up();
+  constexpr int requests_per_process = 32;
+  for (cold_process& process : group) process.send(1, requests_per_process);
+  double highest_share = 0;
+  // 2 s are longer than the interval over which the node averages its number of runs.
+  const auto until = clock::now() + 2s;
   while (clock::now() < until) {
-    take_commands(all);
-    most = std::max(most, check_sum(all));
+    handle_commands(group);
+    highest_share = std::max(highest_share, check_total_runs(group));
     std::this_thread::sleep_for(5ms);
   }
-  for (const member& m : all) CHECK(m.running() >= 1);
+  for (const cold_process& process : group) CHECK(process.running() >= 1);
   std::size_t started = 0;
   const auto churn_until = clock::now() + 2s;
   while (clock::now() < churn_until) {
-    for (member& m : all)
-      if (m.running() > 0) m.end_oldest_run();
-    take_commands(all);
-    most = std::max(most, check_sum(all));
+    for (cold_process& process : group)
+      if (process.running() > 0) process.end_oldest_run();
+    handle_commands(group);
+    highest_share = std::max(highest_share, check_total_runs(group));
     std::this_thread::sleep_for(5ms);
   }
-  for (const member& m : all) started += m.started();
-  std::printf("%zu cold processes: at the most %.2f of the allowed sum ran at once, %zu runs begun\n",
-              processes, most, started);
+  for (const cold_process& process : group) started += process.started();
+  std::printf(
+      "%zu cold processes: at most %.2f of the allowed total ran at the same time, %zu runs started\n",
+      process_count, highest_share, started);
 }
 
-// All are killed in one moment and start again under their addresses: nine in ten are ready within 10 s, and
-// each that says so serves.
-void all_restart_together() {
-  fleet all;
-  for (member& m : all) m.runtime_up();
-  for (member& m : all) m.kill();
+// All processes are killed at the same time and restart on their addresses: nine in ten must be ready within
+// 10 s, and each process that reports ready must serve.
+void simultaneous_restart() {
+  process_group group;
+  for (cold_process& process : group) process.runtime_up();
+  for (cold_process& process : group) process.kill();
   const auto begun = clock::now();
-  for (member& m : all) m.start();
-  for (member& m : all) m.runtime_up();
+  for (cold_process& process : group) process.start();
+  for (cold_process& process : group) process.runtime_up();
   std::size_t in_time = 0;
   auto slowest = clock::duration::zero();
-  for (member& m : all) {
-    while (!m.is_ready()) CHECK(clock::now() - begun < 60s);
+  for (cold_process& process : group) {
+    while (!process.is_ready()) CHECK(clock::now() - begun < 60s);
     slowest = std::max(slowest, clock::now() - begun);
     if (clock::now() - begun < 10s) ++in_time;
   }
-  std::printf("%zu of %zu ready within 10 s, the last after %.2f s\n", in_time, processes,
+  std::printf("%zu of %zu ready within 10 s, the last after %.2f s\n", in_time, process_count,
               std::chrono::duration<double>(slowest).count());
-  CHECK(in_time * 10 >= processes * 9);
-  for (member& m : all) {
-    m.send(1, 1);
-    while (m.running() == 0) m.take_command();
-    m.end_oldest_run();
-    m.expect_served();
+  CHECK(in_time * 10 >= process_count * 9);
+  for (cold_process& process : group) {
+    process.send(1, 1);
+    while (process.running() == 0) process.handle_command();
+    process.end_oldest_run();
+    process.expect_served();
   }
 }
 
@@ -164,8 +169,8 @@
 
 int main(int, char** argv) {
   const std::map<std::string, void (*)()> tests = {
-      {"ramp", the_ramp_holds_for_the_sum},
-      {"restart", all_restart_together},
+      {"slow_start", slow_start_limits_total_runs},
+      {"restart", simultaneous_restart},
   };
   const auto found = tests.find(argv[1] != nullptr ? argv[1] : "");
   CHECK(found != tests.end());
--- a/tests/net/harness.hpp
+++ b/tests/net/harness.hpp
@@ -1,5 +1,6 @@
-// Starts the real program as a process and talks to it as balancers, gateways, the runtime and uwsgi servers
-// would. Blocking sockets with generous limits: a test waits for what must happen, not for how fast.
+// Test harness: starts the real program as a process and plays its peers: balancers, gateways, the runtime
+// and uwsgi servers. Sockets block, with generous time limits, because a test waits for an event and does not
+// measure its latency.
 #pragma once
 
 #include <arpa/inet.h>
@@ -37,6 +38,7 @@
 using namespace std::chrono_literals;
 using clock = std::chrono::steady_clock;
 
+// How long a test waits for an expected event before it fails.
 constexpr int patience_ms = 10000;
 #ifdef __SANITIZE_ADDRESS__
 constexpr bool sanitized = true;
@@ -44,7 +46,8 @@
 constexpr bool sanitized = false;
 #endif
 
-// An address of this process's own, so that tests side by side do not meet.
+// The loopback address of this test process, derived from its process id, so that tests that run in parallel
+// use different addresses.
 inline std::string own_host() {
   const auto pid = static_cast<unsigned>(::getpid());
   return "127." + std::to_string(1 + pid / 65536 % 254) + "." + std::to_string(pid / 256 % 256) + "." +
@@ -52,29 +55,31 @@
 }
 
 inline sockaddr_in address_of(int port) {
-  sockaddr_in a{};
-  a.sin_family = AF_INET;
-  a.sin_port = htons(static_cast<std::uint16_t>(port));
-  CHECK(::inet_pton(AF_INET, own_host().c_str(), &a.sin_addr) == 1);
-  return a;
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(static_cast<std::uint16_t>(port));
+  CHECK(::inet_pton(AF_INET, own_host().c_str(), &address.sin_addr) == 1);
+  return address;
 }
 
+// A blocking TCP connection with a receive buffer. Owns its descriptor.
 class connection {
  public:
   explicit connection(int fd = -1) : fd_(fd) {}
-  connection(connection&& o) noexcept : fd_(std::exchange(o.fd_, -1)), in_(std::move(o.in_)) {}
-  connection& operator=(connection&& o) noexcept {
+  connection(connection&& other) noexcept
+      : fd_(std::exchange(other.fd_, -1)), received_(std::move(other.received_)) {}
+  connection& operator=(connection&& other) noexcept {
     close();
-    fd_ = std::exchange(o.fd_, -1);
-    in_ = std::move(o.in_);
+    fd_ = std::exchange(other.fd_, -1);
+    received_ = std::move(other.received_);
     return *this;
   }
   ~connection() { close(); }
 
   static connection to(int port) {
     const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    const sockaddr_in a = address_of(port);
-    CHECK(::connect(fd, reinterpret_cast<const sockaddr*>(&a), sizeof a) == 0);
+    const sockaddr_in address = address_of(port);
+    CHECK(::connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
     return connection(fd);
   }
   void close() {
@@ -87,7 +92,7 @@
       bytes.remove_prefix(static_cast<std::size_t>(n));
     }
   }
-  // False where the other side has gone.
+  // Returns false where the peer has closed or reset the connection.
   bool try_send(std::string_view bytes) {
     while (!bytes.empty()) {
       const ssize_t n = ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
@@ -96,100 +101,109 @@
     }
     return true;
   }
-  // The system keeps little of what comes and is not read.
-  void keep_little() {
+  // Reduces the socket's receive buffer to 4 KiB, so that unread bytes soon stop the sender.
+  void shrink_receive_buffer() {
     const int bytes = 4096;
     CHECK(::setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes) == 0);
   }
-  bool readable(int ms) const {
-    pollfd p{fd_, POLLIN, 0};
-    return !in_.empty() || ::poll(&p, 1, ms) > 0;
+  // Whether bytes or the end of the stream can be read within that time.
+  bool readable(int timeout_ms) const {
+    pollfd polled{fd_, POLLIN, 0};
+    return !received_.empty() || ::poll(&polled, 1, timeout_ms) > 0;
   }
-  // False at the end of the stream.
+  // Receives more bytes into the buffer; returns false at the end of the stream or after a reset.
   bool more() {
-    pollfd p{fd_, POLLIN, 0};
-    CHECK(::poll(&p, 1, patience_ms) > 0);
+    pollfd polled{fd_, POLLIN, 0};
+    CHECK(::poll(&polled, 1, patience_ms) > 0);
     char chunk[4096];
     const ssize_t n = ::recv(fd_, chunk, sizeof chunk, 0);
     if (n <= 0) return false;
-    in_.append(chunk, static_cast<std::size_t>(n));
+    received_.append(chunk, static_cast<std::size_t>(n));
     return true;
   }
+  // Receives and returns exactly that many bytes.
   std::string take(std::size_t size) {
-    while (in_.size() < size) CHECK(more());
-    const std::string taken = in_.substr(0, size);
-    in_.erase(0, size);
+    while (received_.size() < size) CHECK(more());
+    const std::string taken = received_.substr(0, size);
+    received_.erase(0, size);
     return taken;
   }
+  // Receives the next line and returns it without its line break; fails the test at the end of the stream.
   std::string line() {
-    std::string found;
-    CHECK(next(found));
-    return found;
+    std::string received_line;
+    CHECK(next(received_line));
+    return received_line;
   }
-  // False at the end of the stream.
+  // Receives the next line without its line break; returns false at the end of the stream.
   bool next(std::string& line) {
     std::size_t end;
-    while ((end = in_.find('\n')) == std::string::npos) {
+    while ((end = received_.find('\n')) == std::string::npos) {
       if (!more()) return false;
     }
     line = take(end + 1).substr(0, end);
     return true;
   }
+  // Receives until the end of the stream and returns the bytes.
   std::string rest() {
     while (more()) {
     }
-    return std::exchange(in_, {});
+    return std::exchange(received_, {});
   }
-  // What still comes, and whether the other side ended the stream in order: false where the connection was
-  // reset.
-  bool ends_in_order(std::string& rest) {
+  // Receives the remaining bytes of the stream into `rest`. Returns true where the peer closed the connection
+  // gracefully and false where it reset the connection.
+  bool closed_gracefully(std::string& rest) {
     while (true) {
-      pollfd p{fd_, POLLIN, 0};
-      CHECK(::poll(&p, 1, patience_ms) > 0);
+      pollfd polled{fd_, POLLIN, 0};
+      CHECK(::poll(&polled, 1, patience_ms) > 0);
       char chunk[4096];
       const ssize_t n = ::recv(fd_, chunk, sizeof chunk, 0);
       if (n <= 0) {
-        rest = std::exchange(in_, {});
+        rest = std::exchange(received_, {});
         return n == 0;
       }
-      in_.append(chunk, static_cast<std::size_t>(n));
+      received_.append(chunk, static_cast<std::size_t>(n));
     }
   }
 
  private:
   int fd_;
-  std::string in_;
+  std::string received_;  // bytes that were received and not consumed yet
 };
 
-// Ports that were handed out for later: nothing else of this process may take one before its node binds it.
-inline bool take_port(int port, bool keep) {
-  static std::mutex guard;
-  static std::set<int> kept;
-  const std::lock_guard lock(guard);
-  return keep ? kept.insert(port).second : !kept.contains(port);
+// Whether a listener may use the port. A port that was reserved for a node that binds it later is not
+// available to any other listener of this process. `reserve`: reserves the port; false where it was reserved
+// before.
+inline bool claim_port(int port, bool reserve) {
+  static std::mutex mutex;
+  static std::set<int> reserved_ports;
+  const std::lock_guard lock(mutex);
+  return reserve ? reserved_ports.insert(port).second : !reserved_ports.contains(port);
 }
 
+// A listening socket on own_host() with a port that the kernel chooses.
 class listener {
  public:
-  // `keep`: the port is for another to bind later.
-  explicit listener(bool keep = false) {
+  // `reserve`: the port is reserved for a process that binds it later.
+  explicit listener(bool reserve = false) {
     do {
       close();
       fd_ = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-      sockaddr_in a = address_of(0);
-      CHECK(::bind(fd_, reinterpret_cast<const sockaddr*>(&a), sizeof a) == 0 && ::listen(fd_, 64) == 0);
-      socklen_t size = sizeof a;
-      CHECK(::getsockname(fd_, reinterpret_cast<sockaddr*>(&a), &size) == 0);
-      port = ntohs(a.sin_port);
-    } while (!take_port(port, keep));
+      sockaddr_in address = address_of(0);
+      CHECK(::bind(fd_, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0 &&
+            ::listen(fd_, 64) == 0);
+      socklen_t size = sizeof address;
+      CHECK(::getsockname(fd_, reinterpret_cast<sockaddr*>(&address), &size) == 0);
+      port = ntohs(address.sin_port);
+    } while (!claim_port(port, reserve));
   }
   ~listener() { close(); }
   void close() {
     if (fd_ >= 0) ::close(std::exchange(fd_, -1));
   }
-  bool waiting(int ms) const {
-    pollfd p{fd_, POLLIN, 0};
-    return ::poll(&p, 1, ms) > 0;
+  // Whether a connection can be accepted within that time.
+  bool waiting(int timeout_ms) const {
+    pollfd polled{fd_, POLLIN, 0};
+    return ::poll(&polled, 1, timeout_ms) > 0;
   }
   connection accept() {
     CHECK(waiting(patience_ms));
@@ -202,54 +216,62 @@
   int fd_ = -1;
 };
 
+// Returns a free port and reserves it for a process that binds it later.
 inline int free_port() {
   return listener(true).port;
 }
 
-// The member of that name in one line of JSON, as text: enough for the lines that the program writes.
+// The value of the named member in one line of JSON, as text; empty where the line has no such member.
+// Supports only the JSON that the program writes.
 inline std::string member(const std::string& line, const std::string& name) {
   const std::string key = "\"" + name + "\":";
-  std::size_t at = line.find(key);
-  if (at == std::string::npos) return {};
-  at += key.size();
-  if (line[at] == '"') return line.substr(at + 1, line.find('"', at + 1) - at - 1);
-  return line.substr(at, line.find_first_of(",}", at) - at);
+  std::size_t value_begin = line.find(key);
+  if (value_begin == std::string::npos) return {};
+  value_begin += key.size();
+  if (line[value_begin] == '"')
+    return line.substr(value_begin + 1, line.find('"', value_begin + 1) - value_begin - 1);
+  return line.substr(value_begin, line.find_first_of(",}", value_begin) - value_begin);
 }
 
-// Stands in for the runtime: the test says what it does.
+// A stub of the runtime that the test controls step by step.
 class runtime {
  public:
-  // Accepts a link; answers its sync and the first question for gauges.
-  void up(const std::string& how = "running", int up_ms = 60000) {
+  // Accepts the node's connection; answers its `sync` and its first `gauges` query. `state`: the runtime's
+  // state, "running" or "starting"; `up_ms`: for how long it has run.
+  void up(const std::string& state = "running", int up_ms = 60000) {
     link = door.accept();
-    synced = member(link.line(), "serial");
-    send("{\"msg\":\"ready\",\"how\":\"" + how + "\",\"duration\":" + std::to_string(up_ms) + "}");
+    synced_serial = member(link.line(), "serial");
+    send("{\"msg\":\"ready\",\"how\":\"" + state + "\",\"duration\":" + std::to_string(up_ms) + "}");
     answer_gauges(link.line());
   }
   void send(const std::string& line) { link.send(line + "\n"); }
-  // The next command but for questions for gauges, which are answered.
+  // Receives the next command other than `gauges`; answers each `gauges` query before it.
   std::string command() {
     while (true) {
       std::string line = link.line();
       if (!answer_gauges(line)) return line;
     }
   }
-  std::string expect(const std::string& msg) {
+  // Receives the next command, which must have that name; returns the call that the command names.
+  std::string expect(const std::string& command_name) {
     const std::string line = command();
-    CHECK(member(line, "msg") == msg);
+    CHECK(member(line, "msg") == command_name);
     return member(line, "call");
   }
-  void end(const std::string& call, const std::string& how, const std::string& blob = "") {
+  // Sends the notice that the run of that call has ended, with the next serial number. `blob`: the result in
+  // base64.
+  void end(const std::string& call, const std::string& outcome, const std::string& blob = "") {
     send("{\"msg\":\"end\",\"serial\":" + std::to_string(++serial) + ",\"call\":\"" + call + "\",\"how\":\"" +
-         how + "\",\"duration\":12.5" + (blob.empty() ? "" : ",\"blob\":\"" + blob + "\"") + "}");
+         outcome + "\",\"duration\":12.5" + (blob.empty() ? "" : ",\"blob\":\"" + blob + "\"") + "}");
   }
 
-  listener door;
-  connection link;
-  std::string synced;
-  int serial = 0;
-  std::string stats = "0.2,1,0.1,3";
+  listener door;                      // where the node connects
+  connection link;                    // the node's connection
+  std::string synced_serial;          // the serial number in the node's last `sync`
+  int serial = 0;                     // of the last end notice
+  std::string stats = "0.2,1,0.1,3";  // the gauges: cpu_busy, runnable, mem_used, sockets
 
+  // Answers the line where it is a `gauges` query; returns false for any other line.
   bool answer_gauges(const std::string& line) {
     if (member(line, "msg") != "gauges") return false;
     send("{\"msg\":\"load\",\"cookie\":\"" + member(line, "cookie") + "\",\"stats\":[" + stats + "]}");
@@ -257,69 +279,76 @@
   }
 };
 
-// The program itself, or the one that $MARBLEWHARF_PROGRAM names: to see a test fail on an earlier build.
+// The path of the program under test. $MARBLEWHARF_PROGRAM replaces it, for example with an earlier build
+// that a test must fail on.
 inline std::string program_under_test() {
-  const char* other = std::getenv("MARBLEWHARF_PROGRAM");
-  return other != nullptr ? other : MARBLEWHARF;
+  const char* program = std::getenv("MARBLEWHARF_PROGRAM");
+  return program != nullptr ? program : MARBLEWHARF;
 }
 
+// Settings of a node process.
 struct node_options {
   int cores = 4;
   int stop_ms = 3200;
-  int aim_ms = 20000;  // far beyond a slow machine's delays, where a test is not about time
-  int write_aim_ms = 20000;
-  int quota = 100, other_quota = 100;          // requests a second of isar-invest and lech-vermoegen
-  std::string operators{};                     // text of an operator's file
-  std::string record{};                        // a capture file to write
-  std::string edit_from{}, edit_to{};          // in the text of the configuration
-  int directory_port = 0;                      // 0: as the node's own
-  int listen_port = 0;                         // 0: one of its own; else beside a node that listens there
-  std::string tmpdir{};                        // $TMPDIR of the process; empty: as the test's
-  int console_port = 0;                        // 0: no console
-  std::string program = program_under_test();  // a measurement may compare two
-  int descriptors = 0;                         // the process's own limit on open files; 0: as the test's
-  bool hold_config =
-      false;  // the node waits in its read of the configuration: waits_for_config(), release_config()
+  int aim_ms = 20000;        // latency objective of safe requests; above any delay of a slow machine
+  int write_aim_ms = 20000;  // latency objective of unsafe requests
+  int quota = 100, other_quota = 100;  // requests per second of isar-invest and lech-vermoegen
+  std::string operators{};             // text of the operator's file; empty: none
+  std::string record{};                // path of a capture file to write; empty: none
+  std::string edit_from{}, edit_to{};  // replaces the first occurrence in the text of the configuration
+  int directory_port = 0;              // 0: the same as the node's port
+  int listen_port = 0;                 // 0: a free port; else a port that another node may listen on
+  std::string tmpdir{};                // $TMPDIR of the process; empty: inherited from the test
+  int console_port = 0;                // 0: no console
+  std::string program = program_under_test();  // a benchmark may compare two programs
+  int descriptors = 0;                         // RLIMIT_NOFILE of the process; 0: inherited from the test
+  // The node blocks while it reads its configuration: see wait_for_config_read(), release_config().
+  bool hold_config = false;
 };
 
+// A running process of the program, with its configuration and its log in a temporary folder. The destructor
+// kills the process with SIGKILL and removes the folder.
 class node {
  public:
-  node(const runtime& r, const node_options& o = {})
-      : port(o.listen_port != 0 ? o.listen_port : free_port()) {
+  node(const runtime& peer, const node_options& options = {})
+      : port(options.listen_port != 0 ? options.listen_port : free_port()) {
     char dir[] = "/tmp/marblewharf-test-XXXXXX";
     CHECK(::mkdtemp(dir) != nullptr);
     dir_ = dir;
-    if (o.hold_config) {
+    if (options.hold_config) {
       CHECK(::mkfifo((dir_ + "/config.json").c_str(), 0600) == 0);
     } else {
-      write_config(r, o);
+      write_config(peer, options);
     }
-    if (!o.operators.empty()) std::ofstream(dir_ + "/operators.conf") << o.operators;
-    // All that allocates comes before the fork: the test may have threads.
+    if (!options.operators.empty()) std::ofstream(dir_ + "/operators.conf") << options.operators;
+    // Everything that allocates memory runs before the fork: in the child of a process with threads, an
+    // allocation can deadlock.
     const std::string log_path = dir_ + "/log";
-    std::vector<std::string> words = {"marblewharf"};
-    if (!o.operators.empty()) words.insert(words.end(), {"--settings", dir_ + "/operators.conf"});
-    if (!o.record.empty()) words.insert(words.end(), {"--record", o.record});
+    std::vector<std::string> argument_texts = {"marblewharf"};
+    if (!options.operators.empty())
+      argument_texts.insert(argument_texts.end(), {"--settings", dir_ + "/operators.conf"});
+    if (!options.record.empty()) argument_texts.insert(argument_texts.end(), {"--record", options.record});
     std::vector<char*> arguments;
-    for (std::string& w : words) arguments.push_back(w.data());
+    for (std::string& argument : argument_texts) arguments.push_back(argument.data());
     arguments.push_back(nullptr);
-    std::string named = "PROXY_CONFIG=" + dir_ + "/config.json";
-    std::string tmpdir = "TMPDIR=" + o.tmpdir;
-    std::vector<char*> environment = {named.data()};
-    if (!o.tmpdir.empty())
-      environment.push_back(tmpdir.data());  // the first of a name is the one that counts
-    for (char** e = environ; *e != nullptr; ++e) environment.push_back(*e);
+    std::string config_variable = "PROXY_CONFIG=" + dir_ + "/config.json";
+    std::string tmpdir_variable = "TMPDIR=" + options.tmpdir;
+    std::vector<char*> environment = {config_variable.data()};
+    if (!options.tmpdir.empty())
+      environment.push_back(tmpdir_variable.data());  // the first entry of a name takes effect
+    for (char** variable = environ; *variable != nullptr; ++variable) environment.push_back(*variable);
     environment.push_back(nullptr);
     pid_ = ::fork();
     CHECK(pid_ >= 0);
     if (pid_ == 0) {
-      ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a test that fails leaves no node behind
+      ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // no node survives a failed test
       ::dup2(::open(log_path.c_str(), O_CREAT | O_WRONLY, 0600), 2);
-      if (o.descriptors > 0) {
-        const rlimit most{static_cast<rlim_t>(o.descriptors), static_cast<rlim_t>(o.descriptors)};
-        ::setrlimit(RLIMIT_NOFILE, &most);
+      if (options.descriptors > 0) {
+        const rlimit limit{static_cast<rlim_t>(options.descriptors),
+                           static_cast<rlim_t>(options.descriptors)};
+        ::setrlimit(RLIMIT_NOFILE, &limit);
       }
-      ::execve(o.program.c_str(), arguments.data(), environment.data());
+      ::execve(options.program.c_str(), arguments.data(), environment.data());
       ::_exit(127);
     }
   }
@@ -331,70 +360,74 @@
     for (const char* file : {"/config.json", "/operators.conf", "/log"}) ::unlink((dir_ + file).c_str());
     ::rmdir(dir_.c_str());
   }
-  void write_config(const runtime& r, const node_options& o) const {
-    std::string text = config(r, o);
-    if (const std::size_t at = text.find(o.edit_from); !o.edit_from.empty() && at != std::string::npos)
-      text.replace(at, o.edit_from.size(), o.edit_to);
+  // Replaces the configuration file atomically.
+  void write_config(const runtime& peer, const node_options& options) const {
+    std::string text = config(peer, options);
+    if (const std::size_t found = text.find(options.edit_from);
+        !options.edit_from.empty() && found != std::string::npos)
+      text.replace(found, options.edit_from.size(), options.edit_to);
     std::ofstream(dir_ + "/config.new") << text;
     CHECK(std::rename((dir_ + "/config.new").c_str(), (dir_ + "/config.json").c_str()) == 0);
   }
-  // Ends waits_for_config(). Whoever reads later finds a file of the same text.
-  void release_config(const runtime& r, const node_options& o) {
-    write_config(r, o);
+  // Lets the node that wait_for_config_read() waited for read its configuration. A later read, at a reload,
+  // finds a regular file with the same text.
+  void release_config(const runtime& peer, const node_options& options) {
+    write_config(peer, options);
     const std::string text = (std::ostringstream() << std::ifstream(dir_ + "/config.json").rdbuf()).str();
     CHECK(::write(held_config_, text.data(), text.size()) == static_cast<ssize_t>(text.size()));
     ::close(std::exchange(held_config_, -1));
   }
-  void reload(const runtime& r, const node_options& o = {}) {
-    write_config(r, o);
+  // Writes a new configuration and sends SIGHUP.
+  void reload(const runtime& peer, const node_options& options = {}) {
+    write_config(peer, options);
     signal(SIGHUP);
   }
-  void signal(int which) { ::kill(pid_, which); }
+  void signal(int number) { ::kill(pid_, number); }
   pid_t pid() const { return pid_; }
-  // From now on the process may have so many descriptors.
-  void limit_descriptors(int most) const {
-    rlimit now{};
-    CHECK(::prlimit(pid_, RLIMIT_NOFILE, nullptr, &now) == 0);
-    now.rlim_cur = static_cast<rlim_t>(most);
-    CHECK(::prlimit(pid_, RLIMIT_NOFILE, &now, nullptr) == 0);
-  }
-  // With hold_config: until the node reads its configuration, of which nothing is there yet.
-  void waits_for_config() {
+  // Sets the soft limit on open descriptors of the running process.
+  void limit_descriptors(int count) const {
+    rlimit limit{};
+    CHECK(::prlimit(pid_, RLIMIT_NOFILE, nullptr, &limit) == 0);
+    limit.rlim_cur = static_cast<rlim_t>(count);
+    CHECK(::prlimit(pid_, RLIMIT_NOFILE, &limit, nullptr) == 0);
+  }
+  // With hold_config: waits until the node has opened its configuration, a FIFO that is still empty.
+  void wait_for_config_read() {
     const auto until = clock::now() + std::chrono::milliseconds(patience_ms);
     while ((held_config_ = ::open((dir_ + "/config.json").c_str(), O_WRONLY | O_NONBLOCK | O_CLOEXEC)) < 0) {
       CHECK(errno == ENXIO && clock::now() < until);  // no reader yet
       std::this_thread::sleep_for(5ms);
     }
   }
-  // Asks for the counters until that one stands at `least` or above.
-  void until_counter(const std::string& name, long least) {
+  // Requests the counters with SIGUSR1 until the named one is `minimum` or higher.
+  void wait_for_counter(const std::string& name, long minimum) {
     const auto until = clock::now() + std::chrono::milliseconds(patience_ms);
     while (true) {
       signal(SIGUSR1);
       std::this_thread::sleep_for(100ms);
       const std::string text = log();
-      const std::size_t at = text.rfind(name + "=");
-      if (at != std::string::npos && std::stol(text.substr(at + name.size() + 1)) >= least) return;
+      const std::size_t found = text.rfind(name + "=");
+      if (found != std::string::npos && std::stol(text.substr(found + name.size() + 1)) >= minimum) return;
       CHECK(clock::now() < until);
     }
   }
-  // Processor time used so far.
+  // CPU time of the process so far, user and system.
   std::chrono::milliseconds used() const {
     std::ifstream stat("/proc/" + std::to_string(pid_) + "/stat");
-    std::string word;
+    std::string skipped_field;
     long user = 0, system = 0;
-    for (int i = 1; i <= 13; ++i) stat >> word;
+    for (int i = 1; i <= 13; ++i) stat >> skipped_field;
     stat >> user >> system;
     return std::chrono::milliseconds((user + system) * 1000 / ::sysconf(_SC_CLK_TCK));
   }
-  // The same of its main thread alone, the reactor's, to the nanosecond.
+  // CPU time so far of the main thread, which runs the reactor, in nanoseconds.
   std::chrono::nanoseconds reactor_used() const {
     std::ifstream stat("/proc/" + std::to_string(pid_) + "/schedstat");
     long long ns = 0;
     stat >> ns;
     return std::chrono::nanoseconds(ns);
   }
-  // How many descriptors it has open.
+  // The number of descriptors that the process has open.
   int descriptors() const {
     DIR* folder = ::opendir(("/proc/" + std::to_string(pid_) + "/fd").c_str());
     CHECK(folder != nullptr);
@@ -409,7 +442,7 @@
     statm >> size >> resident;
     return resident * (::sysconf(_SC_PAGESIZE) / 1024);
   }
-  // Its exit status, once it has ended by itself.
+  // Waits for the process to exit and returns its exit status; -1 where a signal ended it.
   int wait() {
     int status = 0;
     CHECK(::waitpid(pid_, &status, 0) == pid_);
@@ -421,7 +454,7 @@
     text << std::ifstream(dir_ + "/log").rdbuf();
     return text.str();
   }
-  // Waits until the log says so.
+  // Waits until the log contains the text.
   void logged(const std::string& text) const {
     const auto until = clock::now() + std::chrono::milliseconds(patience_ms);
     while (log().find(text) == std::string::npos) {
@@ -433,112 +466,127 @@
   int port;
 
  private:
-  std::string config(const runtime& r, const node_options& o) const {
+  std::string config(const runtime& peer, const node_options& options) const {
     const std::string host = "\"" + own_host() + ":";
     const auto ns = [](int ms) { return std::to_string(ms) + "000000"; };
-    const auto klass = [&](const char* name, const char* effect, int aim, int deadline, int worth) {
+    const auto request_class = [&](const char* name, const char* effect, int objective_ms, int deadline_ms,
+                                   int credit) {
       return std::string("{\"Name\":\"") + name + "\",\"Effect\":\"" + effect +
-             "\",\"Objective\":" + ns(aim) + ",\"Deadline\":" + ns(deadline) +
-             ",\"Credit\":" + std::to_string(worth) + "}";
+             "\",\"Objective\":" + ns(objective_ms) + ",\"Deadline\":" + ns(deadline_ms) +
+             ",\"Credit\":" + std::to_string(credit) + "}";
     };
     const auto tenant = [](const char* name, int quota) {
       return std::string("{\"Name\":\"") + name + "\",\"QuotaPerS\":" + std::to_string(quota) + ".0}";
     };
     const std::string console =
-        o.console_port == 0 ? "" : "\"console\":" + host + std::to_string(o.console_port) + "\",";
+        options.console_port == 0 ? "" : "\"console\":" + host + std::to_string(options.console_port) + "\",";
     return "{\"name\":\"n0\"," + console + "\"listen\":" + host + std::to_string(port) +
-           "\",\"runtime\":" + host + std::to_string(r.door.port) + "\",\"directory\":" + host +
-           std::to_string(o.directory_port != 0 ? o.directory_port : port) +
-           "\",\"seed\":\"8c1f\",\"stop_ms\":" + std::to_string(o.stop_ms) +
+           "\",\"runtime\":" + host + std::to_string(peer.door.port) + "\",\"directory\":" + host +
+           std::to_string(options.directory_port != 0 ? options.directory_port : port) +
+           "\",\"seed\":\"8c1f\",\"stop_ms\":" + std::to_string(options.stop_ms) +
            ",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},\"settings\":{"
            "\"Bounds\":{\"MaxRetryAfter\":1000000000,\"RetryAfter\":true},\"Classes\":[" +
-           klass("kurs-abfrage", "safe", o.aim_ms, 3 * o.aim_ms, 1) + "," +
-           klass("kurs-meldung", "unsafe", o.write_aim_ms, 3 * o.write_aim_ms, 3) +
+           request_class("kurs-abfrage", "safe", options.aim_ms, 3 * options.aim_ms, 1) + "," +
+           request_class("kurs-meldung", "unsafe", options.write_aim_ms, 3 * options.write_aim_ms, 3) +
            "],\"Extra\":{\"Gauges\":[\"cpu_busy\",\"runnable\",\"mem_used\",\"sockets\"],\"Halt\":\"pause\","
            "\"NCores\":" +
-           std::to_string(o.cores) +
+           std::to_string(options.cores) +
            ",\"RamKb\":200000.0,\"RunFactor\":8.0},\"GroupSize\":1,"
            "\"Safety\":{\"AnswerSlack\":80000000,\"DrainGrace\":2500000000,\"Fall\":1500000000,"
            "\"OverloadFactor\":5.0,\"StartCapacity\":0.21,\"Cold\":18000000000},"
            "\"Tenants\":[" +
-           tenant("isar-invest", o.quota) + "," + tenant("lech-vermoegen", o.other_quota) +
+           tenant("isar-invest", options.quota) + "," + tenant("lech-vermoegen", options.other_quota) +
            "],\"Tick\":2000000}}";
   }
 
   std::string dir_;
   pid_t pid_ = -1;
-  int held_config_ = -1;
+  int held_config_ = -1;  // write end of the FIFO that the node reads its configuration from
 };
 
 // ---- Thrift ----------------------------------------------------------------------------------------------
 
-inline std::string be32(std::uint32_t v) {
-  return {static_cast<char>(v >> 24), static_cast<char>(v >> 16), static_cast<char>(v >> 8),
-          static_cast<char>(v)};
+// The value in 4 bytes, big-endian.
+inline std::string be32(std::uint32_t value) {
+  return {static_cast<char>(value >> 24), static_cast<char>(value >> 16), static_cast<char>(value >> 8),
+          static_cast<char>(value)};
 }
-inline std::string text(std::string_view s) {
-  return be32(static_cast<std::uint32_t>(s.size())) + std::string(s);
+// A Thrift string: length and bytes.
+inline std::string text(std::string_view value) {
+  return be32(static_cast<std::uint32_t>(value.size())) + std::string(value);
 }
+// A framed message: length and payload.
 inline std::string frame(const std::string& payload) {
   return be32(static_cast<std::uint32_t>(payload.size())) + payload;
 }
+// The head of a message of the strict binary protocol. `type`: 1 call, 2 reply, 3 exception, 4 oneway.
 inline std::string head(int type, const std::string& method, int seqid) {
   return std::string("\x80\x01\x00", 3) + static_cast<char>(type) + text(method) +
          be32(static_cast<std::uint32_t>(seqid));
 }
 
+// The header fields of a request, in the order in which they are sent.
 using fields = std::vector<std::pair<std::string, std::string>>;
 
-inline std::string label(int n) {
+// The request id of request `number`, as 16 hexadecimal digits.
+inline std::string label(int number) {
   char hex[17];
-  std::snprintf(hex, sizeof hex, "%016x", static_cast<unsigned>(n));
+  std::snprintf(hex, sizeof hex, "%016x", static_cast<unsigned>(number));
   return hex;
 }
-inline fields usual(int n, const std::string& verb = "kurs-abfrage", int ahead_ms = 0) {
-  const auto door = ahead_ms + std::chrono::duration_cast<std::chrono::milliseconds>(
-                                   std::chrono::system_clock::now().time_since_epoch())
-                                   .count();
-  return {{"verb", verb},  {"txn", label(n)},       {"door", std::to_string(door)},
+// Valid header fields of request `number`. `ahead_ms`: how far the arrival time is in the future; negative:
+// in the past.
+inline fields usual(int number, const std::string& verb = "kurs-abfrage", int ahead_ms = 0) {
+  const auto arrival_ms = ahead_ms + std::chrono::duration_cast<std::chrono::milliseconds>(
+                                         std::chrono::system_clock::now().time_since_epoch())
+                                         .count();
+  return {{"verb", verb},  {"txn", label(number)},  {"door", std::to_string(arrival_ms)},
           {"lb", "1"},     {"team", "isar-invest"}, {"cpu", "12.50"},
           {"ram", "24.5"}, {"standing", "0.6250"}};
 }
-inline std::string execute(int seqid, const fields& f, const std::string& body) {
-  std::string p = head(1, "execute", seqid) + std::string("\x0d\x00\x01\x0b\x0b", 5) +
-                  be32(static_cast<std::uint32_t>(f.size()));
-  for (const auto& [k, v] : f) p += text(k) + text(v);
-  return frame(p + std::string("\x0b\x00\x02", 3) + text(body) + '\0');
+// An `execute` call: a request with its header fields and its body.
+inline std::string execute(int seqid, const fields& header_fields, const std::string& body) {
+  std::string payload = head(1, "execute", seqid) + std::string("\x0d\x00\x01\x0b\x0b", 5) +
+                        be32(static_cast<std::uint32_t>(header_fields.size()));
+  for (const auto& [name, value] : header_fields) payload += text(name) + text(value);
+  return frame(payload + std::string("\x0b\x00\x02", 3) + text(body) + '\0');
 }
+// A `check` call: the balancer's health check.
 inline std::string check(int seqid) {
   return frame(head(1, "check", seqid) + std::string("\x02\x00\x01\x00\x00", 5));
 }
-inline std::string interrupt(int seqid, int which) {
+// A oneway `interrupt` message: cancels the call with the sequence id `cancelled`.
+inline std::string interrupt(int seqid, int cancelled) {
   return frame(head(4, "interrupt", seqid) + std::string("\x08\x00\x01", 3) +
-               be32(static_cast<std::uint32_t>(which)) + '\0');
+               be32(static_cast<std::uint32_t>(cancelled)) + '\0');
 }
 
-// A message of the node: how it ends, and its bytes after the head.
+// A message from the node: its kind and its bytes after the head.
 struct reply {
-  std::string kind;  // served, refused, failed, exception, closing
+  // "served", "refused", "failed", "exception", or the method of a oneway message: "closing".
+  std::string kind;
   int seqid = 0;
   std::string rest;
 };
-inline std::uint32_t to_u32(std::string_view b) {
-  std::uint32_t v = 0;
-  for (const char c : b.substr(0, 4)) v = v << 8 | static_cast<std::uint8_t>(c);
-  return v;
+// The value of the first 4 bytes, big-endian.
+inline std::uint32_t to_u32(std::string_view bytes) {
+  std::uint32_t value = 0;
+  for (const char byte : bytes.substr(0, 4)) value = value << 8 | static_cast<std::uint8_t>(byte);
+  return value;
 }
-inline reply read_reply(connection& c) {
-  const std::string p = c.take(to_u32(c.take(4)));
-  const std::size_t name = to_u32(std::string_view(p).substr(4));
-  reply r{"", static_cast<int>(to_u32(std::string_view(p).substr(8 + name))), p.substr(12 + name)};
-  if (p[3] == 4) r.kind = p.substr(8, name);
-  if (p[3] == 3) r.kind = "exception";
-  if (p[3] == 2) r.kind = r.rest[2] == 0 ? "served" : r.rest[2] == 1 ? "refused" : "failed";
+inline reply read_reply(connection& client) {
+  const std::string payload = client.take(to_u32(client.take(4)));
+  const std::size_t name_size = to_u32(std::string_view(payload).substr(4));
+  reply r{"", static_cast<int>(to_u32(std::string_view(payload).substr(8 + name_size))),
+          payload.substr(12 + name_size)};
+  if (payload[3] == 4) r.kind = payload.substr(8, name_size);
+  if (payload[3] == 3) r.kind = "exception";
+  if (payload[3] == 2) r.kind = r.rest[2] == 0 ? "served" : r.rest[2] == 1 ? "refused" : "failed";
   return r;
 }
-// The bytes of the result in a served reply.
-inline std::string result(const reply& r) {
-  return r.rest.substr(10, to_u32(std::string_view(r.rest).substr(6)));
+// The bytes of the result in a reply of kind "served".
+inline std::string result(const reply& served) {
+  return served.rest.substr(10, to_u32(std::string_view(served.rest).substr(6)));
 }
 
 }  // namespace harness
--- a/tests/net/node_test.cpp
+++ b/tests/net/node_test.cpp
@@ -1,4 +1,4 @@
-// The price node as a process, between a balancer and the runtime.
+// Tests of the price node process between a balancer and the runtime.
 #include <map>
 
 #include "harness.hpp"
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Guards against bodies changed on the way: any bytes in, any bytes out.
-void serves_bodies_byte_for_byte() {
+// Guards against changes to bodies on the way: requests and results may contain any bytes.
+void forwards_bodies_unchanged() {
   runtime r;
   node n(r);
   r.up();
@@ -24,7 +24,9 @@
   CHECK(read_reply(c).rest.find(std::string("\x02\x00\x03\x01", 4)) != std::string::npos);
 }
 
-void takes_half_frames_and_stalls() {
+// Frames arrive in parts, and a request arrives while the node is stopped. Guards against requests that are
+// lost or answered twice in either case.
+void reads_partial_frames_and_after_a_stop() {
   runtime r;
   node n(r);
   r.up();
@@ -46,30 +48,32 @@
   CHECK(read_reply(c).kind == "served");
 }
 
-// Guards against a poll that never waits: seen as a whole core of an idle node, on a writable link.
-void idles() {
+// Guards against a poll that never blocks: the idle node then used a whole core, because its link was
+// always writable.
+void idle_node_does_not_spin() {
   runtime r;
   node n(r);
   r.up();
   connection c = connection::to(n.port);
   c.send(check(1));
   read_reply(c);
-  const auto before = n.used();
+  const auto cpu_before = n.used();
   std::this_thread::sleep_for(1000ms);
-  CHECK(n.used() - before < 500ms);
+  CHECK(n.used() - cpu_before < 500ms);
 }
 
-// A UDP socket that hears the reports to the catalog.
-int catalog_at(int port) {
+// Opens the UDP socket on which the service catalog receives the node's reports.
+int open_catalog(int port) {
   const int fd = ::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
-  const sockaddr_in a = address_of(port);
-  CHECK(::bind(fd, reinterpret_cast<const sockaddr*>(&a), sizeof a) == 0);
+  const sockaddr_in address = address_of(port);
+  CHECK(::bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
   return fd;
 }
-void hears_reports(int fd, int count) {
+// Receives that many reports, each within 3 s of the one before it, and closes the socket.
+void expect_reports(int fd, int count) {
   for (int i = 0; i < count; ++i) {
-    pollfd p{fd, POLLIN, 0};
-    CHECK(::poll(&p, 1, 3000) > 0);  // or the catalog forgets it
+    pollfd polled{fd, POLLIN, 0};
+    CHECK(::poll(&polled, 1, 3000) > 0);  // after 3 s without a report the catalog removes the node
     char report[64] = "";
     CHECK(::recv(fd, report, sizeof report - 1, 0) > 0);
     CHECK(std::string(report) == "alive n0 passing");
@@ -77,80 +81,82 @@
   ::close(fd);
 }
 
-// Guards against a node that dies or keeps silent at the start: the catalog's socket had no descriptor. And
-// against one that is forgotten where one report in four is lost: many fit into the catalog's 3 s.
+// Guards against a node that exits or sends no reports after its start, because the catalog socket got no
+// descriptor; and against a node that the catalog removes where one report in four is lost: several reports
+// must fit into the catalog's 3 s.
 void reports_to_the_catalog() {
   runtime r;
   node n(r);
   const auto begun = clock::now();
-  hears_reports(catalog_at(n.port), 12);
+  expect_reports(open_catalog(n.port), 12);
   CHECK(clock::now() - begun < 4500ms);
 }
 
-// Guards against the end of the program on SIGHUP, and against anything lost or said twice while the runtime
-// and the catalog move: runs and the serial carry on.
+// Guards against a SIGHUP that ends the program, and against runs that are lost or started twice while the
+// addresses of the runtime and the catalog change: runs and the serial number continue on the new link.
 void moves_to_new_addresses() {
-  runtime old;
-  node n(old);
-  old.up();
+  runtime old_runtime;
+  node n(old_runtime);
+  old_runtime.up();
   connection c = connection::to(n.port);
   c.send(execute(1, usual(1, "kurs-meldung"), "a") + execute(2, usual(2), "b"));
-  old.expect("start");
-  old.expect("start");
-  old.end(label(2), "fine", "YQ==");
+  old_runtime.expect("start");
+  old_runtime.expect("start");
+  old_runtime.end(label(2), "fine", "YQ==");
   CHECK(read_reply(c).seqid == 2);
-  runtime first, second;
-  first.door.close();  // the first of two moves cannot be done before the second one is asked for
+  runtime unreachable_runtime, new_runtime;
+  unreachable_runtime.door.close();  // the first reload cannot complete before the second one is requested
   node_options o;
   o.directory_port = free_port();
-  const int catalog = catalog_at(o.directory_port);
-  n.reload(first);
+  const int catalog = open_catalog(o.directory_port);
+  n.reload(unreachable_runtime);
   n.logged("reload: runtime at");
-  n.reload(second, o);
+  n.reload(new_runtime, o);
   c.send(execute(3, usual(3, "kurs-meldung"), "c"));
-  // Whatever the order in which the node sees all this, request 3 starts once.
+  // Request 3 must start once, in whichever order the node reads the signals and the request.
   int starts = 0;
-  for (std::string line; old.link.next(line);) {  // until the node closes it
-    if (old.answer_gauges(line)) continue;
+  for (std::string line; old_runtime.link.next(line);) {  // until the node closes the old link
+    if (old_runtime.answer_gauges(line)) continue;
     CHECK(member(line, "msg") == "start" && member(line, "call") == label(3));
     ++starts;
   }
-  second.serial = old.serial;
-  second.up();
-  CHECK(second.synced == "1");
-  if (starts == 0) CHECK(second.expect("start") == label(3));
-  second.end(label(1), "fine", "YQ==");
-  second.end(label(3), "fine", "YQ==");
+  new_runtime.serial = old_runtime.serial;
+  new_runtime.up();
+  CHECK(new_runtime.synced_serial == "1");
+  if (starts == 0) CHECK(new_runtime.expect("start") == label(3));
+  new_runtime.end(label(1), "fine", "YQ==");
+  new_runtime.end(label(3), "fine", "YQ==");
   CHECK(read_reply(c).kind == "served" && read_reply(c).kind == "served");
   c.send(execute(4, usual(4), "d"));
-  CHECK(second.expect("start") == label(4));
-  hears_reports(catalog, 2);
+  CHECK(new_runtime.expect("start") == label(4));
+  expect_reports(catalog, 2);
 }
 
-// Guards against a node that gives up a working link for an address where nobody listens yet.
-void stays_where_it_is_until_the_new_address_answers() {
-  runtime old;
-  node n(old);
-  old.up();
+// Guards against a node that closes a working link for a runtime address where nobody listens yet.
+void keeps_the_old_link_until_the_new_address_answers() {
+  runtime old_runtime;
+  node n(old_runtime);
+  old_runtime.up();
   connection c = connection::to(n.port);
-  // A link that has not caught up yet is let go: the node must have read the gauges before it is told to
-  // move.
+  // A reload closes a link that has not finished its synchronization, so the node must have read the gauges
+  // before the reload.
   c.send(execute(1, usual(1, "kurs-meldung"), "a"));
-  old.end(old.expect("start"), "fine", "YQ==");
+  old_runtime.end(old_runtime.expect("start"), "fine", "YQ==");
   CHECK(read_reply(c).kind == "served");
-  runtime next;
-  next.door.close();
-  n.reload(next);
+  runtime new_runtime;
+  new_runtime.door.close();
+  n.reload(new_runtime);
   n.logged("reload: runtime at");
   for (int i = 2; i <= 4; ++i) {
     c.send(execute(i, usual(i, "kurs-meldung"), "a"));
-    old.end(old.expect("start"), "fine", "YQ==");
+    old_runtime.end(old_runtime.expect("start"), "fine", "YQ==");
     CHECK(read_reply(c).kind == "served");
   }
 }
 
-// Guards against a bad file taken over, in part or whole, and against the end of the program because of one.
-void keeps_the_old_configuration_where_the_new_is_bad() {
+// Guards against an invalid configuration file that the node applies in part or in whole, or that ends the
+// program.
+void invalid_reload_keeps_the_current_configuration() {
   runtime r;
   node n(r);
   r.up();
@@ -165,7 +171,8 @@
   CHECK(read_reply(c).kind == "served");
 }
 
-// Guards against two answers to one request: the runtime repeats notices after a new link.
+// Guards against two answers to one request when the runtime repeats an end notice, as it does on a new
+// link.
 void answers_once() {
   runtime r;
   node n(r);
@@ -177,12 +184,13 @@
   CHECK(read_reply(c).kind == "served");
   --r.serial;
   r.end(label(1), "fine", "YQ==");
-  r.end(label(7), "fine", "YQ==");  // of nobody
+  r.end(label(7), "fine", "YQ==");  // of an unknown call
   c.send(check(2));
   CHECK(read_reply(c).seqid == 2);
 }
 
-void fails_what_the_runtime_fails() {
+// Guards against a request without an answer after the runtime reports a failed run or rejects its start.
+void requests_fail_with_their_runs() {
   runtime r;
   node n(r);
   r.up();
@@ -201,7 +209,8 @@
   CHECK(read_reply(c).kind == "failed");
 }
 
-void stops_what_nobody_waits_for() {
+// Guards against runs that continue after their client has cancelled the request or closed the connection.
+void cancelled_requests_stop_their_runs() {
   runtime r;
   node n(r);
   r.up();
@@ -213,12 +222,13 @@
   r.end(label(1), "broken_off");
   c.send(execute(2, usual(2), "a"));
   r.expect("start");
-  c.close();  // a hangup says the same
+  c.close();  // a closed connection cancels its requests
   CHECK(r.expect("stop") == label(2));
 }
 
-// Guards against an answer held back until its deadline: what is given up is failed at once, and stopped.
-void gives_up_at_once() {
+// Guards against a failure that is sent only at the deadline: when the node stops waiting for a run, it
+// must send the failure at once and stop the run.
+void abandoned_request_fails_before_its_deadline() {
   runtime r;
   node n(r, {.write_aim_ms = 400});
   r.up();
@@ -227,12 +237,12 @@
   r.expect("start");
   const auto begun = clock::now();
   CHECK(read_reply(c).kind == "failed");
-  CHECK(clock::now() - begun < 1150ms);  // of a deadline at 1200
+  CHECK(clock::now() - begun < 1150ms);  // the deadline is 1200 ms
   CHECK(r.expect("stop") == label(1));
 }
 
-// Guards against one bad peer that disturbs the others.
-void bad_input_stays_with_its_sender() {
+// Guards against invalid input from one peer that affects the requests of others.
+void invalid_input_affects_only_its_sender() {
   runtime r;
   node n(r);
   r.up();
@@ -242,29 +252,29 @@
 
   connection c;
   int seqid = 0;
-  const auto changed = [&](const std::string& key, const std::string& value) {
-    fields f = usual(100 + seqid);
-    for (auto& [k, v] : f) {
-      if (k == key) v = value;
+  const auto with_field = [&](const std::string& key, const std::string& value) {
+    fields header_fields = usual(100 + seqid);
+    for (auto& [field_key, field_value] : header_fields) {
+      if (field_key == key) field_value = value;
     }
-    return f;
+    return header_fields;
   };
-  const std::vector<std::pair<std::string, std::string>> wrong = {{"verb", "kurs-unbekannt"},
-                                                                  {"team", "nobody"},
-                                                                  {"txn", "xyz"},
-                                                                  {"door", "noon"},
-                                                                  {"door", "99999999999999"},
-                                                                  {"door", "-5"},
-                                                                  {"cpu", "much"},
-                                                                  {"cpu", "nan"},
-                                                                  {"cpu", "-1"},
-                                                                  {"ram", "inf"},
-                                                                  {"ram", "0"},
-                                                                  {"ram", "2000"},
-                                                                  {"standing", "1"}};
-  for (const auto& [key, value] : wrong) {
+  const std::vector<std::pair<std::string, std::string>> invalid_fields = {{"verb", "kurs-unbekannt"},
+                                                                           {"team", "nobody"},
+                                                                           {"txn", "xyz"},
+                                                                           {"door", "noon"},
+                                                                           {"door", "99999999999999"},
+                                                                           {"door", "-5"},
+                                                                           {"cpu", "much"},
+                                                                           {"cpu", "nan"},
+                                                                           {"cpu", "-1"},
+                                                                           {"ram", "inf"},
+                                                                           {"ram", "0"},
+                                                                           {"ram", "2000"},
+                                                                           {"standing", "1"}};
+  for (const auto& [key, value] : invalid_fields) {
     c = connection::to(n.port);
-    c.send(execute(++seqid, changed(key, value), "a"));
+    c.send(execute(++seqid, with_field(key, value), "a"));
     const reply failed = read_reply(c);
     CHECK(failed.kind == "failed" && failed.seqid == seqid);
   }
@@ -274,23 +284,24 @@
   CHECK(read_reply(c).kind == "exception");
   c.send(frame(head(1, "execute", ++seqid) + "\x0d"));
   CHECK(read_reply(c).kind == "exception");
-  c.send(execute(++seqid, usual(300, "kurs-abfrage", 5000), "a"));  // another clock runs ahead
+  c.send(execute(++seqid, usual(300, "kurs-abfrage", 5000), "a"));  // the sender's clock is 5 s ahead
   r.end(r.expect("start"), "fine", "YQ==");
   CHECK(read_reply(c).kind == "served");
   c.send("\x7f\xff\xff\xff garbage");
   CHECK(read_reply(c).kind == "closing" && c.rest().empty());
 
-  connection no_thrift = connection::to(n.port);
-  no_thrift.send("GET / HTTP/1.1\r\n\r\n");
-  CHECK(read_reply(no_thrift).kind == "closing");
+  connection not_thrift = connection::to(n.port);
+  not_thrift.send("GET / HTTP/1.1\r\n\r\n");
+  CHECK(read_reply(not_thrift).kind == "closing");
 
   r.end(label(1), "fine", "YQ==");
   CHECK(read_reply(good).kind == "served");
   n.logged("bad-frame");
 }
 
-// Guards against a sender of bad messages that keeps the node busy for ever.
-void many_bad_messages_end_a_connection() {
+// Guards against a client whose invalid messages keep the node busy without limit: after several of them
+// the node must close the connection.
+void many_invalid_messages_close_the_connection() {
   runtime r;
   node n(r);
   r.up();
@@ -301,13 +312,15 @@
   int exceptions = 0;
   while (read_reply(c).kind == "exception") ++exceptions;
   CHECK(exceptions > 0 && exceptions < 20 && c.rest().empty());
-  connection oneway = connection::to(n.port);  // nothing is owed to these, but an end is
+  // Oneway messages get no exception, but the connection must close.
+  connection oneway = connection::to(n.port);
   for (int i = 1; i <= 20; ++i) oneway.send(frame(head(4, "destroy", i) + '\0'));
   CHECK(read_reply(oneway).kind == "closing" && oneway.rest().empty());
 }
 
-// Guards against a close that resets: who still sends when it is given up could lose the answer with it.
-void a_huge_message_is_turned_down_at_once_and_read_to_its_end() {
+// The node rejects an oversized message at its length field and reads the rest of it. Guards against a
+// close that resets the connection: a client that is still sending could lose the answer.
+void oversized_message_is_rejected_and_discarded() {
   runtime r;
   node n(r);
   r.up();
@@ -319,8 +332,9 @@
   CHECK(n.resident_kb() < (sanitized ? 400000 : 40000));
 }
 
-// Guards against half messages that hold a connection for ever, also where a byte comes now and then.
-void a_message_that_only_drips_in_is_given_up() {
+// Guards against incomplete messages that occupy a connection without limit, also where a byte arrives now
+// and then.
+void slow_message_closes_the_connection() {
   runtime r;
   node n(r);
   r.up();
@@ -334,15 +348,15 @@
   CHECK(read_reply(c).kind == "closing" && c.rest().empty());
 }
 
-// Guards callers against being taken for silent while it was the node that stood still.
-void a_stall_of_the_node_is_no_silence() {
+// Guards against a node that was stopped and then treats its clients as silent for that time.
+void time_while_stopped_is_not_client_silence() {
   runtime r;
   node n(r);
   r.up();
   connection c = connection::to(n.port), half = connection::to(n.port);
   const std::string second = execute(1, usual(2), "b");
   half.send(second.substr(0, 40));
-  std::this_thread::sleep_for(300ms);  // taken in
+  std::this_thread::sleep_for(300ms);  // the node reads the first half
   n.signal(SIGSTOP);
   c.send(execute(1, usual(1), "a"));
   half.send(second.substr(40));
@@ -352,15 +366,15 @@
   CHECK(read_reply(c).kind == "served" && read_reply(half).kind == "served");
 }
 
-// Guards balancers against hundreds that open connections and say nothing: those go, the oldest first, and no
-// connection that is in use.
-void silent_connections_shut_nobody_out() {
+// Guards against hundreds of silent connections that exclude active clients: the node must close silent
+// connections, the oldest first, and no connection in use.
+void silent_connections_do_not_exclude_clients() {
   runtime r;
   node n(r,
          {.edit_from = "\"memory_mb\":192,\"sockets\":1024", .edit_to = "\"memory_mb\":32,\"sockets\":384"});
   r.up();
   std::vector<connection> used, silent;
-  for (int i = 0; i < 200; ++i) {  // more than were let in when each had its whole buffer booked
+  for (int i = 0; i < 200; ++i) {  // more than fit into the memory limit if each reserved its whole buffer
     used.push_back(connection::to(n.port));
     used.back().send(i == 0 ? execute(1, usual(1), "a") : check(1));
     if (i > 0) read_reply(used.back());
@@ -374,14 +388,16 @@
   }
   r.end(r.expect("start"), "fine", "YQ==");
   CHECK(read_reply(used.front()).kind == "served");
-  for (connection& c : silent) {  // in time by themselves, too
+  for (connection& c : silent) {  // the remaining silent connections time out
     CHECK(read_reply(c).kind == "closing" && c.rest().empty());
   }
   used.back().send(check(2));
   CHECK(read_reply(used.back()).seqid == 2);
 }
 
-void one_request_too_many_gets_an_exception() {
+// Guards against a request beyond the limit of 32 per connection that starts a run or affects the other
+// requests.
+void request_beyond_the_connection_limit_gets_an_exception() {
   runtime r;
   node n(r);
   r.up();
@@ -398,51 +414,55 @@
   }
 }
 
-// Guards against a second effect, and against effects failed or runs forgotten, when the link to the runtime
-// is lost: a start that may have arrived is probed with a stop, which pauses what runs.
-void a_lost_link_loses_no_run() {
+// Guards against duplicate effects, effects that fail wrongly and runs that are forgotten when the link to
+// the runtime is lost. Where a `start` may have arrived, the node sends a `stop` as a probe, which pauses the
+// run if there is one.
+void lost_link_loses_no_run() {
   runtime r;
   node n(r);
   r.up();
   connection c = connection::to(n.port);
   for (int i = 1; i <= 4; ++i) c.send(execute(i, usual(i, "kurs-meldung"), "a"));
   for (int i = 1; i <= 4; ++i) r.expect("start");
-  r.send("{\"msg\":\"end\",\"serial\":1,\"call\":\"" + label(4) + "\",\"how\":\"fi");  // in mid-notice
-  r.link.close();  // before the node could know whether its starts arrived
+  // The link is lost in the middle of the end notice.
+  r.send("{\"msg\":\"end\",\"serial\":1,\"call\":\"" + label(4) + "\",\"how\":\"fi");
+  r.link.close();  // before the node knows whether its starts arrived
   c.send(execute(5, usual(5, "kurs-meldung"), "b"));
   n.logged("link-lost");
   r.link = r.door.accept();
   CHECK(member(r.link.line(), "serial") == "0");
   r.send("{\"msg\":\"ready\",\"how\":\"running\",\"duration\":60000}");
-  r.end(label(4), "fine", "YQ==");  // ended meanwhile
+  r.end(label(4), "fine", "YQ==");  // ended while the link was lost
   CHECK(r.answer_gauges(r.link.line()));
   CHECK(read_reply(c).seqid == 4);
-  std::map<std::string, std::string> said;
-  std::vector<std::string> questions;  // for gauges; the next one may come before the start of request 5
-  while (said.size() < 4) {
+  std::map<std::string, std::string> command_of_call;
+  std::vector<std::string> gauges_queries;  // the next one may arrive before the start of request 5
+  while (command_of_call.size() < 4) {
     const std::string line = r.link.line();
     if (member(line, "msg") == "gauges") {
-      questions.push_back(line);
+      gauges_queries.push_back(line);
     } else {
-      CHECK(said.emplace(member(line, "call"), member(line, "msg")).second);
+      CHECK(command_of_call.emplace(member(line, "call"), member(line, "msg")).second);
     }
   }
-  CHECK(said[label(5)] == "start");  // never sent before
-  CHECK(said[label(1)] == "stop" && said[label(2)] == "stop" && said[label(3)] == "stop");
-  r.end(label(1), "broken_off");    // it ran, and is paused
-  r.end(label(2), "fine", "YQ==");  // it ended as the stop came
-  for (const std::string& question : questions) CHECK(r.answer_gauges(question));
+  CHECK(command_of_call[label(5)] == "start");  // was never sent before
+  CHECK(command_of_call[label(1)] == "stop" && command_of_call[label(2)] == "stop" &&
+        command_of_call[label(3)] == "stop");
+  r.end(label(1), "broken_off");    // the run was in progress and is now paused
+  r.end(label(2), "fine", "YQ==");  // the run ended before the stop arrived
+  for (const std::string& query : gauges_queries) CHECK(r.answer_gauges(query));
   CHECK(r.expect("cont") == label(1));
-  CHECK(r.expect("start") == label(3));  // nothing ended: it never arrived
+  CHECK(r.expect("start") == label(3));  // no end notice: the start never arrived
   for (const int i : {1, 3, 5}) r.end(label(i), "fine", "YQ==");
   for (int i = 0; i < 4; ++i) CHECK(read_reply(c).kind == "served");
   r.link.close();
   r.up();
-  CHECK(r.synced == std::to_string(r.serial));
+  CHECK(r.synced_serial == std::to_string(r.serial));
 }
 
-// Guards against a stop for good where the operators' runtime cannot pause: an effect in doubt fails.
-void where_a_stop_is_for_good_an_effect_in_doubt_fails() {
+// The operators' runtime cannot pause runs, so a `stop` ends a run permanently. Guards against a repeated
+// effect: a request whose effect is in doubt must fail.
+void effect_in_doubt_fails_where_stop_is_permanent() {
   runtime r;
   node n(r, {.edit_from = "\"Halt\":\"pause\"", .edit_to = "\"Halt\":\"drop\""});
   r.up();
@@ -453,34 +473,35 @@
   r.link.close();
   r.up();
   CHECK(r.expect("stop") == label(2));
-  CHECK(r.expect("start") == label(1));  // safe: running it twice does no harm
+  CHECK(r.expect("start") == label(1));  // a safe request may run twice
   const reply failed = read_reply(c);
   CHECK(failed.kind == "failed" && failed.seqid == 2);
 }
 
-// Guards an honest request against another one under its name, whichever comes first: the runtime tells which
-// of them it knows. The other one fails, and never gets a result.
-void a_taken_name_harms_only_who_took_it() {
+// Guards a genuine request against another request with the same request id, whichever arrives first: the
+// runtime knows which request is genuine. The forged request must fail and never get a result.
+void forged_request_id_fails_only_its_sender() {
   runtime r;
   node n(r);
   r.up();
-  connection good = connection::to(n.port), bad = connection::to(n.port);
-  bad.send(execute(1, usual(1), "forged"));
+  connection genuine_client = connection::to(n.port), forger = connection::to(n.port);
+  forger.send(execute(1, usual(1), "forged"));
   CHECK(r.expect("start") == label(1));
-  good.send(execute(1, usual(1), "a"));
+  genuine_client.send(execute(1, usual(1), "a"));
   n.logged("open already");
   r.send("{\"msg\":\"nack\",\"how\":\"start\",\"call\":\"" + label(1) + "\"}");
-  CHECK(read_reply(bad).kind == "failed");
+  CHECK(read_reply(forger).kind == "failed");
   CHECK(r.expect("start") == label(1));
-  bad.send(execute(2, usual(1), "forged again"));
-  while (!bad.readable(5)) CHECK(!r.link.readable(5) || r.answer_gauges(r.link.line()));  // shows which runs
-  CHECK(read_reply(bad).kind == "failed");
+  forger.send(execute(2, usual(1), "forged again"));
+  // An answered `gauges` query confirms to the node that the runtime accepted the genuine start.
+  while (!forger.readable(5)) CHECK(!r.link.readable(5) || r.answer_gauges(r.link.line()));
+  CHECK(read_reply(forger).kind == "failed");
   r.end(label(1), "fine", "YQ==");
-  CHECK(read_reply(good).kind == "served");
+  CHECK(read_reply(genuine_client).kind == "served");
 }
 
-// Guards against runs awaited for ever from a runtime that was started anew.
-void a_new_runtime_fails_what_ran_in_the_old_one() {
+// Guards against a node that waits without limit for runs of a runtime that has restarted.
+void runtime_restart_fails_its_runs() {
   runtime r;
   node n(r);
   r.up();
@@ -492,7 +513,8 @@
   CHECK(read_reply(c).kind == "failed");
 }
 
-void a_runtime_that_comes_late_gets_what_waits() {
+// Guards against a request that is lost while the runtime is not ready yet.
+void waiting_requests_start_when_the_runtime_is_ready() {
   runtime r;
   node n(r);
   const connection link_before_ready = r.door.accept();
@@ -508,8 +530,9 @@
   CHECK(read_reply(c).kind == "served");
 }
 
-// Guards against runs begun for what came too long after the notice, and against a death with answers owed.
-void drains() {
+// Guards against runs that start for requests long after the shutdown notice, and against an exit with
+// unanswered requests.
+void graceful_shutdown_answers_every_request() {
   runtime r;
   node n(r, {.stop_ms = 4500});
   r.up();
@@ -520,7 +543,7 @@
   n.logged("drain");
   c.send(check(2));
   CHECK(read_reply(c).rest.find(std::string("\x02\x00\x03\x00", 4)) != std::string::npos);
-  c.send(execute(3, usual(3), "a"));  // soon after the notice: still run
+  c.send(execute(3, usual(3), "a"));  // soon after the notice, requests still run
   r.end(r.expect("start"), "fine", "YQ==");
   CHECK(read_reply(c).seqid == 3);
   std::this_thread::sleep_for(2700ms);
@@ -535,49 +558,49 @@
   CHECK(n.log().find("counters") != std::string::npos);
 }
 
-// Guards against a move that is forgotten, or ends the program, while it drains.
-void moves_while_it_drains() {
-  runtime old, next;
-  node n(old);
-  old.up();
+// Guards against a reload that is ignored, or that ends the program, during a graceful shutdown.
+void reload_during_graceful_shutdown() {
+  runtime old_runtime, new_runtime;
+  node n(old_runtime);
+  old_runtime.up();
   connection c = connection::to(n.port);
   c.send(execute(1, usual(1, "kurs-meldung"), "a"));
-  old.expect("start");
+  old_runtime.expect("start");
   n.signal(SIGTERM);
   n.logged("drain");
-  n.reload(next);
-  for (std::string line; old.link.next(line);) CHECK(old.answer_gauges(line));
-  next.up();
-  next.end(label(1), "fine", "YQ==");
+  n.reload(new_runtime);
+  for (std::string line; old_runtime.link.next(line);) CHECK(old_runtime.answer_gauges(line));
+  new_runtime.up();
+  new_runtime.end(label(1), "fine", "YQ==");
   CHECK(read_reply(c).kind == "served");
   c.close();
   CHECK(n.wait() == 0);
 }
 
-// Guards callers against a close that crosses their next request: before the table is full, who asked just
-// once is told to go, and who comes back is kept.
-void a_filling_table_asks_the_unused_to_go() {
+// Guards clients against a close that crosses their next request: before the connection table is full, the
+// node sends `closing` to clients that sent only one request, and keeps clients that sent more.
+void nearly_full_table_closes_unused_connections() {
   runtime r;
   node n(r, {.edit_from = "\"sockets\":1024", .edit_to = "\"sockets\":128"});  // 64 connections
   r.up();
-  std::vector<connection> regular, once;
+  std::vector<connection> regular, single_use;
   for (int i = 0; i < 60; ++i) {
-    std::vector<connection>& kind = i < 20 ? regular : once;
+    std::vector<connection>& kind = i < 20 ? regular : single_use;
     kind.push_back(connection::to(n.port));
     for (int k = 1; k <= (i < 20 ? 2 : 1); ++k) {
       kind.back().send(check(k));
       CHECK(read_reply(kind.back()).seqid == k);
     }
   }
-  CHECK(read_reply(once.front()).kind == "closing");  // the longest unused of them
-  CHECK(read_reply(once[5]).kind == "closing");
+  CHECK(read_reply(single_use.front()).kind == "closing");  // the longest unused single-use connection
+  CHECK(read_reply(single_use[5]).kind == "closing");
   for (connection& c : regular) CHECK(!c.readable(0));
-  CHECK(!once.back().readable(0));
+  CHECK(!single_use.back().readable(0));
 }
 
-// Guards a request that waits unread in the system, on a connection just taken or long unused, against the
-// close of that connection for the sake of a new one (seen as a request lost in a full table).
-void a_full_table_closes_nobody_whose_request_is_here() {
+// Guards against a full table in which the node closes a connection for the sake of a new one although an
+// unread request waits in its socket; the connection is either new or long unused. Such requests were lost.
+void full_table_keeps_connections_with_unread_requests() {
   runtime r;
   node n(r, {.edit_from = "\"sockets\":1024", .edit_to = "\"sockets\":128"});  // 64 connections
   r.up();
@@ -593,7 +616,7 @@
     asking.push_back(connection::to(n.port));
     asking.back().send(check(1));
   }
-  unused.front().send(check(2));  // the longest unused
+  unused.front().send(check(2));  // the longest unused connection
   n.signal(SIGCONT);
   for (connection& c : asking) CHECK(read_reply(c).seqid == 1);
   CHECK(read_reply(unused.front()).seqid == 2);
@@ -611,8 +634,9 @@
   n.logged("taken_in=1 sent=1 served=1");
 }
 
-void names_the_faulty_key() {
-  const std::vector<std::vector<std::string>> wrong = {
+// Each invalid configuration must end the program with one log line that names the faulty key.
+void configuration_errors_name_the_key() {
+  const std::vector<std::vector<std::string>> invalid = {
       {"\"runtime\"", "\"runtimes\"", "runtime"},
       {"\"NCores\":4", "\"NCores\":0", "settings.Extra.NCores"},
       {"\"Deadline\":60000000000", "\"Deadline\":\"soon\"", "settings.Classes.0.Deadline"},
@@ -643,24 +667,24 @@
       {"\"DrainGrace\":2500000000", "\"DrainGrace\":-1", "settings.Safety.DrainGrace"},
       {"\"name\":\"n0\"", "\"name\":\"n/0\"", "name has a space, a slash"},
       {"{", "[", "no JSON"}};
-  for (const auto& w : wrong) {
+  for (const auto& edit : invalid) {
     runtime r;
     node_options o;
-    o.edit_from = w[0];
-    o.edit_to = w[1];
+    o.edit_from = edit[0];
+    o.edit_to = edit[1];
     node n(r, o);
     CHECK(n.wait() != 0);
-    CHECK(n.log().find(w[2]) != std::string::npos);
-    const std::string said = n.log();
-    CHECK(std::count(said.begin(), said.end(), '\n') == 1);
+    CHECK(n.log().find(edit[2]) != std::string::npos);
+    const std::string log = n.log();
+    CHECK(std::count(log.begin(), log.end(), '\n') == 1);
   }
 }
 
-// Unusual, and legal: each starts and serves.
+// Settings that are unusual and valid: with each of them the node must start and serve.
 void unusual_settings_serve() {
-  const std::vector<std::pair<std::string, std::string>> legal = {
+  const std::vector<std::pair<std::string, std::string>> valid_edits = {
       {"\"Name\":\"lech-vermoegen\"", "\"Name\":\"Lech & Söhne / KG: \\\"1\\\"\""},
-      {"\"Objective\":20000000000", "\"Objective\":60000000000"},  // the deadline itself
+      {"\"Objective\":20000000000", "\"Objective\":60000000000"},  // equal to the deadline
       {"\"Objective\":20000000000,", ""},
       {"\"Effect\":\"safe\",", ""},
       {"\"QuotaPerS\":100.0", "\"QuotaPerS\":0"},
@@ -670,9 +694,9 @@
       {"\"StartCapacity\":0.21,\"Cold\":18000000000", "\"StartCapacity\":1"},
       {"\"Tick\":2000000", "\"Tick\":2000000,\"Unheard\":{\"of\":[1,2,{\"x\":null}]}"},
       {"\"name\":\"n0\"", "\"name\":\"node_0.muc-1:a\""}};
-  for (const auto& [from, to] : legal) {
+  for (const auto& [pattern, replacement] : valid_edits) {
     runtime r;
-    node n(r, {.edit_from = from, .edit_to = to});
+    node n(r, {.edit_from = pattern, .edit_to = replacement});
     r.up();
     connection c = connection::to(n.port);
     c.send(execute(1, usual(1), "a") + execute(2, usual(2, "kurs-meldung"), "b"));
@@ -685,36 +709,36 @@
 
 int main(int, char** argv) {
   const std::map<std::string, void (*)()> tests = {
-      {"bodies", serves_bodies_byte_for_byte},
-      {"halves", takes_half_frames_and_stalls},
-      {"idle", idles},
+      {"bodies", forwards_bodies_unchanged},
+      {"partial_frames", reads_partial_frames_and_after_a_stop},
+      {"idle", idle_node_does_not_spin},
       {"catalog", reports_to_the_catalog},
       {"reload", moves_to_new_addresses},
-      {"reload_early", stays_where_it_is_until_the_new_address_answers},
-      {"reload_bad", keeps_the_old_configuration_where_the_new_is_bad},
-      {"once", answers_once},
-      {"failures", fails_what_the_runtime_fails},
-      {"gone", stops_what_nobody_waits_for},
-      {"given_up", gives_up_at_once},
-      {"bad_input", bad_input_stays_with_its_sender},
-      {"bad_messages", many_bad_messages_end_a_connection},
-      {"huge", a_huge_message_is_turned_down_at_once_and_read_to_its_end},
-      {"drip", a_message_that_only_drips_in_is_given_up},
-      {"stall", a_stall_of_the_node_is_no_silence},
-      {"silent", silent_connections_shut_nobody_out},
-      {"too_many", one_request_too_many_gets_an_exception},
-      {"lost_link", a_lost_link_loses_no_run},
-      {"lost_link_drop", where_a_stop_is_for_good_an_effect_in_doubt_fails},
-      {"taken_name", a_taken_name_harms_only_who_took_it},
-      {"new_runtime", a_new_runtime_fails_what_ran_in_the_old_one},
-      {"late_runtime", a_runtime_that_comes_late_gets_what_waits},
-      {"drain", drains},
-      {"reload_drain", moves_while_it_drains},
-      {"filling", a_filling_table_asks_the_unused_to_go},
-      {"full", a_full_table_closes_nobody_whose_request_is_here},
+      {"reload_unreachable", keeps_the_old_link_until_the_new_address_answers},
+      {"reload_invalid", invalid_reload_keeps_the_current_configuration},
+      {"one_answer", answers_once},
+      {"failures", requests_fail_with_their_runs},
+      {"cancelled", cancelled_requests_stop_their_runs},
+      {"failed_before_deadline", abandoned_request_fails_before_its_deadline},
+      {"invalid_input", invalid_input_affects_only_its_sender},
+      {"invalid_messages", many_invalid_messages_close_the_connection},
+      {"oversized", oversized_message_is_rejected_and_discarded},
+      {"slow_message", slow_message_closes_the_connection},
+      {"stopped_node", time_while_stopped_is_not_client_silence},
+      {"silent_connections", silent_connections_do_not_exclude_clients},
+      {"too_many_requests", request_beyond_the_connection_limit_gets_an_exception},
+      {"lost_link", lost_link_loses_no_run},
+      {"lost_link_without_pause", effect_in_doubt_fails_where_stop_is_permanent},
+      {"forged_request_id", forged_request_id_fails_only_its_sender},
+      {"runtime_restart", runtime_restart_fails_its_runs},
+      {"late_runtime", waiting_requests_start_when_the_runtime_is_ready},
+      {"shutdown", graceful_shutdown_answers_every_request},
+      {"reload_in_shutdown", reload_during_graceful_shutdown},
+      {"nearly_full_table", nearly_full_table_closes_unused_connections},
+      {"full_table", full_table_keeps_connections_with_unread_requests},
       {"counters", prints_counters_on_request},
-      {"config", names_the_faulty_key},
-      {"unusual", unusual_settings_serve},
+      {"configuration_errors", configuration_errors_name_the_key},
+      {"unusual_settings", unusual_settings_serve},
   };
   tests.at(argv[1])();
   return 0;
--- a/tests/net/races_test.cpp
+++ b/tests/net/races_test.cpp
@@ -1,5 +1,6 @@
-// Races in the node's life, each forced: the stand-in for the runtime or the client holds, cuts or sends at
-// the step named, mostly while the node is stopped (SIGSTOP), so that the bad order comes every time.
+// Races in the life of a price node process. Each test forces its race: the runtime stub or the client waits,
+// closes its connection or sends at a certain step, mostly while SIGSTOP stops the node, so that the critical
+// order of events occurs in every run.
 #include <array>
 #include <map>
 
@@ -10,34 +11,38 @@
 
 namespace {
 
-void cont_after(node& n, std::chrono::milliseconds pause) {
+// Continues a stopped node after the pause.
+void continue_after(node& stopped, std::chrono::milliseconds pause) {
   std::this_thread::sleep_for(pause);
-  n.signal(SIGCONT);
+  stopped.signal(SIGCONT);
 }
 
-// Commands of that name for just these runs, in any order; questions for gauges are answered.
-void expect_all(runtime& r, const std::string& msg, const std::set<std::string>& calls) {
+// Receives one command of that name for each of these calls, in any order. Answers `gauges` queries.
+void expect_all(runtime& stub, const std::string& command_name, const std::set<std::string>& calls) {
   std::set<std::string> seen;
-  while (seen.size() < calls.size()) seen.insert(r.expect(msg));
+  while (seen.size() < calls.size()) seen.insert(stub.expect(command_name));
   CHECK(seen == calls);
 }
 
-// The same without an answer to any question: the node cannot know that they have arrived.
-void expect_all_unconfirmed(runtime& r, const std::string& msg, const std::set<std::string>& calls) {
+// Receives the commands as expect_all() does, but answers no `gauges` query, so that the node cannot know
+// whether the commands have arrived.
+void expect_all_unconfirmed(runtime& stub, const std::string& command_name,
+                            const std::set<std::string>& calls) {
   std::set<std::string> seen;
   while (seen.size() < calls.size()) {
-    const std::string line = r.link.line();
-    if (member(line, "msg") == msg) seen.insert(member(line, "call"));
+    const std::string line = stub.link.line();
+    if (member(line, "msg") == command_name) seen.insert(member(line, "call"));
   }
   CHECK(seen == calls);
 }
 
 // ---- The link to the runtime ------------------------------------------------------------------------------
 
-// The runtime answers the question behind the replayed notices, and is gone before the node has said what it
-// then has to say: the first command draws a reset, the second one fails. Guards against a link that counts
-// as up, is not there, and is never sought again: the node listened and served nobody.
-void the_link_breaks_while_runs_are_settled() {
+// After a reconnect, the runtime answers the `gauges` query behind its replayed notices and closes the
+// connection before the node sends its `stop` probes: the first command draws a reset, the second one
+// fails. Guards against a link that the node counts as up although it is closed, and never reconnects: the
+// node then listened and served nobody.
+void link_lost_during_resynchronization() {
   runtime r;
   node n(r);
   r.up();
@@ -57,17 +62,17 @@
   CHECK(r.answer_gauges(question));
   r.link.close();
   n.signal(SIGCONT);
-  r.up();  // it comes back
+  r.up();  // the node reconnects
   expect_all(r, "stop", runs);
-  for (const std::string& run : runs) r.end(run, "broken_off");  // each had started
+  for (const std::string& run : runs) r.end(run, "broken_off");  // each run had started
   expect_all(r, "cont", runs);
   for (const std::string& run : runs) r.end(run, "fine", "YQ==");
   for (int i = 1; i <= 6; ++i) CHECK(read_reply(c).kind == "served");
 }
 
-// The node stands still between the runtime's `ready` and its reading of it. Guards against the delay being
-// taken for a later start of the runtime, and its runs for lost.
-void a_ready_that_is_read_late_is_no_restart() {
+// The node is stopped after the runtime sends `ready` and before the node reads it. Guards against a node
+// that takes the delay for a later start of the runtime, and therefore treats its runs as lost.
+void delayed_ready_is_not_a_runtime_restart() {
   runtime r;
   node n(r);
   r.up();
@@ -81,15 +86,15 @@
   r.link.line();  // sync
   n.signal(SIGSTOP);
   r.send("{\"msg\":\"ready\",\"how\":\"running\",\"duration\":60200}");
-  cont_after(n, 1800ms);
+  continue_after(n, 1800ms);
   CHECK(r.answer_gauges(r.link.line()));
   r.end(label(1), "fine", "YQ==");
   CHECK(read_reply(c).kind == "served");
 }
 
-// Notices come again that were read before the link broke, and one is read for the first time: each run ends
-// once.
-void notices_come_again() {
+// After a reconnect, the runtime replays an end notice that the node read before the link was lost, and
+// sends another notice for the first time. Guards against a run that ends twice.
+void replayed_end_notices_are_ignored() {
   runtime r;
   node n(r);
   r.up();
@@ -103,7 +108,7 @@
   CHECK(member(r.link.line(), "serial") == "1");
   r.send("{\"msg\":\"ready\",\"how\":\"running\",\"duration\":60000}");
   r.serial = 0;
-  r.end(label(1), "fault");  // serial 1 again, and not what it said
+  r.end(label(1), "fault");  // serial 1 again, with a different outcome
   r.end(label(2), "fine", "Yg==");
   r.serial = 1;
   r.end(label(2), "fault");  // serial 2 again
@@ -113,8 +118,9 @@
   CHECK(!c.readable(200));
 }
 
-// The link accepts and says nothing: requests are answered all the same, by their time.
-void a_silent_runtime_leaves_no_request_unanswered() {
+// The runtime accepts the connection and sends nothing. The node must still answer each request by its
+// deadline.
+void requests_are_answered_while_the_runtime_is_silent() {
   runtime r;
   node n(r, {.aim_ms = 300, .write_aim_ms = 300});
   const connection link = r.door.accept();
@@ -124,9 +130,9 @@
   CHECK(answer.seqid == 1 && answer.kind != "served");
 }
 
-// A deadline that is shorter than the node's own timers: each request has its one answer, and nobody else's
-// waits.
-void deadlines_shorter_than_the_timers() {
+// The deadline of a request class is shorter than the node's timer interval. Each request must get exactly
+// one answer, and requests of the other class must not wait for it.
+void deadline_shorter_than_the_timer_interval() {
   runtime r;
   node n(r, {.edit_from = "\"Objective\":20000000000,\"Deadline\":60000000000",
              .edit_to = "\"Objective\":5000000,\"Deadline\":8000000"});
@@ -147,29 +153,29 @@
   CHECK(!c.readable(200));
 }
 
-// ---- The end of the process -------------------------------------------------------------------------------
+// ---- Graceful shutdown ------------------------------------------------------------------------------------
 
-// The node stands still from before its last step until after it; requests came meanwhile, on connections of
-// both kinds: resting ones and ones that just opened. Guards against a request that the last round of the
-// reactor reads and nobody answers.
-void what_came_before_the_last_step_is_answered() {
+// The node is stopped shortly before the end of its shutdown period and continues after it. Meanwhile
+// requests arrive on idle connections. Guards against a request that the reactor reads in its last
+// iteration and does not answer.
+void requests_before_the_last_shutdown_step_are_answered() {
   runtime r;
   node n(r);
   r.up();
-  std::vector<connection> resting;
+  std::vector<connection> idle_clients;
   for (int i = 0; i < 8; ++i) {
-    resting.push_back(connection::to(n.port));
-    resting.back().send(check(1));
-    read_reply(resting.back());
+    idle_clients.push_back(connection::to(n.port));
+    idle_clients.back().send(check(1));
+    read_reply(idle_clients.back());
   }
   n.signal(SIGTERM);
   n.logged("shutdown notice received");
   std::this_thread::sleep_for(2000ms);
   n.signal(SIGSTOP);
-  for (std::size_t i = 0; i < resting.size(); ++i)
-    resting[i].send(execute(2, usual(static_cast<int>(i)), "late"));
-  cont_after(n, 1500ms);
-  for (connection& c : resting) {
+  for (std::size_t i = 0; i < idle_clients.size(); ++i)
+    idle_clients[i].send(execute(2, usual(static_cast<int>(i)), "late"));
+  continue_after(n, 1500ms);
+  for (connection& c : idle_clients) {
     reply answer;
     do {
       CHECK(c.readable(patience_ms));
@@ -177,14 +183,14 @@
     } while (answer.kind == "closing");
     CHECK(answer.seqid == 2 && answer.kind == "refused");
     std::string more;
-    CHECK(c.ends_in_order(more));
+    CHECK(c.closed_gracefully(more));
   }
   CHECK(n.wait() == 0);
 }
 
-// A client that rests until the node ends its connection sees that end in order, and what it writes behind it
-// is neither run nor answered with a reset that could take the last answer along.
-void a_client_that_rests_to_the_end_sees_it_in_order() {
+// A client stays idle until the node closes its connection. The client must see a graceful close; a request
+// that it sends after the close must neither run nor draw a reset, which could discard the last answer.
+void idle_client_sees_a_graceful_close() {
   runtime r;
   node n(r, {.stop_ms = 1500});
   r.up();
@@ -194,15 +200,16 @@
   CHECK(read_reply(c).kind == "served");
   n.signal(SIGTERM);
   std::string rest;
-  CHECK(c.ends_in_order(rest));  // before the process is gone: it can still hear what comes now
+  CHECK(c.closed_gracefully(rest));  // before the process exits, so that it could still read the next request
   c.send(execute(2, usual(2), "b"));
   CHECK(n.wait() == 0);
   std::string line;
   while (r.link.next(line)) CHECK(member(line, "msg") != "start");
 }
 
-// Answers that a client has not taken yet when the notice comes are out before the end.
-void answers_half_written_at_the_notice_come_whole() {
+// SIGTERM arrives while the client has not yet read its answers. The node must write all of them before it
+// exits.
+void buffered_answers_are_written_before_exit() {
   runtime r;
   node n(r, {.stop_ms = 2500});
   r.up();
@@ -215,100 +222,103 @@
   n.logged("shutdown notice received");
   for (int i = 1; i <= count; ++i) CHECK(read_reply(c).kind == "served");
   std::string rest;
-  CHECK(c.ends_in_order(rest));
+  CHECK(c.closed_gracefully(rest));
   CHECK(n.wait() == 0);
 }
 
-// SIGHUP and SIGTERM in one moment: both are heeded, a run in flight ends on the new address.
-void two_signals_at_once() {
-  runtime old, next;
-  node n(old);
-  old.up();
+// SIGHUP and SIGTERM arrive at the same time. The node must handle both: a run in flight ends over the
+// connection to the new runtime address.
+void reload_and_shutdown_at_the_same_time() {
+  runtime old_runtime, new_runtime;
+  node n(old_runtime);
+  old_runtime.up();
   connection c = connection::to(n.port);
   c.send(execute(1, usual(1, "kurs-meldung"), "a"));
-  old.expect("start");
+  old_runtime.expect("start");
   n.signal(SIGSTOP);
-  n.reload(next);
+  n.reload(new_runtime);
   n.signal(SIGTERM);
   n.signal(SIGUSR1);
   n.signal(SIGCONT);
-  for (std::string line; old.link.next(line);) CHECK(old.answer_gauges(line));
-  next.up();
+  for (std::string line; old_runtime.link.next(line);) CHECK(old_runtime.answer_gauges(line));
+  new_runtime.up();
   n.logged("shutdown notice received");
   n.logged("counters");
-  next.end(label(1), "fine", "YQ==");
+  new_runtime.end(label(1), "fine", "YQ==");
   CHECK(read_reply(c).kind == "served");
   c.close();
   CHECK(n.wait() == 0);
 }
 
-// SIGTERM while half of a request is read: its rest still comes, and it is answered.
-void a_notice_to_leave_in_the_middle_of_a_request() {
+// SIGTERM arrives after the node has read half of a request. The node must read the rest and answer the
+// request.
+void shutdown_in_the_middle_of_a_request() {
   runtime r;
   node n(r, {.stop_ms = 2000});
   r.up();
-  connection c = connection::to(n.port), read = connection::to(n.port);
+  connection c = connection::to(n.port), other_client = connection::to(n.port);
   const std::string whole = execute(1, usual(1, "kurs-meldung"), "a");
   c.send(whole.substr(0, whole.size() / 2));
-  read.send(check(1));
-  CHECK(read_reply(read).seqid == 1);  // so the half that came before it is read, too
+  other_client.send(check(1));
+  CHECK(read_reply(other_client).seqid == 1);  // so the node has also read the half that was sent before
   n.signal(SIGTERM);
   n.logged("shutdown notice received");
   c.send(whole.substr(whole.size() / 2));
   r.end(r.expect("start"), "fine", "YQ==");
   CHECK(read_reply(c).kind == "served");
   c.close();
-  read.close();
+  other_client.close();
   CHECK(n.wait() == 0);
 }
 
-// The new address of the runtime does not answer, and SIGTERM comes while the node tries it: what runs ends
-// on the old one.
-void a_notice_to_leave_during_a_reload() {
-  runtime old, gone;
-  gone.door.close();
-  node n(old, {.stop_ms = 2500});
-  old.up();
+// SIGTERM arrives while the node tries to connect to a new runtime address that does not answer. Runs in
+// flight must end over the old connection.
+void shutdown_during_a_reload() {
+  runtime old_runtime, unreachable_runtime;
+  unreachable_runtime.door.close();
+  node n(old_runtime, {.stop_ms = 2500});
+  old_runtime.up();
   connection c = connection::to(n.port);
   c.send(execute(1, usual(1, "kurs-meldung"), "a"));
-  old.expect("start");
-  n.reload(gone);
+  old_runtime.expect("start");
+  n.reload(unreachable_runtime);
   n.logged("reload: runtime at");
   n.signal(SIGTERM);
   n.logged("shutdown notice received");
   c.send(execute(2, usual(2, "kurs-meldung"), "b"));
-  old.end(label(1), "fine", "YQ==");
+  old_runtime.end(label(1), "fine", "YQ==");
   CHECK(read_reply(c).seqid == 1);
-  old.end(old.expect("start"), "fine", "Yg==");
+  old_runtime.end(old_runtime.expect("start"), "fine", "Yg==");
   CHECK(read_reply(c).kind == "served");
   c.close();
   CHECK(n.wait() == 0);
 }
 
-// A run that was given up and paused, then SIGHUP and SIGTERM: it stays as it is on the new link, and holds
-// nothing up.
-void signals_while_a_run_is_paused() {
-  runtime old, next;
-  node n(old, {.write_aim_ms = 300});
-  old.up();
+// SIGHUP and then SIGTERM arrive while a run is paused whose request has already failed. The run must stay
+// paused after the move to the new connection, and must not delay the shutdown.
+void reload_and_shutdown_while_a_run_is_paused() {
+  runtime old_runtime, new_runtime;
+  node n(old_runtime, {.write_aim_ms = 300});
+  old_runtime.up();
   connection c = connection::to(n.port);
   c.send(execute(1, usual(1, "kurs-meldung"), "a"));
-  old.expect("start");
+  old_runtime.expect("start");
   CHECK(read_reply(c).kind == "failed");
-  CHECK(old.expect("stop") == label(1));
-  n.reload(next);
-  // The stop is said again now and then while the runtime has not told of an end; nothing else is of that
-  // run.
+  CHECK(old_runtime.expect("stop") == label(1));
+  n.reload(new_runtime);
+  // The node repeats the `stop` at intervals until the runtime reports the end of the run. No other command
+  // may name that run.
   const auto is_stop = [](const std::string& line) {
     return member(line, "msg") == "stop" && member(line, "call") == label(1);
   };
-  for (std::string line; old.link.next(line);) CHECK(old.answer_gauges(line) || is_stop(line));
-  next.up();
+  for (std::string line; old_runtime.link.next(line);)
+    CHECK(old_runtime.answer_gauges(line) || is_stop(line));
+  new_runtime.up();
   c.send(execute(2, usual(2), "b"));
-  std::string line = next.command();
-  while (is_stop(line)) line = next.command();
+  std::string line = new_runtime.command();
+  while (is_stop(line)) line = new_runtime.command();
   CHECK(member(line, "msg") == "start" && member(line, "call") == label(2));
-  next.end(label(2), "fine", "Yg==");
+  new_runtime.end(label(2), "fine", "Yg==");
   CHECK(read_reply(c).kind == "served");
   n.signal(SIGTERM);
   n.logged("shutdown notice received");
@@ -316,8 +326,8 @@
   CHECK(n.wait() == 0);
 }
 
-// A drain by the console, then SIGTERM: the node leaves as ever.
-void a_notice_to_leave_during_a_drain() {
+// SIGTERM arrives during an operator drain. The node must shut down gracefully as without a drain.
+void shutdown_during_an_operator_drain() {
   runtime r;
   node_options o{.stop_ms = 2000};
   o.console_port = free_port();
@@ -336,18 +346,18 @@
   CHECK(n.wait() == 0);
 }
 
-// SIGKILL at each state of a write, and a new process on its address with the same runtime: it serves, and
-// starts nothing of what the old one had.
-void killed_at_each_state() {
+// SIGKILL ends the node at each state of a write, and a new process starts on the same address with the
+// same runtime. The new process must serve, and must not start any request of the old process.
+void restart_after_sigkill_in_each_state() {
   enum class state { unread, half_read, held, running, ended };
-  for (const state at : {state::unread, state::half_read, state::held, state::running, state::ended}) {
+  for (const state killed_in : {state::unread, state::half_read, state::held, state::running, state::ended}) {
     runtime r;
     node_options o;
     o.listen_port = free_port();
-    connection silent;  // outlives the first node, which would connect anew
+    connection silent;  // stays open until the first node has ended, or else that node would reconnect
     {
       node first(r, o);
-      if (at == state::held) {
+      if (killed_in == state::held) {
         silent = r.door.accept();
       } else {
         r.up();
@@ -355,11 +365,11 @@
       first.logged("listens on");
       connection c = connection::to(o.listen_port);
       const std::string whole = execute(1, usual(1, "kurs-meldung"), "a");
-      if (at == state::unread) first.signal(SIGSTOP);
-      c.send(at == state::half_read ? whole.substr(0, 50) : whole);
-      if (at == state::held) first.until_counter("taken_in", 1);
-      if (at == state::running || at == state::ended) r.expect("start");
-      if (at == state::ended) r.end(label(1), "fine", "YQ==");
+      if (killed_in == state::unread) first.signal(SIGSTOP);
+      c.send(killed_in == state::half_read ? whole.substr(0, 50) : whole);
+      if (killed_in == state::held) first.wait_for_counter("taken_in", 1);
+      if (killed_in == state::running || killed_in == state::ended) r.expect("start");
+      if (killed_in == state::ended) r.end(label(1), "fine", "YQ==");
     }  // SIGKILL
     r.link.close();
     r.serial = 0;
@@ -373,11 +383,11 @@
   }
 }
 
-// ---- Clients that are slow
-// ----------------------------------------------------------------------------------
+// ---- Slow clients -----------------------------------------------------------------------------------------
 
-// Requests that come byte by byte, also with those of others between them, are read as any other.
-void a_request_that_comes_byte_by_byte() {
+// Requests arrive byte by byte, interleaved with requests on another connection. The node must parse them
+// like requests that arrive in one piece.
+void request_that_arrives_byte_by_byte() {
   runtime r;
   node n(r);
   r.up();
@@ -386,7 +396,8 @@
   for (std::size_t i = 0; i < whole.size(); ++i) {
     slow.send(whole.substr(i, 1));
     if (i % 50 != 0) continue;
-    other.send(check(static_cast<int>(i) + 1));  // answered behind the bytes before it
+    // The answer to this check shows that the node has read the bytes before it.
+    other.send(check(static_cast<int>(i) + 1));
     CHECK(read_reply(other).seqid == static_cast<int>(i) + 1);
   }
   r.end(r.expect("start"), "fine", "YQ==");
@@ -394,19 +405,21 @@
   CHECK(answered == (std::set<int>{1, 2}));
 }
 
-// A client that asks and never reads is given up once its answers fill its buffer; others never notice.
-void a_client_that_never_reads() {
+// A client sends requests and never reads. The node must close the connection once the unread answers fill
+// its buffer, and other clients must not be affected.
+void client_that_never_reads() {
   runtime r;
   node n(r);
   r.up();
-  connection deaf = connection::to(n.port);
-  deaf.keep_little();
+  connection non_reading = connection::to(n.port);
+  non_reading.shrink_receive_buffer();
   const std::string blob(4 * 1024, 'A');  // 3 KiB
   connection other = connection::to(n.port);
   int asked = 0;
-  while (deaf.try_send(execute(asked + 1, usual(asked + 1), "a"))) {
+  while (non_reading.try_send(execute(asked + 1, usual(asked + 1), "a"))) {
     CHECK(++asked < 4000);
-    const auto until = clock::now() + 500ms;  // given up meanwhile: it never starts, and the next send fails
+    // Once the connection is closed, no request starts and the next send fails.
+    const auto until = clock::now() + 500ms;
     for (bool started = false; !started && clock::now() < until;) {
       if (!r.link.readable(50)) continue;
       const std::string line = r.link.line();
@@ -424,14 +437,15 @@
   CHECK(result(read_reply(other)) == "b");
 }
 
-// ---- The start of the process -----------------------------------------------------------------------------
+// ---- Process start ----------------------------------------------------------------------------------------
 
-// SIGHUP and SIGUSR1 while the configuration is read: guards against their default, the end of the process.
-void a_reload_during_the_start() {
+// SIGHUP and SIGUSR1 arrive while the node reads its configuration. Guards against the default action of
+// these signals, which ends the process.
+void reload_during_startup() {
   runtime r;
   const node_options o{.hold_config = true};
   node n(r, o);
-  n.waits_for_config();
+  n.wait_for_config_read();
   n.signal(SIGHUP);
   n.signal(SIGUSR1);
   n.release_config(r, o);
@@ -443,20 +457,22 @@
   CHECK(read_reply(c).kind == "served");
 }
 
-// SIGTERM while the configuration is read: the process ends in order and never listens.
-void a_notice_to_leave_during_the_start() {
+// SIGTERM arrives while the node reads its configuration. The process must exit with status 0 and never
+// listen.
+void shutdown_during_startup() {
   runtime r;
   const node_options o{.hold_config = true};
   node n(r, o);
-  n.waits_for_config();
+  n.wait_for_config_read();
   n.signal(SIGTERM);
   n.release_config(r, o);
   CHECK(n.wait() == 0);
   CHECK(n.log().find("listens on") == std::string::npos);
 }
 
-// SIGTERM before the runtime is there: what was read is answered, the process ends by itself.
-void a_notice_to_leave_before_the_runtime_is_up() {
+// SIGTERM arrives before the runtime is ready. The node must answer the requests that it has read and exit
+// with status 0.
+void shutdown_before_the_runtime_is_ready() {
   runtime r;
   node n(r, {.stop_ms = 1500});
   const connection link = r.door.accept();
@@ -472,17 +488,17 @@
   CHECK(n.wait() == 0);
 }
 
-// ---- Descriptors ------------------------------------------------------------------------------------------
+// ---- File descriptors -------------------------------------------------------------------------------------
 
-// Idle clients fill the table and callers the console while nobody hears the reports: the node stays under
-// its limit, its link to the runtime comes back, the console answers, known clients are served, and no thread
-// spins.
-void floods_leave_the_node_its_descriptors() {
+// Idle clients fill the connection table and idle callers fill the console, while no catalog receives the
+// node's reports. The node must stay within its descriptor limit, reconnect to the runtime, answer console
+// calls and known clients, and not spin.
+void connection_floods_leave_descriptors_for_the_node() {
   constexpr int sockets = 160;
   runtime r;
   node_options o{.edit_from = "\"memory_mb\":192,\"sockets\":1024",
                  .edit_to = "\"memory_mb\":32,\"sockets\":160"};
-  o.directory_port = free_port();  // discovery is down: nobody is there
+  o.directory_port = free_port();  // service discovery is down: nothing listens on this port
   o.descriptors = sockets;
   const int console = free_port();
   o.console_port = console;
@@ -501,12 +517,12 @@
   }
   std::this_thread::sleep_for(300ms);
   CHECK(n.descriptors() <= sockets);
-  const auto before = n.used();
+  const auto cpu_before = n.used();
   std::this_thread::sleep_for(1000ms);
-  CHECK(n.used() - before < 500ms);
+  CHECK(n.used() - cpu_before < 500ms);
   CHECK(call(console, "ready\n") == "200 yes\n");
   r.link.close();
-  r.up();  // a descriptor is there for the new link
+  r.up();  // the node has a descriptor for the new link
   known.send(execute(4, usual(1), "a"));
   r.end(r.expect("start"), "fine", "YQ==");
   CHECK(read_reply(known).kind == "served");
@@ -517,8 +533,9 @@
   CHECK(read_reply(late).kind == "served");
 }
 
-// The system gives fewer descriptors than the settings name: what the process can have counts.
-void the_process_has_fewer_descriptors_than_the_settings_say() {
+// The process's descriptor limit is below the number of sockets in the settings. The lower limit must
+// apply.
+void descriptor_limit_below_the_settings() {
   runtime r;
   node_options o;  // limits.sockets is 1024
   o.descriptors = 140;
@@ -527,9 +544,9 @@
   std::vector<connection> idle;
   for (int i = 0; i < 300; ++i) idle.push_back(connection::to(n.port));
   std::this_thread::sleep_for(300ms);
-  const auto before = n.used();
+  const auto cpu_before = n.used();
   std::this_thread::sleep_for(1000ms);
-  CHECK(n.used() - before < 500ms);
+  CHECK(n.used() - cpu_before < 500ms);
   r.link.close();
   r.up();
   connection late = connection::to(n.port);
@@ -538,36 +555,36 @@
   CHECK(read_reply(late).kind == "served");
 }
 
-// No descriptor is left to the process though its own table has room: the listener waits instead of spinning,
-// and serves again once there are some.
-void no_descriptor_left_does_not_spin() {
+// accept() fails because the process has no descriptor left, although its connection table has space. The
+// listener must wait instead of spinning, and accept again once descriptors are available.
+void accept_without_descriptors_does_not_spin() {
   runtime r;
   node n(r);
   r.up();
-  // The sanitizer looks at each type that it meets for the first time through a pipe, and takes the object
-  // for a broken one where it gets none: so all that the node does here, also its looks at all connections,
-  // comes once before.
+  // The undefined-behaviour sanitizer opens a pipe when it checks the type of an object for the first time,
+  // and reports the object as invalid where it gets no descriptor. So the node first executes every operation
+  // of this test once, including its periodic check of all connections, while descriptors are available.
   connection early = connection::to(n.port);
   early.send(execute(1, usual(1), "a"));
   r.end(r.expect("start"), "fine", "YQ==");
   CHECK(read_reply(early).kind == "served");
-  n.until_counter("served", 1);
-  std::this_thread::sleep_for(500ms);  // several of those looks
+  n.wait_for_counter("served", 1);
+  std::this_thread::sleep_for(500ms);  // several of those periodic checks
   n.limit_descriptors(3);
-  connection waits = connection::to(n.port);
-  waits.send(check(1));
+  connection waiting = connection::to(n.port);
+  waiting.send(check(1));
   n.logged("accept: ");
-  const auto before = n.used();
+  const auto cpu_before = n.used();
   std::this_thread::sleep_for(1000ms);
-  CHECK(n.used() - before < 500ms);
+  CHECK(n.used() - cpu_before < 500ms);
   n.limit_descriptors(1024);
-  CHECK(read_reply(waits).seqid == 1);
+  CHECK(read_reply(waiting).seqid == 1);
 }
 
-// Every connection has a request open, and one more comes with its request already sent: it is told to go
-// elsewhere and its end comes in order. Guards against a close over unread bytes, whose reset takes the word
-// along.
-void one_connection_too_many_is_ended_in_order() {
+// Every connection has a request in flight, and one more client connects and sends a request. The node must
+// answer it with `closing` and close the connection gracefully. Guards against a close with unread bytes,
+// whose reset discards the `closing` message.
+void connection_beyond_the_limit_is_closed_gracefully() {
   constexpr int table = 64;
   runtime r;
   node n(r, {.edit_from = "\"sockets\":1024", .edit_to = "\"sockets\":128"});
@@ -577,41 +594,42 @@
     busy.push_back(connection::to(n.port));
     busy.back().send(execute(1, usual(i), "a"));
   }
-  n.until_counter("taken_in", table);
+  n.wait_for_counter("taken_in", table);
   n.signal(SIGSTOP);
-  connection one_more = connection::to(n.port);
-  one_more.send(execute(1, usual(1000), "a"));
+  connection excess = connection::to(n.port);
+  excess.send(execute(1, usual(1000), "a"));
   n.signal(SIGCONT);
-  CHECK(read_reply(one_more).kind == "closing");
+  CHECK(read_reply(excess).kind == "closing");
   std::string rest;
-  CHECK(one_more.ends_in_order(rest) && rest.empty());
+  CHECK(excess.closed_gracefully(rest) && rest.empty());
 }
 
-// ---- Replacement ------------------------------------------------------------------------------------------
+// ---- Hot restart ------------------------------------------------------------------------------------------
 
-// The successor said that it takes the clients, and was killed before the first process got its notice:
-// guards against a first process that stops listening for one that is not there.
-void a_successor_that_died_takes_nothing_over() {
+// In a hot restart, the successor announces that it accepts connections and is killed before the first
+// process gets its shutdown notice. Guards against a first process that stops listening for a successor
+// that no longer runs.
+void killed_successor_does_not_take_over() {
   char folder[] = "/tmp/marblewharf-handover-XXXXXX";
   CHECK(::mkdtemp(folder) != nullptr);
   runtime first_runtime, second_runtime;
   node first(first_runtime, {.tmpdir = folder});
   first_runtime.up();
   first.logged("runtime: running");
-  const std::string mark =
+  const std::string mark_path =
       std::string(folder) + "/marblewharf-n0-" + own_host() + "-" + std::to_string(first.port) + ".ready";
-  const auto marked_by = [&] {
-    std::string words, process;
-    std::ifstream in(mark);
-    in >> words >> words >> process;
-    return process;
+  const auto announced_pid = [&] {
+    std::string skipped_word, pid;
+    std::ifstream mark(mark_path);
+    mark >> skipped_word >> skipped_word >> pid;
+    return pid;
   };
   const auto until = clock::now() + std::chrono::milliseconds(patience_ms);
-  while (marked_by().empty()) CHECK(clock::now() < until);
+  while (announced_pid().empty()) CHECK(clock::now() < until);
   {
     node second(second_runtime, {.listen_port = first.port, .tmpdir = folder});
     second_runtime.up();
-    while (marked_by() != std::to_string(second.pid())) CHECK(clock::now() < until);
+    while (announced_pid() != std::to_string(second.pid())) CHECK(clock::now() < until);
   }  // SIGKILL
   first.signal(SIGTERM);
   first.logged("shutdown notice received");
@@ -622,17 +640,18 @@
   CHECK(read_reply(c).kind == "served");
   c.close();
   CHECK(first.wait() == 0);
-  ::unlink(mark.c_str());
+  ::unlink(mark_path.c_str());
   ::rmdir(folder);
 }
 
-// A drain called before a reload and ended behind it: the reload changes nothing of it, and loses nothing.
-void a_drain_round_a_reload() {
-  runtime old, next;
+// An operator drain begins before a reload and ends after it. The reload must neither end the drain nor
+// lose a run.
+void operator_drain_across_a_reload() {
+  runtime old_runtime, new_runtime;
   node_options o;
   o.console_port = free_port();
-  node n(old, o);
-  old.up();
+  node n(old_runtime, o);
+  old_runtime.up();
   wait_console(o.console_port);
   connection c = connection::to(n.port);
   const auto healthy = [&](int seqid) {
@@ -640,59 +659,60 @@
     return read_reply(c).rest.find(std::string("\x02\x00\x03\x01", 4)) != std::string::npos;
   };
   c.send(execute(1, usual(1, "kurs-meldung"), "a"));
-  old.expect("start");
+  old_runtime.expect("start");
   CHECK(call(o.console_port, "drain\n") == "200 draining\n");
-  n.reload(next, o);
-  for (std::string line; old.link.next(line);) CHECK(old.answer_gauges(line));
-  next.up();
+  n.reload(new_runtime, o);
+  for (std::string line; old_runtime.link.next(line);) CHECK(old_runtime.answer_gauges(line));
+  new_runtime.up();
   CHECK(!healthy(2));
   CHECK(call(o.console_port, "resume\n") == "200 serving\n");
   CHECK(healthy(3));
-  next.end(label(1), "fine", "YQ==");
+  new_runtime.end(label(1), "fine", "YQ==");
   CHECK(read_reply(c).kind == "served");
 }
 
-// ---- Repeats of a keyed class, as the platform's settings have it
-// -------------------------------------------
+// ---- Duplicates in a request class that the settings of the platform declare as keyed ---------------------
 
-// The writes are keyed, and a repeat may come within `window_ms`.
+// Options of a node whose write class is keyed, with that duplicate window.
 node_options keyed_writes(int window_ms) {
   return {.edit_from = "\"Effect\":\"unsafe\"",
           .edit_to = "\"Effect\":\"keyed\",\"Window\":" + std::to_string(window_ms) + "000000"};
 }
 
-// A try of the write that `key` names, which came to the machine so long ago.
-std::string keyed_try(int seqid, const std::string& key, int ms_ago = 0) {
-  static int tries = 0;
-  fields f = usual(++tries, "kurs-meldung", -ms_ago);
+// An attempt of the write with the idempotency key `key`, which arrived `ms_ago` before now.
+std::string keyed_attempt(int seqid, const std::string& key, int ms_ago = 0) {
+  static int attempts = 0;
+  fields f = usual(++attempts, "kurs-meldung", -ms_ago);
   f.emplace_back("unique", key);
   return execute(seqid, f, "price");
 }
 
-void starts_nothing(runtime& r) {
+// Checks for 200 ms that the node sends no command but `gauges` queries.
+void expect_no_start(runtime& stub) {
   const auto quiet_until = clock::now() + 200ms;
   while (clock::now() < quiet_until) {
-    if (r.link.readable(20)) CHECK(r.answer_gauges(r.link.line()));
+    if (stub.link.readable(20)) CHECK(stub.answer_gauges(stub.link.line()));
   }
 }
 
-// While the first try is held (its runtime is not there yet), runs, has just ended, and after its end, also
-// one that failed: one run, one outcome, one answer each.
-void repeats_share_one_run() {
+// Duplicates arrive while the first attempt waits for the runtime, while it runs, when it has just ended,
+// later, and after a failure. All attempts with one key must share one run and its outcome, and each must
+// get its own answer.
+void duplicates_share_one_run() {
   runtime r;
   node n(r, keyed_writes(60000));
-  connection link = r.door.accept();  // and says nothing
+  connection link = r.door.accept();  // the runtime accepts and sends nothing
   connection c = connection::to(n.port);
-  c.send(keyed_try(1, "a") + keyed_try(2, "a"));
-  n.until_counter("repeats_joined", 1);
+  c.send(keyed_attempt(1, "a") + keyed_attempt(2, "a"));
+  n.wait_for_counter("repeats_joined", 1);
   link.close();
   r.up();
   const std::string run = r.expect("start");
-  c.send(keyed_try(3, "a"));
-  n.until_counter("repeats_joined", 2);
-  n.signal(SIGSTOP);  // the end and a repeat are read in one round
+  c.send(keyed_attempt(3, "a"));
+  n.wait_for_counter("repeats_joined", 2);
+  n.signal(SIGSTOP);  // the node reads the end notice and a duplicate in the same iteration
   r.end(run, "fine", "YQ==");
-  c.send(keyed_try(4, "a"));
+  c.send(keyed_attempt(4, "a"));
   n.signal(SIGCONT);
   std::set<int> answered;
   for (int i = 1; i <= 4; ++i) {
@@ -701,120 +721,122 @@
     answered.insert(served.seqid);
   }
   CHECK(answered == (std::set<int>{1, 2, 3, 4}));
-  c.send(keyed_try(5, "a"));
+  c.send(keyed_attempt(5, "a"));
   const reply later = read_reply(c);
   CHECK(later.seqid == 5 && later.kind == "served" && result(later) == "a");
-  c.send(keyed_try(6, "b"));
+  c.send(keyed_attempt(6, "b"));
   r.end(r.expect("start"), "fault");
   CHECK(read_reply(c).kind == "failed");
-  c.send(keyed_try(7, "b"));
+  c.send(keyed_attempt(7, "b"));
   CHECK(read_reply(c).kind == "failed");
-  starts_nothing(r);
+  expect_no_start(r);
 }
 
-// On either side of the end of the window, which opens as the try that ran came to the machine: guards
-// against a second run of a try that came in time and was read late, and against a result that is given for
-// ever.
-void repeats_round_the_end_of_the_window() {
+// Duplicates arrive on either side of the end of the window, which begins when the executed attempt arrived
+// at the machine. Guards against a second run for an attempt that arrived within the window and was read
+// later, and against a result that is returned after the window.
+void duplicates_around_the_end_of_the_window() {
   runtime r;
   node n(r, keyed_writes(1500));
   r.up();
   connection c = connection::to(n.port);
-  c.send(keyed_try(1, "a", 3000));  // its window ended 1.5 s ago
+  c.send(keyed_attempt(1, "a", 3000));  // the window of this attempt ended 1.5 s ago
   r.end(r.expect("start"), "fine", "YQ==");
   CHECK(result(read_reply(c)) == "a");
-  c.send(keyed_try(2, "a", 1600));  // came before that end, and is read now
+  c.send(keyed_attempt(2, "a", 1600));  // arrived within that window, is read after it
   CHECK(result(read_reply(c)) == "a");
-  starts_nothing(r);
-  c.send(keyed_try(3, "a", 1200));  // came after it
+  expect_no_start(r);
+  c.send(keyed_attempt(3, "a", 1200));  // arrived after that window
   r.end(r.expect("start"), "fine", "Yg==");
   CHECK(result(read_reply(c)) == "b");
-  c.send(keyed_try(4, "a"));
+  c.send(keyed_attempt(4, "a"));
   CHECK(result(read_reply(c)) == "b");
-  starts_nothing(r);
+  expect_no_start(r);
 }
 
-// A first try that never ran leaves nothing behind: its repeat runs. One whose caller left goes on for the
-// repeat.
-void repeats_of_what_never_ran_and_of_what_was_left() {
+// An attempt that was cancelled before it started leaves no record, so its duplicate runs. A run whose
+// caller cancelled continues for a duplicate.
+void duplicates_of_cancelled_attempts() {
   runtime r;
   node n(r, keyed_writes(60000));
   connection link = r.door.accept();
   connection c = connection::to(n.port);
-  c.send(keyed_try(1, "a") + interrupt(2, 1));
-  n.until_counter("gone", 1);
+  c.send(keyed_attempt(1, "a") + interrupt(2, 1));
+  n.wait_for_counter("gone", 1);
   link.close();
   r.up();
-  c.send(keyed_try(3, "a"));
+  c.send(keyed_attempt(3, "a"));
   const std::string run = r.expect("start");
   c.send(interrupt(4, 3));
-  n.until_counter("gone", 2);
-  c.send(keyed_try(5, "a"));
-  n.until_counter("repeats_joined", 1);
+  n.wait_for_counter("gone", 2);
+  c.send(keyed_attempt(5, "a"));
+  n.wait_for_counter("repeats_joined", 1);
   r.end(run, "fine", "YQ==");
   const reply served = read_reply(c);
   CHECK(served.seqid == 5 && result(served) == "a");
-  starts_nothing(r);
+  expect_no_start(r);
 }
 
-// The link breaks between the end of the run and the repeat, and brings the end anew.
-void a_repeat_over_a_broken_link() {
+// The link breaks in the middle of an end notice, a duplicate arrives, and the runtime sends the notice
+// again after the reconnect. Both attempts must get the result of the one run.
+void duplicate_across_a_lost_link() {
   runtime r;
   node n(r, keyed_writes(60000));
   r.up();
   connection c = connection::to(n.port);
-  c.send(keyed_try(1, "a"));
+  c.send(keyed_attempt(1, "a"));
   const std::string run = r.expect("start");
   r.send("{\"msg\":\"end\",\"serial\":1,\"call\":\"" + run + "\",\"how\":\"fi");
   r.link.close();
   n.logged("link-lost");
-  c.send(keyed_try(2, "a"));
+  c.send(keyed_attempt(2, "a"));
   r.link = r.door.accept();
   r.link.line();  // sync
   r.send("{\"msg\":\"ready\",\"how\":\"running\",\"duration\":60000}");
   r.end(run, "fine", "YQ==");
   CHECK(r.answer_gauges(r.link.line()));
   for (int i = 1; i <= 2; ++i) CHECK(result(read_reply(c)) == "a");
-  starts_nothing(r);
+  expect_no_start(r);
 }
 
-// Somebody sends another one's key with a body of his own, behind its run and before it: guards against a
-// result that goes to whom it does not belong, and against an honest request that fails for it. The runtime
-// knows who is who.
-void a_taken_key_harms_only_who_took_it() {
+// Another client sends the owner's idempotency key with a different body, once after the owner's run and
+// once before it. Guards against a result that goes to that client, and against a failure of the owner's
+// request. The runtime rejects the forged calls, because it knows which calls are genuine.
+void foreign_key_fails_only_its_sender() {
   runtime r;
   node n(r, keyed_writes(60000));
   r.up();
-  connection good = connection::to(n.port), bad = connection::to(n.port);
-  int tries = 1000;
+  connection owner = connection::to(n.port), forger = connection::to(n.port);
+  int attempts = 1000;
   const auto forged = [&](int seqid, const std::string& key) {
-    fields f = usual(++tries, "kurs-meldung");
+    fields f = usual(++attempts, "kurs-meldung");
     f.emplace_back("unique", key);
-    bad.send(execute(seqid, f, "forged"));
-    return label(tries);
+    forger.send(execute(seqid, f, "forged"));
+    return label(attempts);
   };
-  const auto unknown = [&](const std::string& call) {
+  const auto reject_as_unknown = [&](const std::string& call) {
     r.send("{\"msg\":\"nack\",\"how\":\"start\",\"call\":\"" + call + "\"}");
-    CHECK(read_reply(bad).kind == "failed");
+    CHECK(read_reply(forger).kind == "failed");
   };
-  good.send(keyed_try(1, "a"));
+  owner.send(keyed_attempt(1, "a"));
   r.end(r.expect("start"), "fine", "YQ==");
-  CHECK(read_reply(good).kind == "served");
-  const std::string behind = forged(1, "a");
-  CHECK(r.expect("start") == behind);
-  unknown(behind);
-  const std::string before = forged(2, "b");
-  CHECK(r.expect("start") == before);
-  good.send(keyed_try(2, "b"));
-  r.end(r.expect("start"), "fine", "Yg==");  // while nobody knows yet of the other
-  CHECK(result(read_reply(good)) == "b");
-  unknown(before);
-  good.send(keyed_try(3, "a") + keyed_try(4, "b"));
-  CHECK(result(read_reply(good)) == "a" && result(read_reply(good)) == "b");
-}
-
-// A restart forgets what was kept in memory: the repeat runs in the new process, as the protocol has it.
-void a_repeat_after_a_restart_runs_anew() {
+  CHECK(read_reply(owner).kind == "served");
+  const std::string forged_after = forged(1, "a");
+  CHECK(r.expect("start") == forged_after);
+  reject_as_unknown(forged_after);
+  const std::string forged_before = forged(2, "b");
+  CHECK(r.expect("start") == forged_before);
+  owner.send(keyed_attempt(2, "b"));
+  r.end(r.expect("start"), "fine", "Yg==");  // before the runtime has rejected the forged call
+  CHECK(result(read_reply(owner)) == "b");
+  reject_as_unknown(forged_before);
+  owner.send(keyed_attempt(3, "a") + keyed_attempt(4, "b"));
+  CHECK(result(read_reply(owner)) == "a" && result(read_reply(owner)) == "b");
+}
+
+// Idempotency keys are kept in memory, so a restart discards them. A duplicate runs again in the new
+// process, as the protocol allows.
+void duplicate_after_a_restart_runs_again() {
   runtime first_runtime, second_runtime;
   const int port = free_port();
   node_options o = keyed_writes(60000);
@@ -823,13 +845,13 @@
     node first(first_runtime, o);
     first_runtime.up();
     connection c = connection::to(port);
-    c.send(keyed_try(1, "a"));
+    c.send(keyed_attempt(1, "a"));
     first_runtime.expect("start");
   }  // SIGKILL
   node second(second_runtime, o);
   second_runtime.up();
   connection c = connection::to(port);
-  c.send(keyed_try(1, "a"));
+  c.send(keyed_attempt(1, "a"));
   second_runtime.end(second_runtime.expect("start"), "fine", "YQ==");
   CHECK(read_reply(c).kind == "served");
 }
@@ -838,37 +860,37 @@
 
 int main(int, char** argv) {
   const std::map<std::string, void (*)()> tests = {
-      {"settle", the_link_breaks_while_runs_are_settled},
-      {"late_ready", a_ready_that_is_read_late_is_no_restart},
-      {"notices_again", notices_come_again},
-      {"silent_runtime", a_silent_runtime_leaves_no_request_unanswered},
-      {"short_deadline", deadlines_shorter_than_the_timers},
-      {"last_step", what_came_before_the_last_step_is_answered},
-      {"rests_to_the_end", a_client_that_rests_to_the_end_sees_it_in_order},
-      {"half_written", answers_half_written_at_the_notice_come_whole},
-      {"two_signals", two_signals_at_once},
-      {"half_request", a_notice_to_leave_in_the_middle_of_a_request},
-      {"leave_in_reload", a_notice_to_leave_during_a_reload},
-      {"paused", signals_while_a_run_is_paused},
-      {"leave_in_drain", a_notice_to_leave_during_a_drain},
-      {"killed", killed_at_each_state},
-      {"byte_by_byte", a_request_that_comes_byte_by_byte},
-      {"never_reads", a_client_that_never_reads},
-      {"reload_at_start", a_reload_during_the_start},
-      {"leave_at_start", a_notice_to_leave_during_the_start},
-      {"leave_before_runtime", a_notice_to_leave_before_the_runtime_is_up},
-      {"floods", floods_leave_the_node_its_descriptors},
-      {"fewer_descriptors", the_process_has_fewer_descriptors_than_the_settings_say},
-      {"no_descriptor", no_descriptor_left_does_not_spin},
-      {"too_many", one_connection_too_many_is_ended_in_order},
-      {"dead_successor", a_successor_that_died_takes_nothing_over},
-      {"drain_reload", a_drain_round_a_reload},
-      {"repeats", repeats_share_one_run},
-      {"repeats_window", repeats_round_the_end_of_the_window},
-      {"repeats_left", repeats_of_what_never_ran_and_of_what_was_left},
-      {"repeats_link", a_repeat_over_a_broken_link},
-      {"taken_keys", a_taken_key_harms_only_who_took_it},
-      {"repeats_restart", a_repeat_after_a_restart_runs_anew},
+      {"link_lost_in_resync", link_lost_during_resynchronization},
+      {"late_ready", delayed_ready_is_not_a_runtime_restart},
+      {"replayed_notices", replayed_end_notices_are_ignored},
+      {"silent_runtime", requests_are_answered_while_the_runtime_is_silent},
+      {"short_deadline", deadline_shorter_than_the_timer_interval},
+      {"requests_before_exit", requests_before_the_last_shutdown_step_are_answered},
+      {"idle_client_at_exit", idle_client_sees_a_graceful_close},
+      {"buffered_answers", buffered_answers_are_written_before_exit},
+      {"two_signals", reload_and_shutdown_at_the_same_time},
+      {"shutdown_in_request", shutdown_in_the_middle_of_a_request},
+      {"shutdown_in_reload", shutdown_during_a_reload},
+      {"signals_while_paused", reload_and_shutdown_while_a_run_is_paused},
+      {"shutdown_in_drain", shutdown_during_an_operator_drain},
+      {"sigkill_in_each_state", restart_after_sigkill_in_each_state},
+      {"byte_by_byte", request_that_arrives_byte_by_byte},
+      {"never_reads", client_that_never_reads},
+      {"reload_at_start", reload_during_startup},
+      {"shutdown_at_start", shutdown_during_startup},
+      {"shutdown_before_runtime", shutdown_before_the_runtime_is_ready},
+      {"connection_floods", connection_floods_leave_descriptors_for_the_node},
+      {"fewer_descriptors", descriptor_limit_below_the_settings},
+      {"no_descriptor", accept_without_descriptors_does_not_spin},
+      {"too_many_connections", connection_beyond_the_limit_is_closed_gracefully},
+      {"killed_successor", killed_successor_does_not_take_over},
+      {"drain_reload", operator_drain_across_a_reload},
+      {"duplicates", duplicates_share_one_run},
+      {"duplicates_window", duplicates_around_the_end_of_the_window},
+      {"duplicates_cancelled", duplicates_of_cancelled_attempts},
+      {"duplicates_link", duplicate_across_a_lost_link},
+      {"foreign_key", foreign_key_fails_only_its_sender},
+      {"duplicates_restart", duplicate_after_a_restart_runs_again},
   };
   const auto found = tests.find(argv[1] != nullptr ? argv[1] : "");
   CHECK(found != tests.end());
