--- a/tests/checks/clang_tidy_rejects.cmake
+++ b/tests/checks/clang_tidy_rejects.cmake
@@ -1,4 +1,5 @@
-# Fails unless clang-tidy, as configured, reports each of CHECKS (by ";") in SOURCE, a file with a violation of each.
+# Fails unless clang-tidy with the committed .clang-tidy reports each of CHECKS (separated by ";") in SOURCE, a file that
+# violates each of them.
 execute_process(COMMAND ${CLANG_TIDY} --config-file=${ROOT}/.clang-tidy --quiet ${SOURCE} -- -x c++ -std=c++20
                 OUTPUT_VARIABLE text ERROR_VARIABLE text RESULT_VARIABLE status)
 if(status EQUAL 0)
--- a/tests/checks/external_names.cmake
+++ b/tests/checks/external_names.cmake
@@ -1,13 +1,13 @@
 cmake_minimum_required(VERSION 3.25)
-# Fails when a name that leaves the process (wire, settings, files, flags, statistics) is in no string literal any more.
-# ROOT: the folder that FOLDERS are relative to; FOLDERS: where to look for C++ sources, separated by ";"; NAMES: a file
-# with one name a line, sorted, without duplicates; DEPLOY: the deploy file, whose keys count as literals too.
+# Fails when a name that leaves the process (wire, settings, files, flags, statistics) no longer occurs in a string literal.
+# ROOT: the folder that FOLDERS are relative to; FOLDERS: the folders with C++ sources, separated by ";"; NAMES: a file
+# with one name per line, sorted, without duplicates; DEPLOY: the deploy file, whose keys also count as literals.
 set(literals "")
 foreach(folder IN LISTS FOLDERS)
   file(GLOB_RECURSE sources "${ROOT}/${folder}/*.cpp" "${ROOT}/${folder}/*.hpp")
   foreach(source IN LISTS sources)
     file(READ "${source}" text)
-    string(REGEX REPLACE "(^|\n) *(#|//)[^\n]*" "\\1" text "${text}")  # comments and include paths hold no names
+    string(REGEX REPLACE "(^|\n) *(#|//)[^\n]*" "\\1" text "${text}")  # comments and include paths do not count
     string(REGEX MATCHALL "\"([^\"\\\n]|\\\\[^\n])*\"" found "${text}")
     string(REGEX REPLACE "\\\\[nrt]" " " found "${found}")
     string(APPEND literals "${found}\n")
--- a/tests/checks/file_size.cmake
+++ b/tests/checks/file_size.cmake
@@ -1,6 +1,6 @@
-# Fails when a source file has more lines than LIMIT. ROOT: the folder that paths are relative to; FOLDERS: where to look,
-# by ";"; EXCEPTIONS: a file with lines "path lines", the files that may be longer and how long each may be. An exception
-# whose file is gone or has come within the limit has to be taken off the list, so that the list only shrinks.
+# Fails when a source file has more lines than LIMIT. ROOT: the folder that paths are relative to; FOLDERS: the folders with
+# sources, separated by ";"; EXCEPTIONS: a file with lines "path lines" that sets a higher limit for single files. Also fails
+# for an exception whose file is missing or within LIMIT; it has to be removed from the list, so that the list only shrinks.
 cmake_policy(SET CMP0057 NEW)  # if(... IN_LIST ...)
 
 function(count_lines path result)
@@ -18,7 +18,7 @@
     continue()
   endif()
   if(NOT entry MATCHES "^([^ ]+) ([0-9]+)$")
-    message(FATAL_ERROR "${EXCEPTIONS}: no path and number of lines: ${entry}")
+    message(FATAL_ERROR "${EXCEPTIONS}: expected \"path lines\", got \"${entry}\"")
   endif()
   set(path ${CMAKE_MATCH_1})
   set(allowed ${CMAKE_MATCH_2})
@@ -31,7 +31,7 @@
   if(lines GREATER allowed)
     string(APPEND faults "${path}: ${lines} lines, its exception allows ${allowed}\n")
   elseif(NOT lines GREATER LIMIT)
-    string(APPEND faults "${path}: ${lines} lines need no exception any more\n")
+    string(APPEND faults "${path}: ${lines} lines, within the limit of ${LIMIT}; remove its exception\n")
   endif()
 endforeach()
 
--- a/tests/checks/format.cmake
+++ b/tests/checks/format.cmake
@@ -1,4 +1,5 @@
-# Fails when a source is not as the formatter (.clang-format) has it; names each line. SOURCES: the folders, by ";".
+# Fails when a source is not formatted according to .clang-format, and names each such line. SOURCES: the patterns of the
+# source files, separated by ";".
 file(GLOB_RECURSE files ${SOURCES})
 list(LENGTH files count)
 if(count EQUAL 0)
@@ -8,4 +9,4 @@
 if(NOT status EQUAL 0)
   message(FATAL_ERROR "not formatted: clang-format -i FILE")
 endif()
-message(STATUS "${count} files as formatted")
+message(STATUS "${count} files are formatted")
--- a/tests/checks/log_events.cmake
+++ b/tests/checks/log_events.cmake
@@ -1,6 +1,7 @@
 cmake_minimum_required(VERSION 3.25)
-# Fails when an event that the code logs is not in the page's table of events, or the other way round; names each.
-# SOURCES: a folder, searched with all below it. PAGE: a page with a table whose header begins "| event | example |".
+# Fails when the code logs an event that the page's table of events does not list, or the table lists an event that the code
+# does not log; names each such event. SOURCES: a folder, searched recursively. PAGE: a page with a table whose header begins
+# with "| event | example |".
 file(GLOB_RECURSE sources "${SOURCES}/*.cpp" "${SOURCES}/*.hpp")
 set(logged)
 foreach(source IN LISTS sources)
@@ -20,7 +21,7 @@
 string(SUBSTRING "${page}" ${table_begin} -1 table)
 string(FIND "${table}" "\n\n" table_end)
 string(SUBSTRING "${table}" 0 ${table_end} table)
-# A row of the table, or a row elsewhere on the page that begins with an event's line, "`event: ...".
+# `rows`: the rows of that table. `lines`: rows anywhere on the page that begin with the log line of an event, "`event: ...".
 string(REGEX MATCHALL "\n\\| `[a-z-]+` \\|" rows "${table}")
 string(REGEX MATCHALL "\n\\| `[a-z-]+: " lines "${page}")
 set(documented)
