--- a/src/admission_policy/arrival_curve.hpp
+++ b/src/admission_policy/arrival_curve.hpp
@@ -2,10 +2,10 @@
 // tenant's quota at this server.
 //
 // The start tag of a request within the curve is its arrival time. The start tag of a request that exceeds
-// the curve is one interval of the quota's rate after the previous such request of the tenant. The finish tag
-// is the start tag plus the latency objective; the request with the smallest finish tag runs first. Tags are
-// in shifted time (real time plus the sum of all shifts), so that a shift changes all tags at once and keeps
-// their order.
+// the curve is one interval of the quota's rate after the previous such request of the tenant, but not before
+// its arrival. The finish tag is the start tag plus the latency objective; the request with the smallest
+// finish tag runs first. Tags are in shifted time (real time plus the sum of all shifts), so that a shift
+// changes all tags at once and keeps their order.
 #pragma once
 
 #include <vector>
@@ -17,7 +17,7 @@
 struct request_tags {
   time_point start{};          // in shifted time
   time_point finish{};         // in shifted time
-  bool exceeds_curve = false;  // the request got a start tag after the tenant's previous one
+  bool exceeds_curve = false;  // the tenant had less than one token left on arrival
 };
 
 class arrival_curves {
@@ -31,11 +31,11 @@
   // Takes a token of the tenant and returns the tags of a request that arrives now.
   request_tags tag(unsigned tenant, duration objective, time_point now);
 
-  // A request of the tenant entered or left the queue.
+  // Record that a request of the tenant entered or left the queue.
   void enqueued(unsigned tenant) { ++curves_[tenant].queued; }
   void dequeued(unsigned tenant) { --curves_[tenant].queued; }
 
-  // A request with this start tag left the queue to run.
+  // Records that a request with this start tag left the queue to run.
   void started(unsigned tenant, time_point start_tag);
 
   // Returns the token and the interval of a request that got no service. Without a refund, retries would use
--- a/src/admission_policy/concurrency_limiter.cpp
+++ b/src/admission_policy/concurrency_limiter.cpp
@@ -23,8 +23,8 @@
 // Fraction of the concurrency ceiling that is used, rounded up to whole runs. The rest is a margin for reads,
 // stalls and retries.
 constexpr double ceiling_fraction = 0.7;
-// Fraction of the ceiling, rounded down to whole runs, that the rounded-up value may not exceed. It matters
-// only on servers with few cores.
+// The result of rounding up never exceeds this fraction of the ceiling, rounded down to whole runs. This
+// bound has an effect only on servers with few cores.
 constexpr double whole_runs_ceiling_fraction = 0.9;
 // Concurrent runs per core if no ceiling is configured.
 constexpr double default_ceiling_per_core = 4;
--- a/src/admission_policy/concurrency_limiter.hpp
+++ b/src/admission_policy/concurrency_limiter.hpp
@@ -25,7 +25,7 @@
   // limit.
   double ceiling(double speed) const;
 
-  // The queue is empty now.
+  // Records that the queue is empty now.
   void note_empty_queue(time_point now) { work_waits_since_ = now; }
 
   // Adjusts the limit; called at the end of each control window.
--- a/src/admission_policy/dependency_call_admission.cpp
+++ b/src/admission_policy/dependency_call_admission.cpp
@@ -115,7 +115,8 @@
   cap_ = std::clamp(cap_, min_cap_fraction * fair_calls_, used_quota_fraction * fair_calls_);
 }
 
-// A time-out is only a lower bound of the round trip, so it never lowers the mean.
+// The time of a call that did not succeed can raise the mean but not lower it, because it is only a lower
+// bound of the full round trip.
 void dependency_call_admission::update_round_trip(const call_ended& ended, time_point now) {
   const double elapsed_fraction = to_seconds(now - last_call_end_) / averaging_s;
   const double weight =
@@ -129,8 +130,9 @@
   best_round_trip_s_ -= gain > 0 ? gain * best_gain_fraction : -best_round_trip_s_ * best_growth_fraction;
 }
 
-// A quota below one call still allows one call at a time, while enough of the period's budget is left and no
-// overuse remains as debt.
+// Another call may be placed if the quota allows one more in flight, enough of the period's budget is left,
+// and the credit covers the calls in flight. A quota below one call counts as one, so that one call at a time
+// remains possible.
 bool dependency_call_admission::may_place(unsigned in_flight) const {
   const double budget = period_budget();
   if (effective_in_flight(in_flight) + 1 > std::max(1.0, call_quota())) return false;
@@ -169,7 +171,7 @@
   return from_seconds(round_trip_s_ * (1u << std::min(failures, max_doublings)) / 2);
 }
 
-// The call seconds needed by the calls in flight and ahead, less the credit, divided by the cap.
+// Returns the call seconds needed by the calls in flight and ahead, less the credit, divided by the cap.
 double dependency_call_admission::wait_seconds(double calls_ahead, unsigned in_flight) const {
   if (!limited() || cap_ <= 0) return 0;
   return std::max(0.0, (in_flight + calls_ahead) * round_trip_s_ - credit_call_seconds_) / cap_;
--- a/src/admission_policy/drain_state.hpp
+++ b/src/admission_policy/drain_state.hpp
@@ -31,7 +31,7 @@
   bool too_late_to_run(time_point arrived) const { return active_ && arrived > first_notice_time_ + grace_; }
 
  private:
-  // Answers leave this long before the stop, because the process may stall shortly before it stops.
+  // Answers are sent this long before the stop, because the process may stall shortly before it stops.
   static constexpr duration answer_margin_before_stop = std::chrono::milliseconds(700);
 
   duration grace_;
--- a/src/admission_policy/load_shedder.hpp
+++ b/src/admission_policy/load_shedder.hpp
@@ -38,8 +38,8 @@
 };
 
 // Number of queued requests that start at once regardless of their estimates: the number of free cores, or
-// one on an idle server that appears slow. This keeps servers from all rejecting a request that is merely
-// large, and lets the estimate recover when no requests run.
+// one on an idle server that appears slow. Otherwise every server could
+// reject a request only because it is large, and the estimate could not recover when no requests run.
 double unconditional_starts(const server_load& load, std::size_t running);
 
 // The retry-after for a rejected request: half of the time that the queued work takes, at least one control
--- a/src/admission_policy/load_signal.hpp
+++ b/src/admission_policy/load_signal.hpp
@@ -12,9 +12,9 @@
  public:
   explicit load_signal(const settings& policy_settings);
 
-  // A request was shed.
+  // Records that a request was shed.
   void note_shed() { shed_in_window_ = true; }
-  // A request was read after this delay.
+  // Records that a request was read after this delay.
   void note_read_delay(duration delay);
 
   // Fraction of the usual traffic that this server accepts, 0 to 1.
--- a/src/admission_policy/overload_detector.cpp
+++ b/src/admission_policy/overload_detector.cpp
@@ -12,10 +12,11 @@
 constexpr double read_averaging_s = 2;
 // Without quotas, an accepted fraction below this value indicates overload everywhere.
 constexpr double low_accepted_fraction = 0.5;
-// A read rate above this multiple of this server's quota indicates overload everywhere.
+// Where retries are not marked, a read rate above this multiple of this server's quota indicates overload
+// everywhere.
 constexpr double over_quota_factor = 1.1;
-// Excess over the quota, as a fraction of the quota, from which on overloaded_everywhere returns true for
-// every rejected request.
+// Where retries are marked: if the read rate exceeds the quota by at least this fraction of the quota,
+// overloaded_everywhere returns true for every rejected request.
 constexpr double certain_excess = 1.2;
 // From this multiple of the quota on, the cost of the reads explains why runs are slow.
 constexpr double flood_factor = 2;
@@ -35,7 +36,7 @@
 }
 
 // A read rate above this server's quota means that all servers are overloaded. If the read rate is lower, or
-// if this server is slow without a flood of reads, the cause is local.
+// if this server is slow without a flood of reads (flood_factor), only this server is overloaded.
 bool overload_detector::overloaded_everywhere(bool locally_slow, double accepted_fraction) {
   if (total_quota_ <= 0) return !locally_slow && accepted_fraction < low_accepted_fraction;
   if (locally_slow && reads_per_second_ < flood_factor * total_quota_) return false;
--- a/src/admission_policy/overload_detector.hpp
+++ b/src/admission_policy/overload_detector.hpp
@@ -13,7 +13,7 @@
 
   // Decays the measured read rate by the elapsed time.
   void advance(duration elapsed);
-  // A request was read.
+  // Records that a request was read.
   void note_read(bool marked_retry);
   // Whether any request so far was marked as a retry.
   bool retries_marked() const { return retries_marked_; }
@@ -27,7 +27,7 @@
   double total_quota_;
   double reads_per_second_ = 0;
   bool retries_marked_ = false;
-  double accumulated_excess_ = 0;  // the next call that raises it to 1 returns true and takes 1 off
+  double accumulated_excess_ = 0;  // the call that raises it to 1 returns true and subtracts 1
 };
 
 // Whether this server works far below its best speed per core. Whatever the cause, other servers are probably
--- a/src/admission_policy/policy.cpp
+++ b/src/admission_policy/policy.cpp
@@ -14,9 +14,10 @@
 
 using namespace std::chrono_literals;
 
-// Answers leave this long before they are due, because the host needs time to send them.
+// Answers are sent this long before they are due, because the host needs time to send them.
 constexpr duration answer_margin = 10ms;
-// Safety margin, in ticks of the host's clock, by which answers leave earlier and keys are retained longer.
+// Safety margin, in ticks of the host's clock, by which answers are sent earlier and keys are retained
+// longer.
 constexpr int safety_ticks = 2;
 
 settings validated(settings policy_settings) {
--- a/src/admission_policy/policy_impl.hpp
+++ b/src/admission_policy/policy_impl.hpp
@@ -34,7 +34,8 @@
 
 namespace admission_policy {
 
-// Requirements of one rejection, in addition to the advice that every rejection carries.
+// Advice for one rejection: can forbid retries elsewhere or lengthen the retry-after that is computed for
+// every rejection.
 struct rejection_advice {
   bool no_retry_elsewhere = false;
   duration min_retry_after{};
@@ -103,10 +104,10 @@
 
   settings settings_;
   time_point now_;
-  time_point accounted_until_;  // elapsed time is accounted for up to here
+  time_point accounted_until_;  // account_elapsed_time() has accounted for the time before
   time_point window_end_;
   time_point timer_due_{duration::max()};  // max: no timer is set
-  bool handled_before_ = false;            // the actions of the constructor have been returned
+  bool handled_before_ = false;            // handle() was called and returned the constructor's actions
   std::vector<action> actions_;
 
   request_table requests_;
--- a/src/admission_policy/progress_watchdog.hpp
+++ b/src/admission_policy/progress_watchdog.hpp
@@ -15,7 +15,7 @@
  public:
   explicit progress_watchdog(duration shortest_objective) : max_time_without_progress_(shortest_objective) {}
 
-  // A run succeeded, or a run started on empty cores.
+  // Records that a run succeeded, or that a run started on empty cores.
   void note_progress(time_point now);
 
   // Adds a number of run ends, which may be a fraction, that the best known run time predicts for the elapsed
@@ -25,7 +25,7 @@
   // Excludes time during which this process was stalled.
   void skip(duration stalled) { last_progress_ += stalled; }
 
-  // The server got a shutdown notice and is reported as unhealthy from now on.
+  // Records that the server got a shutdown notice: it counts as reported unhealthy from now on.
   void shut_down() { reported_ = health::bad; }
 
   // Returns the health if it differs from the last reported one.
--- a/src/admission_policy/request_completion.cpp
+++ b/src/admission_policy/request_completion.cpp
@@ -17,8 +17,8 @@
   return advised_retry_after(queued_work, time_per_unit(), limiter_.limit(), settings_.max_retry_after);
 }
 
-// Rejects a request that never ran and removes its key. Once its objective has passed, an answer of another
-// server would be too late as well.
+// Rejects a request that never ran and removes its key. Once its objective has passed, the caller
+// is advised not to retry at other servers, because their answers would be late, too.
 void policy::impl::reject_request(request& rejected, rejection_advice advice) {
   reject answer{rejected.id, settings_.max_retry_after, false};
   if (!drain_.active()) {
--- a/src/admission_policy/request_table.hpp
+++ b/src/admission_policy/request_table.hpp
@@ -48,8 +48,8 @@
   bool answered = false;         // needs no further answer, but may still run
   bool ran = false;              // the request, or the original of this duplicate, may have run
   bool exceeds_curve = false;    // the request exceeded the arrival curve of its tenant
-  time_point running_since{};    // start of the run plus the time spent at calls
-  time_point left_core{};        // when the run last needed a call
+  time_point running_since{};    // start of the run, moved later by the time spent in calls
+  time_point left_core{};        // when the run last left its core for a call
   time_point next_call_after{};  // earliest time of the next attempt of the current call
   unsigned calls_made = 0;
   unsigned call_failures = 0;  // failed attempts of the current call
--- a/src/admission_policy/retry_age_estimator.hpp
+++ b/src/admission_policy/retry_age_estimator.hpp
@@ -1,5 +1,5 @@
-// Estimates how long ago the first attempt of a marked retry was sent. Requests whose objective has already
-// passed at other servers are then not run.
+// Estimates how long ago the first attempt of a marked retry was sent. A request whose objective has
+// already passed since its first attempt, at other servers, is then not run.
 #pragma once
 
 #include <map>
--- a/src/admission_policy/service_time_estimator.hpp
+++ b/src/admission_policy/service_time_estimator.hpp
@@ -24,7 +24,7 @@
   // Adds core time used by runs. Older measurements lose weight.
   void add_core_time(double seconds);
 
-  // A run with this many units of work succeeded.
+  // Records that a run with this many units of work succeeded.
   void run_ended(double work, double speed);
 
   // Core seconds per unit: core time used divided by work done. Runs in progress count as partly done in
@@ -39,7 +39,7 @@
  private:
   unsigned cores_;
   double core_seconds_;    // core time used by runs, exponentially decayed
-  double units_done_ = 1;  // work done in core_seconds_, decayed alike
+  double units_done_ = 1;  // work done in core_seconds_, with the same decay
   double best_time_per_unit_s_;
   unsigned full_speed_runs_ = 0;
   bool work_is_stated_ = false;
