--- a/src/core/admission.hpp
+++ b/src/core/admission.hpp
@@ -59,8 +59,7 @@
   void forget_unless_started(request_id id);
 
   admission_policy::policy policy_;
-  std::vector<bool>
-      class_writes_;  // by request class: whether a request has an effect that must not be repeated freely
+  std::vector<bool> class_writes_;  // by request class: whether its effect is not request_effect::safe
   std::vector<admission_policy::event> pending_;
   std::deque<admission_decision> decisions_;
   std::unordered_map<request_id, bool> started_;  // by open request: whether a run decision was made
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -31,7 +31,8 @@
   coalescer_.set_store(store, finish_within);
 }
 
-// Ignored after the first arrival: from then on the policy estimates the server's speed only from runs.
+// Ignores the report while the node drains, and after the first arrival, because from then on the policy
+// estimates the server's speed only from runs.
 void dispatcher::on_server_up(bool cold, time_point since) {
   if (any_request_arrived_ || draining_) return;
   admission_ = admission(with_cold_start(settings_, cold), seed_, since);
@@ -154,8 +155,8 @@
 
 // ---- Decisions --------------------------------------------------------------------------------------------
 
-// Null if there is no such request or the request was not passed to a backend. A request whose run the
-// backend aborted counts as started.
+// Returns null if there is no such request or the request was not passed to a backend. A request whose run
+// the backend aborted counts as started.
 request_entry* dispatcher::find_started(request_id id) {
   request_entry* entry = requests_.find(id);
   return entry != nullptr && entry->stage != request_stage::queued ? entry : nullptr;
--- a/src/core/duplicate_coalescer.cpp
+++ b/src/core/duplicate_coalescer.cpp
@@ -8,8 +8,8 @@
 
 using namespace std::chrono_literals;
 
-// A keyed request is answered this long before its deadline: time for the answer to reach the client, and for
-// the age of the dispatcher's last clock reading.
+// A keyed request is answered this long before its deadline, because the answer takes time to reach the
+// client and the dispatcher's last clock reading may be old.
 constexpr duration response_margin = 50ms;
 constexpr duration default_retry_after = 1s;
 
@@ -142,7 +142,8 @@
   group.result = result;
   if (succeeded) {
     recording_deadlines_.emplace(group.respond_by, primary.id);
-  } else {  // a failed answer makes no promise, so that clients need not wait until the failure is recorded
+  } else {
+    // Only `served` requires a recorded result, so clients need not wait until the failure is recorded.
     respond_to_all(primary, answer_run_failed, run_end::failed);
   }
   if (!store_->record_result(primary.id, succeeded, result))
--- a/src/core/duplicate_coalescer.hpp
+++ b/src/core/duplicate_coalescer.hpp
@@ -95,7 +95,7 @@
   idempotency_store* store_ = nullptr;
   duration finish_within_{};
   std::vector<immediate_answer> immediate_answers_;  // sent at the next step; the policy is not involved
-  // When primaries whose result is being recorded are answered, at the latest.
+  // Latest times of the answers to primaries whose result is being recorded.
   std::set<timed_request> recording_deadlines_;
   std::set<timed_request> inquiry_retries_;  // times of the next inquiries
   time_point now_;
--- a/src/core/request_table.hpp
+++ b/src/core/request_table.hpp
@@ -50,7 +50,7 @@
   front& receiving_front;
   backend& target_backend;
   request_stage stage = request_stage::queued;
-  bool answered = false;  // the answer was sent, or the client cancelled: no answer is to be sent
+  bool answered = false;  // the answer was sent, or the client cancelled: no further answer is sent
   request_role role = request_role::independent;
   std::unique_ptr<coalesced_group> group;  // set for a primary
   request_id primary_id = 0;               // set for a duplicate
