--- a/include/marblewharf/gathering.hpp
+++ b/include/marblewharf/gathering.hpp
@@ -1,7 +1,7 @@
-// Fan-out for embedders: combines parts from several sources into one answer. Each source has its own time
-// budget, retries and hedged requests with budgets, a limit on in-flight calls that adapts to latency,
-// outlier ejection of its endpoints, and fallbacks. The rules are those of the daemon (docs/dependencies.md);
-// the embedder supplies the functions that make the calls.
+// Fan-out for embedders: combines parts from several sources into one answer. Each source has a time
+// budget, a limit on concurrent calls that adapts to latency, and budgets that limit its retries and hedged
+// requests; endpoints that fail are ejected. Each part can have fallbacks. The rules are those of the daemon
+// (docs/dependencies.md); the embedder supplies the functions that make the calls.
 #pragma once
 
 #include <atomic>
@@ -35,7 +35,7 @@
 // them are available.
 enum class nearness { own_zone, own_region, elsewhere };
 struct near_rules {
-  // A locality level gets all calls while at least 1/1.4 of its endpoints are available.
+  // A locality level gets all calls while at least 1/overprovisioning of its endpoints are available.
   double overprovisioning = 1.4;
   // If the levels cannot take all calls, and less than this share of all endpoints is available, calls are
   // spread evenly over all endpoints.
@@ -47,7 +47,7 @@
   std::string name;
   std::vector<source_call> endpoints;
   std::chrono::nanoseconds budget = std::chrono::seconds(1);  // for all attempts at one part together
-  unsigned tries = 2;      // first attempt and retries; 1: no retries, for calls that must not be repeated
+  unsigned tries = 2;      // maximum attempts, including the first; 1 for calls that must not be repeated
   double hedge_share = 0;  // hedged requests per first attempt; 0: no hedging
   unsigned threads = 8;    // maximum concurrent calls; bounds the threads blocked by a hanging source
   std::vector<nearness> where{};  // locality by endpoint; empty: no preference
@@ -56,9 +56,10 @@
 
 // A fallback: the first of these members that is set.
 struct stand_in_for {
-  std::string source;                 // the part from another source
-  std::chrono::nanoseconds oldest{};  // the last successful part of the same subject, up to this age
-  std::string fixed;                  // a fixed value
+  std::string source;  // another source, from which the part is requested
+  std::chrono::nanoseconds
+      oldest{};       // maximum age for a fallback to the last successful part of the same subject
+  std::string fixed;  // a fixed value
 };
 
 // One part of the answer and the source that it comes from.
