--- a/include/marblewharf/gathering.hpp
+++ b/include/marblewharf/gathering.hpp
@@ -57,8 +57,8 @@
 // A fallback: the first of these members that is set.
 struct stand_in_for {
   std::string source;  // another source, from which the part is requested
-  std::chrono::nanoseconds
-      oldest{};       // maximum age for a fallback to the last successful part of the same subject
+  // Maximum age for a fallback to the last successful part of the same subject.
+  std::chrono::nanoseconds oldest{};
   std::string fixed;  // a fixed value
 };
 
