--- a/src/lifecycle/graceful_shutdown.hpp
+++ b/src/lifecycle/graceful_shutdown.hpp
@@ -12,8 +12,10 @@
 //   complete  in phase draining or closing, when every        the process ends
 //             connection is closed; in phase closing, from
 //             `exit_early` before the kill on, also when
-//             every connection is ended, or `last_rounds`
-//             later in any case
+//             every connection is ended
+//
+// The process ends at the latest `last_rounds` after the later of two times: `exit_early` before the kill,
+// and the first check of the phase closing.
 #pragma once
 
 #include <chrono>
--- a/src/server/background_jobs.cpp
+++ b/src/server/background_jobs.cpp
@@ -12,8 +12,8 @@
 
 using namespace std::chrono_literals;
 
-// How often headroom is measured while the headroom is below 1. The end of a slice also triggers a
-// measurement.
+// How often headroom is measured while the headroom is below 1. Headroom is also measured when
+// a slice ends.
 constexpr duration headroom_poll_interval = 50ms;
 constexpr duration min_step_interval = 1ms;
 // Delay of a folder's first scrub after the start; one scrubbing period if that is shorter.
--- a/src/server/memory_idempotency.hpp
+++ b/src/server/memory_idempotency.hpp
@@ -10,8 +10,8 @@
 
 namespace marblewharf::server {
 
-// Creates the service and connects it to the dispatcher `requests`; null if the settings have no `repeats`.
-// Both `requests` and `counters` outlive the service.
+// Creates the service and connects it to the dispatcher `requests`. Returns null if the settings have no
+// `repeats`. Both `requests` and `counters` outlive the service.
 std::unique_ptr<idempotency::memory_service> make_memory_idempotency(const config& settings,
                                                                      dispatcher& requests,
                                                                      telemetry::counters& counters);
--- a/src/server/price_node.cpp
+++ b/src/server/price_node.cpp
@@ -131,7 +131,7 @@
   background_jobs_.emplace(config_, counters_, wake_reactor(), net::steady_now());
 }
 
-// The callback of components with threads of their own, which exist only if `wakeup_` is not null.
+// Called only for components with threads of their own, which exist only if `wakeup_` is not null.
 std::function<void()> price_node::wake_reactor() {
   return [this] { wakeup_->wake(); };
 }
--- a/src/server/price_node.hpp
+++ b/src/server/price_node.hpp
@@ -50,13 +50,15 @@
   void run();
 
  private:
-  // Create the optional components. Listed in the order in which the constructor calls them.
+  // These functions create the optional components. The constructor calls those whose names begin with
+  // `start`, in this order; start_uwsgi() calls make_uwsgi_backend().
   void start_cluster_agent();
   void start_console();
   void start_uwsgi();
   backend& make_uwsgi_backend();
   void start_quota_client();
   void start_background_jobs();
+  // Returns the callback by which the threads of a component wake the reactor.
   std::function<void()> wake_reactor();
 
   // Executes one round of the reactor; returns when the next round is due. The functions below are its steps.
