--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -105,7 +105,8 @@
   return (character >= 0 && character < first_printable) || character == del;
 }
 
-// Names are sent to peers and logged unescaped, so control characters are not allowed. Each name is unique.
+// Names are sent to peers and logged unescaped, so control characters are not allowed. Each name must be
+// unique.
 void check_name(const std::string& name, const std::string& key, std::set<std::string>& taken) {
   if (name.empty()) throw bad_config(key + " is missing");
   if (std::any_of(name.begin(), name.end(), is_control))
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -60,7 +60,7 @@
   // empty: no inquiries are sent.
   std::string inquiry_var, inquiry_value;
   unsigned inquiry_tries = 3;
-  // Delay before the second attempt. The delay doubles after each attempt.
+  // Delay before the second attempt. The delay doubles after each attempt, at most ten times.
   std::chrono::nanoseconds inquiry_pause = std::chrono::milliseconds(200);
   std::chrono::nanoseconds scrub{};  // interval between scrubs of the folder; 0: no scrubbing
 };
@@ -147,18 +147,19 @@
   std::chrono::nanoseconds probe_interval = std::chrono::milliseconds(500);
   std::chrono::nanoseconds probe_timeout = std::chrono::milliseconds(200);
   unsigned indirect_probes = 3;
-  double suspicion_min_rounds = 4;  // minimum suspicion time, in probe intervals times log10(members)
+  // Minimum suspicion time in probe intervals, divided by max(1, log10(live members)).
+  double suspicion_min_rounds = 4;
   double suspicion_max_factor = 6;  // maximum suspicion time divided by the minimum
   unsigned suspicion_confirmations = 3;
-  unsigned retransmits = 4;          // of each membership change, times log10(members)
-  unsigned gossip_per_message = 8;   // membership changes
-  unsigned refresh_per_message = 2;  // entries of the member table, round-robin, besides the changes
+  unsigned retransmits = 4;          // messages per membership change, divided by ceil(log10(members + 1))
+  unsigned gossip_per_message = 8;   // maximum membership changes in a message
+  unsigned refresh_per_message = 2;  // further entries of the member table in a message, in turn
   unsigned health_most = 8;          // maximum local health score; the score lengthens probe timeouts
   unsigned reconnect_every = 5;      // probe intervals between probes of dead members; 0: no such probes
   // A zone must be healthy for this long before it gets traffic again.
   std::chrono::nanoseconds hold_down = std::chrono::seconds(10);
   std::chrono::nanoseconds vote_lease = std::chrono::seconds(10);  // a vote that is not renewed expires
-  unsigned votes_per_message = 12;  // votes of other members that a message forwards
+  unsigned votes_per_message = 12;  // maximum votes of other members that a message forwards
   // After the start, a member from which no message has arrived counts as dead only after this time.
   std::chrono::nanoseconds start_grace = std::chrono::seconds(5);
 
@@ -175,7 +176,7 @@
   budget_unit unit = budget_unit::runs;
   double whole = 0;   // the global limit, in its unit
   double safe = 0;    // the guaranteed share of each configured member
-  double weight = 1;  // of this node, when the limit is divided
+  double weight = 1;  // relative weight of this node when the limit is divided
   // How long the runs or calls of a lost node count as in flight; 0 for unit `requests`.
   std::chrono::nanoseconds settle{};
   unsigned tenant = 0;                    // unit `requests` only
@@ -199,11 +200,11 @@
 // `console` and `repeats`; the operator's file enables the others.
 struct config {
   std::string name;                 // name of the node in reports to the registry
-  endpoint listen;                  // of the Thrift front
+  endpoint listen;                  // listen address of the Thrift front
   endpoint runtime;                 // backend that runs the Thrift requests
   endpoint directory;               // the registry
   std::optional<endpoint> console;  // listen address of the operators' console
-  std::uint64_t seed = 0;           // of the admission policy's random number generator
+  std::uint64_t seed = 0;           // passed to the admission policy
   limits bounds;
   admission_policy::settings settings;
   std::optional<uwsgi_config> uwsgi;
--- a/src/config/limits.hpp
+++ b/src/config/limits.hpp
@@ -39,8 +39,9 @@
   std::size_t kept_results = std::size_t{24} << 20;   // bytes of idempotent results in memory
   // Bytes read per connection and reactor round. The limit prevents one connection from starving the others.
   std::size_t read_chunk = std::size_t{16} << 10;
-  std::size_t discard_chunk = std::size_t{64} << 10;  // same, for a connection whose input is discarded
-  unsigned accepts = 64;                              // connections accepted per reactor round
+  // As read_chunk, for a connection whose input is discarded.
+  std::size_t discard_chunk = std::size_t{64} << 10;
+  unsigned accepts = 64;                       // connections accepted per reactor round
   std::size_t record = std::size_t{64} << 20;  // maximum size in bytes of a capture file that is written
   std::size_t capture_flows = 4096;            // connections tracked while a capture file is read
   std::size_t capture_waiting = std::size_t{256} << 10;  // bytes buffered after a gap in one such connection
@@ -50,9 +51,9 @@
   unsigned log_lines = 5;             // log lines per second and event
 
   // The operators' console.
-  std::size_t console_connections = 64;  // and at most 1/`console_share` of all descriptors
+  std::size_t console_connections = 64;  // maximum; also at most 1/`console_share` of all descriptors
   std::size_t console_share = 16;
-  std::size_t console_line = 256;                           // bytes of a command
+  std::size_t console_line = 256;                           // maximum size of a command in bytes
   duration console_wait = std::chrono::milliseconds(5000);  // timeout for a whole command line
   // Retry interval for bind() while the predecessor process still uses the address.
   duration console_bind_retry = std::chrono::milliseconds(200);
@@ -79,7 +80,8 @@
   duration sweep_every =
       std::chrono::milliseconds(100);                   // interval between timeout checks of all connections
   duration hand_over = std::chrono::milliseconds(300);  // timeout for the runtime's new address to answer
-  duration reconnect_every = std::chrono::milliseconds(100);  // between attempts to connect to the runtime
+  // Interval between attempts to connect to the runtime.
+  duration reconnect_every = std::chrono::milliseconds(100);
 };
 
 }  // namespace marblewharf
--- a/src/config/sections/classes.hpp
+++ b/src/config/sections/classes.hpp
@@ -24,8 +24,8 @@
 // Sets `weight_without_call` of the classes in `policy_settings`; returns the other values.
 class_mappings read_class_mappings(const parsed_file& file, admission_policy::settings& policy_settings);
 
-// The reserve of a class: how long before the latency objective a fan-out or a transaction ends. The default
-// if the class has no section.
+// Return the reserve of a class, which is how long before the latency objective a fan-out or a transaction
+// ends. The second function returns the default if the class has no section.
 std::chrono::nanoseconds read_reserve(const section& request_class);
 std::chrono::nanoseconds read_reserve(const parsed_file& file, const std::string& class_name);
 
--- a/src/config/sections/dependencies.cpp
+++ b/src/config/sections/dependencies.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::chrono::nanoseconds max_duration = 600s;
 
-// The zone of a place, which is either a zone's name or a member's address. Empty if it is neither.
+// Returns the zone of a place, or an empty text if the place is neither a zone's name nor a member's address.
 std::string zone_of_place(const fleet_config& fleet, const std::string& place) {
   const auto is_place = [&](const endpoint& member) {
     return member.host + ":" + std::to_string(member.port) == place;
--- a/src/config/sections/parsed_file.cpp
+++ b/src/config/sections/parsed_file.cpp
@@ -19,8 +19,8 @@
   std::string text;
 };
 
-// What libconfuse's callbacks record during a parse. libconfuse passes no context to the callbacks, so they
-// use a thread-local pointer, and each thread parses one file at a time.
+// The data that libconfuse's callbacks record during a parse. libconfuse passes no context to the callbacks,
+// so they use a thread-local pointer, and each thread parses one file at a time.
 struct parse_state {
   option_lines& lines;
   std::optional<syntax_fault> first_fault;
--- a/src/config/sections/references.hpp
+++ b/src/config/sections/references.hpp
@@ -10,7 +10,7 @@
 
 namespace marblewharf::sections {
 
-// The index of the element called `name`, or `candidates.size()` if there is none.
+// Returns the index of the element called `name`, or `candidates.size()` if there is none.
 template <typename Named>
 std::size_t index_of_name(const std::vector<Named>& candidates, const std::string& name) {
   const auto found = std::find_if(candidates.begin(), candidates.end(),
@@ -18,8 +18,8 @@
   return static_cast<std::size_t>(found - candidates.begin());
 }
 
-// The index of the class or tenant that is the title of a section. Throws operator_file_error if it is
-// unknown.
+// Returns the index of the class or tenant that is the title of a section. Throws operator_file_error if it
+// is unknown.
 template <typename Named>
 std::size_t index_of_title(const section& titled_section, const std::vector<Named>& candidates,
                            const std::string& title) {
@@ -28,7 +28,7 @@
   return index;
 }
 
-// The index of the class or tenant that the value of a key names. Throws operator_file_error if it is
+// Returns the index of the class or tenant that the value of a key names. Throws operator_file_error if it is
 // unknown.
 template <typename Named>
 std::size_t index_of_value(const section& referring_section, const char* key,
@@ -40,8 +40,8 @@
   return index;
 }
 
-// The index of the dependency called `name`, which is a value of `key`. Throws operator_file_error if it is
-// unknown.
+// Returns the index of the dependency called `name`, which is a value of `key`. Throws operator_file_error if
+// it is unknown.
 inline std::size_t index_of_dependency(const section& referring_section, const char* key,
                                        const std::string& name, const dependencies_config& dependencies) {
   const std::size_t index = index_of_name(dependencies.endpoints, name);
