--- a/src/middleware/gate.cpp
+++ b/src/middleware/gate.cpp
@@ -91,7 +91,7 @@
 
 void gate_impl::open_store(const admission_policy::settings& settings) {
   const auto notify = [this] {
-    const std::lock_guard lock(mutex_);  // else the timer thread could miss the notification before its wait
+    const std::lock_guard lock(mutex_);  // without the lock, the timer thread could miss the notification
     changed_.notify_all();
   };
   store_ = std::make_unique<idempotency::durable_service>(files_, store_options_of(*keys_, settings),
--- a/src/middleware/gate.hpp
+++ b/src/middleware/gate.hpp
@@ -52,7 +52,7 @@
             std::uint64_t seed);
   ~gate_impl() override;
 
-  // The settings of a keyed class; null if the class is not keyed.
+  // Returns the settings of a keyed class, or null if the class is not keyed.
   const keyed_settings* keys_of(unsigned request_class) const;
 
   // Blocks until the handler may run (state `running`) or the request is rejected, failed or answered. `key`,
@@ -102,7 +102,7 @@
   // CPU utilization of the cores, 0 to 1. The initial 1 keeps the policy from running more requests than
   // cores before the first measurement.
   double cpu_busy_ = 1;
-  std::clock_t cpu_used_ = std::clock();  // at `measured_at_`
+  std::clock_t cpu_used_ = std::clock();  // CPU time that the process had used at `measured_at_`
   time_point measured_at_;
   bool stopping_ = false;
   std::unique_ptr<idempotency::durable_service> store_;
--- a/src/middleware/gathering.cpp
+++ b/src/middleware/gathering.cpp
@@ -147,7 +147,7 @@
     found->second->done = true;
   }
 
-  void apply(const fan_out::endpoint_changed&) {}  // only logged by the daemon
+  void apply(const fan_out::endpoint_changed&) {}  // ignored: only the daemon logs changes
 
   // ---- Threads --------------------------------------------------------------------------------------------
 
--- a/src/middleware/gathering_plan.hpp
+++ b/src/middleware/gathering_plan.hpp
@@ -10,15 +10,15 @@
 
 namespace marblewharf::middleware::detail {
 
-// The index of the source called `name`. Throws std::invalid_argument if there is none.
+// Returns the index of the source called `name`. Throws std::invalid_argument if there is none.
 std::size_t find_source(const std::vector<source>& sources, const std::string& name);
 
-// The rules of the sources, in the order of the sources. Throws std::invalid_argument, which names the
-// invalid source.
+// Returns the rules of the sources, in the order of the sources. Throws std::invalid_argument, which names
+// the invalid source.
 std::vector<upstream::dependency_rules> rules_of(const std::vector<source>& sources);
 
-// The plan of a gathering, as the only element. Throws std::invalid_argument, which names the invalid part,
-// if the plan cannot be fulfilled.
+// Returns the plan of a gathering as the only element. Throws std::invalid_argument, which names the invalid
+// part, if the plan cannot be fulfilled.
 std::vector<upstream::request_plan> plans_of(const std::vector<source>& sources,
                                              const std::vector<part_of>& parts, duration latency_objective);
 
