--- a/src/pcap/main.cpp
+++ b/src/pcap/main.cpp
@@ -44,7 +44,7 @@
 }
 
 command read_arguments(int argc, char** argv) {
-  if (argc < 3) throw usage_error("the command and the file are missing");
+  if (argc < 3) throw usage_error("a command and a file are required");
   command arguments;
   arguments.action = argv[1];
   arguments.file = argv[2];
@@ -121,7 +121,7 @@
 };
 
 // Writes the selected requests to a capture file. The Thrift requests of a caller are written to one
-// connection, each uwsgi request to its own.
+// connection, and each uwsgi request is written to a connection of its own.
 class filter_output {
  public:
   filter_output(const std::string& path, const limits& bounds) : out_(path, bounds.record) {}
@@ -140,7 +140,8 @@
   void finish() {
     for (auto& [key, connection] : open_) out_.close(connection, last_us_);
     if (out_.full())
-      throw pcap::write_error("the output file has reached its maximum size and is incomplete");
+      throw pcap::write_error(
+          "the output file has reached its maximum size or cannot be written, and is incomplete");
   }
 
  private:
--- a/src/pcap/reassembly.hpp
+++ b/src/pcap/reassembly.hpp
@@ -24,7 +24,7 @@
   // Adds a segment and passes the bytes that are now in order to `in_order`.
   void add(std::uint32_t sequence, std::string_view bytes, const sink& in_order);
 
-  // Whether the stream has a gap that is not filled any more. No more bytes are delivered until begin().
+  // Whether the stream has a gap that will not be filled. No more bytes are delivered until begin().
   bool broken() const { return broken_; }
   bool waiting() const { return !waiting_.empty(); }  // segments are buffered after a gap
   bool begun() const { return begun_; }
--- a/src/pcap/recorder.hpp
+++ b/src/pcap/recorder.hpp
@@ -21,7 +21,7 @@
 
  private:
   writer writer_;
-  std::unordered_map<const void*, recorded_connection> open_;  // by the front's connection
+  std::unordered_map<const void*, recorded_connection> open_;  // the key identifies the front's connection
 };
 
 }  // namespace marblewharf::pcap
