--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -68,9 +68,9 @@
   std::string_view read_bytes(std::size_t count) {
     const std::optional<std::string_view> field = bytes_.take(count);
     if (!field) {
-      throw bad_frame(context_ + " at byte " + std::to_string(offset_) + ": field of " +
-                      std::to_string(count) + " bytes at position " + std::to_string(bytes_.position()) +
-                      " is truncated, only " + std::to_string(bytes_.left()) + " bytes left");
+      throw bad_frame(context_ + " at byte " + std::to_string(offset_) + ": the field at offset " +
+                      std::to_string(bytes_.position()) + " in it needs " + std::to_string(count) +
+                      " bytes, but only " + std::to_string(bytes_.left()) + " are left");
     }
     return *field;
   }
--- a/src/simulator_adapter/wire.hpp
+++ b/src/simulator_adapter/wire.hpp
@@ -40,7 +40,7 @@
 inline constexpr std::size_t batch_header_size = 12;  // bytes
 
 struct batch_header {
-  std::uint32_t size{};  // of the batch that follows the header, in bytes
+  std::uint32_t size{};  // size of the batch that follows the header, in bytes
   time_point now{};
 };
 
