--- a/src/admission_policy/request_completion.cpp
+++ b/src/admission_policy/request_completion.cpp
@@ -17,8 +17,9 @@
   return advised_retry_after(queued_work, time_per_unit(), limiter_.limit(), settings_.max_retry_after);
 }
 
-// Rejects a request that never ran and removes its key. Once its objective has passed, the caller
-// is advised not to retry at other servers, because their answers would be late, too.
+// Rejects a request that never ran and removes its key. Once its objective has passed, a caller
+// is advised not to retry at other servers, because their answers would be late, too. While this server
+// drains, this advice is not given.
 void policy::impl::reject_request(request& rejected, rejection_advice advice) {
   reject answer{rejected.id, settings_.max_retry_after, false};
   if (!drain_.active()) {
--- a/src/admission_policy/unlinked_duplicate_detector.hpp
+++ b/src/admission_policy/unlinked_duplicate_detector.hpp
@@ -1,7 +1,7 @@
-// Finds keyed attempts that may duplicate an earlier attempt that this server had not yet read at that time.
-// The earlier attempt's key was not yet retained, so no key links the two, and both could run. This guards
-// against a second effect after a stall, a full accept queue or slow reads. It also reports some attempts
-// that are not duplicates.
+// Finds keyed attempts that may duplicate an earlier attempt that this server had not yet read when the
+// later one reached the machine. The earlier attempt's key was not yet retained, so no key links the two, and
+// both could run. This guards against a second effect after a stall, a full accept queue or slow reads. It
+// also reports some attempts that are not duplicates.
 #pragma once
 
 #include <deque>
--- a/src/telemetry/telemetry.hpp
+++ b/src/telemetry/telemetry.hpp
@@ -38,8 +38,8 @@
   // Idempotency.
   std::uint64_t repeats_answered = 0;   // duplicates answered with the stored result
   std::uint64_t repeats_joined = 0;     // duplicates coalesced with a primary that was queued or running
-  std::uint64_t repeats_in_doubt = 0;   // duplicates answered that the outcome is unknown
-  std::uint64_t key_conflicts = 0;      // requests with the key of a request with other content
+  std::uint64_t repeats_in_doubt = 0;   // duplicates answered with an unknown outcome
+  std::uint64_t key_conflicts = 0;      // requests whose key was used before with other content
   std::uint64_t no_room = 0;            // requests rejected because their key could not be recorded
   std::uint64_t background_faults = 0;  // damaged data found by scrubbing, and jobs that failed
   // Current state of the idempotency store: keys in the table, keys whose outcome is unknown, bytes that
