--- a/src/store/bytes.hpp
+++ b/src/store/bytes.hpp
@@ -23,8 +23,8 @@
   return value;
 }
 
-// Escapes bytes that are not printable ASCII, blanks and backslashes: keys and values may contain any bytes,
-// but are listed one per line. An empty text becomes "-".
+// Escapes blanks, backslashes and all bytes that are not printable ASCII: keys and values may contain any
+// bytes, but are listed one per line. An empty text becomes "-".
 inline std::string printable(const std::string& text) {
   std::string out;
   for (const char c : text) {
--- a/src/store/cleaning.hpp
+++ b/src/store/cleaning.hpp
@@ -15,23 +15,24 @@
 
 namespace marblewharf::store {
 
-constexpr std::uint64_t least_segments = 12;  // that must fit into `space`
+constexpr std::uint64_t least_segments = 12;  // `space` must have room for this many segments
 
 struct cleaning_rules {
   std::uint64_t segment = std::uint64_t{8} << 20;  // bytes
   // Bytes of all segments together. A checkpoint takes additional space: about 80 bytes plus the key for each
   // key, and twice that while a new one is written.
   std::uint64_t space = std::uint64_t{1} << 30;
-  // Space amplification A: bytes on disk per live byte, at most; above 1. Including the copies made by
-  // cleaning, a written byte costs A / (A - 1) bytes of disk writes over one pass through the log.
+  // Space amplification A: maximum number of bytes on disk per live byte; must be above 1. Including the
+  // copies made by cleaning, a written byte costs A / (A - 1) bytes of disk writes over one pass through the
+  // log.
   double amplification = 2;
 };
 
 // The current sizes on disk, in bytes.
 struct disk_sizes {
-  std::uint64_t used = 0;  // of all segments
-  std::uint64_t live = 0;  // of records that are the current value of a key
-  std::uint64_t room = 0;  // of frames that can certainly still be written
+  std::uint64_t used = 0;  // all segments
+  std::uint64_t live = 0;  // records that are the current value of a key
+  std::uint64_t room = 0;  // frames that can certainly still be written
 };
 
 // Whether a batch is accepted.
@@ -46,7 +47,7 @@
   // Throws std::invalid_argument if the space is below twelve segments or the amplification is not above 1.
   explicit cleaning(cleaning_rules rules);
 
-  // The most live bytes that the space allows at this amplification.
+  // The maximum number of live bytes that the space allows at this amplification.
   std::uint64_t max_live_bytes() const;
   // Bytes that writers never use: the copies of a whole segment, and the segment that they are written to.
   std::uint64_t reserve() const { return 2 * rules_.segment; }
--- a/src/store/committer.hpp
+++ b/src/store/committer.hpp
@@ -17,8 +17,8 @@
 namespace marblewharf::store {
 
 struct committer_options {
-  std::size_t queue = 4096;  // requests that wait, at most
-  std::size_t batch = 1024;  // records in one commit, at most; 1 = a sync per record
+  std::size_t queue = 4096;  // maximum number of queued requests
+  std::size_t batch = 1024;  // maximum number of records in one commit; 1: one sync per record
   std::chrono::nanoseconds retry = std::chrono::milliseconds(500);      // delay after a failure
   std::chrono::nanoseconds reclaim_interval = std::chrono::seconds(1);  // between checks for expired segments
 };
@@ -30,14 +30,14 @@
     std::uint64_t ticket = 0;
     kind operation = kind::write;
     bool ok = false;    // false for a write: the record is not part of the log
-    position location;  // of a record that was written
+    position location;  // after a write: the record's location
     std::string body;   // of a record that was read, or the error text
   };
   // The state after the requests whose `done` was collected.
   struct disk_status {
     bool writable = false;
     std::uint64_t free_bytes = 0;  // log::reserved_free_bytes()
-    std::uint64_t used_bytes = 0;  // on disk
+    std::uint64_t used_bytes = 0;  // bytes on disk
     std::int64_t next_expiry = 0;  // log::next_expiry()
     std::uint64_t commits = 0;
     std::string fault;  // the last error; empty while writable
--- a/src/store/log.hpp
+++ b/src/store/log.hpp
@@ -30,7 +30,7 @@
 struct log_options {
   std::string folder;
   std::uint64_t segment_bytes = std::uint64_t{8} << 20;
-  std::uint64_t space_bytes = std::uint64_t{1} << 30;  // of all files together
+  std::uint64_t space_bytes = std::uint64_t{1} << 30;  // limit for all files together
   std::uint64_t salt = 0;                              // used for a new folder only
   // Called once the folder is locked. Returns the position from which records are replayed: earlier records
   // are known to the caller, and earlier segments are not read. Nothing: all records are replayed.
@@ -48,7 +48,7 @@
 
 struct recovered_counts {
   std::uint64_t segments = 0, records = 0, frames = 0, torn_bytes = 0;
-  std::int64_t latest_time = 0;  // ns: the latest creation time in the headers of the folder
+  std::int64_t latest_time = 0;  // ns: the latest creation time in the segment headers
 };
 
 class log {
@@ -137,7 +137,7 @@
   std::map<std::uint64_t, std::int64_t> retired_;   // empty marker files: expiry of the segment, by number
   std::unique_ptr<file> active_;
   std::unique_ptr<file> spare_;
-  std::uint64_t number_ = 0;    // of the active segment, or of the last one
+  std::uint64_t number_ = 0;    // of the active segment; if there is none, of the last one
   std::uint64_t end_ = 0;       // valid bytes of the active segment
   std::int64_t expiry_ = 0;     // when all records of the active segment have expired
   std::uint64_t sequence_ = 0;  // of frames
--- a/src/store/log_folder_scan.hpp
+++ b/src/store/log_folder_scan.hpp
@@ -18,11 +18,10 @@
 
 namespace marblewharf::store {
 
-// Endings of file names, after a segment's number: in use, set aside by an operator, and the empty marker
-// file of a deleted segment.
-inline constexpr std::string_view segment_suffix = ".seg";
-inline constexpr std::string_view aside_suffix = ".seg.aside";
-inline constexpr std::string_view marker_suffix = ".seg.aged";
+// File names consist of a segment's number and one of these endings.
+inline constexpr std::string_view segment_suffix = ".seg";      // a segment in use
+inline constexpr std::string_view aside_suffix = ".seg.aside";  // a segment that an operator has set aside
+inline constexpr std::string_view marker_suffix = ".seg.aged";  // the empty marker file of a deleted segment
 
 // The number of a segment as in file names: 16 hexadecimal digits.
 std::string name_of_segment(std::uint64_t number);
--- a/src/store/scrub.hpp
+++ b/src/store/scrub.hpp
@@ -1,5 +1,5 @@
 // Scrubbing: reads the closed segments of a folder again and verifies all checksums, so that corruption is
-// found while a copy may still exist, and not first by the recovery or the duplicate that needs the record.
+// found while a copy may still exist, and before recovery or a duplicate request needs the record.
 //
 // Runs concurrently with the log that writes the folder: only closed segments are read, and a segment that is
 // deleted meanwhile is not a fault. Not thread-safe: one thread at a time.
--- a/src/store/segment.hpp
+++ b/src/store/segment.hpp
@@ -51,7 +51,8 @@
 constexpr std::uint64_t padded(std::uint64_t size) {
   return (size + 7) / 8 * 8;
 }
-// Bytes on disk of a record in a frame of its own: the most that a record takes.
+// The bytes that a record with a body of `body` bytes takes on disk if it has a frame of its own. A record
+// never takes more.
 constexpr std::uint64_t room_for(std::uint64_t body) {
   return frame_head + record_head + padded(body);
 }
--- a/src/store/store_command.hpp
+++ b/src/store/store_command.hpp
@@ -11,7 +11,7 @@
   std::string table;                               // for dump; empty = all tables
   std::uint64_t segment = std::uint64_t{8} << 20;  // bytes; for compact and backup: the same as in the
                                                    // settings of the store's owner
-  std::uint64_t space = std::uint64_t{1} << 30;    // bytes; the same
+  std::uint64_t space = std::uint64_t{1} << 30;    // bytes; also as in those settings
   double amplification = 2;
 };
 
--- a/src/store/table_service.hpp
+++ b/src/store/table_service.hpp
@@ -21,8 +21,8 @@
 namespace marblewharf::store {
 
 struct table_service_options {
-  std::size_t queue = 4096;                                         // requests that wait, at most
-  std::size_t group = 256;                                          // batches in one commit, at most
+  std::size_t queue = 4096;                                         // maximum number of queued requests
+  std::size_t group = 256;                                          // maximum number of batches in one commit
   std::chrono::nanoseconds retry = std::chrono::milliseconds(500);  // delay after a disk failure
 };
 
@@ -32,8 +32,8 @@
   struct done {
     std::uint64_t ticket = 0;
     kind what = kind::commit;
-    verdict v;                         // of a commit
-    std::optional<std::string> value;  // of a get; nothing: no such key
+    verdict v;                         // after a commit
+    std::optional<std::string> value;  // after a get; nothing: no such key
     std::string fault;                 // not empty: the commit is in doubt, or the read failed
   };
   // The state after the requests that collect() returned and after all earlier slices.
@@ -46,7 +46,7 @@
   enum class work { clean, checkpoint, age };
   struct slice {
     bool more = false;
-    std::uint64_t read = 0, written = 0;  // bytes of the segment that is cleaned, bytes copied
+    std::uint64_t read = 0, written = 0;  // bytes read from the segment being cleaned; bytes copied
     std::string fault;                    // not empty: the slice failed and is repeated later
   };
 
--- a/src/store/tables.cpp
+++ b/src/store/tables.cpp
@@ -113,8 +113,8 @@
     if (recovered_->replay_from.segment > newest || (end > 0 && end < recovered_->replay_from.offset))
       throw damaged(options_.folder + ": the log ends before the position of its checkpoint");
   }
-  // Removes keys whose record was overwritten or erased after the checkpoint, if the later record was cleaned
-  // as well. Segments are cleaned oldest first, so the segment in the checkpoint no longer exists either.
+  // Removes the keys that the checkpoint places in a deleted segment. Their record was overwritten or erased
+  // later, and cleaning deleted the later record too. The oldest segments are deleted first.
   if (log_->oldest_sealed() != 0) index_.discard_before(log_->oldest_sealed());
   figures_.replayed = log_->counts().records;
   if (recovered_) figures_.checkpoint_fault = recovered_->fault;
--- a/src/store/tables.hpp
+++ b/src/store/tables.hpp
@@ -8,7 +8,8 @@
 //
 // Guarantees: a batch that commit() reported as durable survives any crash. Batches are atomic. After a crash
 // the store has the state after one of its batches, in commit order, and never an earlier one than the last
-// durable batch. A commit that throws is in doubt until the next one succeeds; then it has no effect. Two
+// durable batch. If commit() throws io_error, the batch is in doubt: it is unknown whether the batch
+// survives a crash. Once a later commit has succeeded, the failed batch is certain to have no effect. Two
 // processes never open the same folder.
 #pragma once
 
@@ -38,10 +39,11 @@
   std::map<std::string, std::chrono::nanoseconds> life = {};
   std::size_t most_keys = 1'000'000;
   std::size_t max_key_bytes = 4096;
-  // Lazy batches buffered in memory, at most; never more than a quarter of a segment.
+  // Limit for the lazy batches buffered in memory; they never exceed a quarter of a segment.
   std::uint64_t max_buffered_bytes = std::uint64_t{256} << 10;
-  std::chrono::nanoseconds max_buffered_time = std::chrono::seconds(1);  // of a lazy batch
-  std::chrono::nanoseconds max_snapshot_age = std::chrono::minutes(1);   // older snapshots are closed
+  std::chrono::nanoseconds max_buffered_time =
+      std::chrono::seconds(1);  // after this time a lazy batch is due to be written
+  std::chrono::nanoseconds max_snapshot_age = std::chrono::minutes(1);  // older snapshots are closed
   std::size_t slice_keys = 256;                         // visited in a slice of a checkpoint or of expiry
   std::uint64_t slice_bytes = std::uint64_t{64} << 10;  // copied in a slice of cleaning
   std::uint64_t salt = 0;                               // used for a new folder only
@@ -142,8 +144,8 @@
   // to be worth its cost.
   bool expire_step(std::int64_t now);
   bool backup_step(std::int64_t now);  // after begin_backup(); false: the backup is complete
-  // Begins a backup into an empty folder. Cleaning is suspended until it is complete or ended. Throws
-  // io_error.
+  // Begins a backup into an empty folder. Cleaning is suspended until the backup is complete or
+  // end_backup() is called. Throws io_error.
   void begin_backup(const std::string& folder);
   void end_backup() { backup_.reset(); }
 
@@ -155,7 +157,7 @@
     std::uint64_t frames = 0;                    // written by commits and flushes, with one sync each
     std::uint64_t cleaned = 0, checkpoints = 0;  // segments, checkpoints completed
     std::uint64_t replayed = 0;                  // log records read at recovery
-    std::string checkpoint_fault;                // why recovery ignored the checkpoint; empty = it did not
+    std::string checkpoint_fault;  // why recovery ignored the checkpoint; empty: no checkpoint was ignored
     bool cleaning_needed = false, blocked_by_snapshot = false;
   };
   figures show() const;
@@ -164,7 +166,7 @@
   // Whether a segment is open for writes. After a failure, retry_open() or the next write opens one.
   bool writable() const { return log_->is_open(); }
   void retry_open(std::int64_t now) { reopen(now); }  // throws io_error
-  // The current admission decision, for callers that ask before they build a batch.
+  // The admission rules, for callers that ask before they build a batch.
   const cleaning& rules() const { return cleaning_; }
 
  private:
@@ -185,7 +187,7 @@
   };
   struct backup {
     std::string folder;
-    std::uint64_t last_copied = 0;  // segment
+    std::uint64_t last_copied = 0;  // number of the segment copied last
   };
 
   void recover(std::uint32_t type, std::string_view body, const position& location);
@@ -223,7 +225,7 @@
   sequence last_commit_ = 0;
 
   struct snapshot_info {
-    sequence commit = 0;  // the last one that it sees
+    sequence commit = 0;  // the last commit that the snapshot sees
     std::int64_t opened = 0;
   };
   std::map<snapshot, snapshot_info> snapshots_;
--- a/src/store/versions.hpp
+++ b/src/store/versions.hpp
@@ -67,9 +67,9 @@
   void close_snapshot(sequence snapshot);
   std::size_t snapshots() const { return snapshots_.size(); }
 
-  std::size_t keys() const { return keys_; }                // that have a current value
-  std::uint64_t live_bytes() const { return live_bytes_; }  // of their records on disk
-  sequence last() const { return last_; }                   // the last commit
+  std::size_t keys() const { return keys_; }                // number of keys with a current value
+  std::uint64_t live_bytes() const { return live_bytes_; }  // size of these keys' current records on disk
+  sequence last() const { return last_; }                   // number of the last commit
 
  private:
   struct version {
