--- a/src/idempotency/durable_service.hpp
+++ b/src/idempotency/durable_service.hpp
@@ -26,17 +26,19 @@
   std::vector<std::string> tenants;
   std::size_t longest_key = 255;      // bytes
   std::size_t largest_result = 4096;  // bytes
-  std::size_t entries = 1'000'000;    // known keys, at most
-  std::size_t open = 1024;            // open keys, at most: from the arrival of a request to its result
-  std::size_t reads = 1024;           // concurrent reads of results, at most
-  std::uint64_t segment = std::uint64_t{8} << 20;                        // bytes of a segment file
-  std::uint64_t space = std::uint64_t{1} << 30;                          // bytes of the folder
+  std::size_t entries = 1'000'000;    // maximum number of known keys
+  // Maximum number of open keys. A key is open from the arrival of its request to the result.
+  std::size_t open = 1024;
+  std::size_t reads = 1024;                        // maximum number of concurrent reads of results
+  std::uint64_t segment = std::uint64_t{8} << 20;  // bytes of a segment file
+  std::uint64_t space = std::uint64_t{1} << 30;    // bytes of the folder
   std::chrono::nanoseconds retry_disk = std::chrono::milliseconds(500);  // delay after a failed write
-  std::size_t commit_records = 1024;                                     // records in one commit, at most
-  unsigned inquiry_tries = 0;                                            // 0 = no backend supports inquiries
-  std::chrono::nanoseconds inquiry_pause{};                              // pause after the first inquiry
-  std::uint64_t salt = 0;                                                // random; used for a new folder only
-  std::chrono::nanoseconds unix_now{};  // system clock and steady clock, read at the same moment
+  std::size_t commit_records = 1024;         // maximum number of records in one commit
+  unsigned inquiry_tries = 0;                // 0 = no backend supports inquiries
+  std::chrono::nanoseconds inquiry_pause{};  // pause after the first inquiry
+  std::uint64_t salt = 0;                    // random; used for a new folder only
+  // The system clock and the steady clock, read at the same moment.
+  std::chrono::nanoseconds unix_now{};
   std::chrono::nanoseconds steady_now{};
 };
 
--- a/src/idempotency/key_table.cpp
+++ b/src/idempotency/key_table.cpp
@@ -184,8 +184,9 @@
   return true;
 }
 
-// After the last failed inquiry, the next duplicate starts inquiries again, but only after a pause that keeps
-// growing.
+// Counts a failed inquiry and returns the pause before the next one. Returns 0 once `inquiry_tries` is
+// reached: then there is no further inquiry until a duplicate arrives after the pause has passed. The pause
+// doubles with each failed inquiry, up to a limit.
 std::chrono::nanoseconds key_table::schedule_inquiry_retry(const key_id& key, aging_time now) {
   const auto found = entries_.find(key);
   if (found == entries_.end() || found->second.state != key_state::inquiring) return 0ns;
--- a/src/idempotency/key_table.hpp
+++ b/src/idempotency/key_table.hpp
@@ -64,10 +64,10 @@
 };
 
 struct key_table_options {
-  std::size_t entries = 1'000'000;     // known keys, at most
-  std::size_t open = 2048;             // open keys, at most: neither completed nor of unknown outcome
-  std::uint64_t max_intent_bytes = 0;  // size of the largest intent on disk
-  std::uint64_t max_result_bytes = 0;  // size of the largest result on disk
+  std::size_t entries = 1'000'000;  // maximum number of known keys
+  std::size_t open = 2048;          // maximum number of open keys: neither completed nor of unknown outcome
+  std::uint64_t max_intent_bytes = 0;                                    // size of the largest intent on disk
+  std::uint64_t max_result_bytes = 0;                                    // size of the largest result on disk
   std::chrono::nanoseconds retry_disk = std::chrono::milliseconds(500);  // delay after a failed write
   unsigned inquiry_tries = 0;                                            // 0 = no backend supports inquiries
   std::chrono::nanoseconds inquiry_pause{};  // after the first inquiry; doubles with each inquiry
@@ -117,7 +117,7 @@
 
   // ---- Statistics -----------------------------------------------------------------------------------------
   bool contains(const key_id& key) const { return entries_.contains(key); }
-  // These two throw std::out_of_range for an unknown key.
+  // state_of() and expiry_of() throw std::out_of_range for an unknown key.
   key_state state_of(const key_id& key) const { return entries_.at(key).state; }
   aging_time expiry_of(const key_id& key) const { return entries_.at(key).expiry; }
   std::size_t size() const { return entries_.size(); }
--- a/src/idempotency/memory_service.hpp
+++ b/src/idempotency/memory_service.hpp
@@ -21,11 +21,12 @@
 struct memory_service_options {
   // By request class: how long after the first arrival duplicates are recognized; 0 = not keyed.
   std::vector<duration> windows;
-  duration longest_wait{};            // from the arrival of a request until it is read, at most
+  duration longest_wait{};            // maximum time from the arrival of a request until it is read
   std::size_t memory = 0;             // bytes of all entries and results together
   std::size_t largest_result = 4096;  // bytes
-  std::size_t open = 1024;            // open keys, at most: from the arrival of a request to its result
-  std::uint64_t salt = 0;             // random, so that clients cannot choose keys that collide
+  // Maximum number of open keys. A key is open from the arrival of its request to the result.
+  std::size_t open = 1024;
+  std::uint64_t salt = 0;  // random, so that clients cannot choose keys that collide
 };
 
 class memory_service : public key_table_service {
@@ -66,8 +67,8 @@
   };
 
   static std::size_t size_of(const stored_result& result);
-  // Keys that expired before this time are no longer needed: all requests that arrived earlier have been
-  // read.
+  // Keys that expired before this time can be removed: every request that arrived before their expiry has
+  // been read by now.
   aging_time expiry_horizon() const { return (now_ - options_.longest_wait).count(); }
   void publish_free_memory();
   void remove_expired();
@@ -78,7 +79,7 @@
   // Requests that will fetch a result, unless their client cancels.
   std::unordered_map<request_id, result_reader> readers_;
   std::unordered_map<key_id, stored_result, key_id_hash> results_;
-  std::deque<expiring_key> expiry_queue_;  // of results, in order of storing
+  std::deque<expiring_key> expiry_queue_;  // the results, in the order in which they were stored
   std::size_t bytes_ = 0;
   // Replies that the next step() sends.
   std::vector<request_id> written_intents_;
--- a/src/idempotency/records.hpp
+++ b/src/idempotency/records.hpp
@@ -21,10 +21,10 @@
   std::uint64_t fingerprint = 0;
   aging_time expiry = 0;
   aging_time written_at = 0;
-  bool succeeded = false;  // of a result; false = the run failed
-  // Of an intent: the key as the client sent it, and its scope.
+  bool succeeded = false;  // in a result: whether the run succeeded
+  // In an intent: the key as the client sent it, and its scope.
   std::string_view tenant{}, request_class{}, client_key{};
-  std::string_view result{};  // of a result
+  std::string_view result{};  // in a result: the stored bytes
 };
 
 store::record encode(const key_record& written);
--- a/src/idempotency/results_command.hpp
+++ b/src/idempotency/results_command.hpp
@@ -14,8 +14,8 @@
 
 // Prints one line per key.
 void list_results(const results_query& query);
-// Prints the stored result byte for byte. False: the key is unknown, or its outcome is; the reason is printed
-// to standard error.
+// Prints the stored result byte for byte. False: the key or its outcome is unknown; the reason is printed to
+// standard error.
 bool show_result(const results_query& query);
 // Verifies all records and prints their counts.
 void verify_results(const results_query& query);
