--- a/src/upstream/endpoint_set.cpp
+++ b/src/upstream/endpoint_set.cpp
@@ -122,7 +122,8 @@
     }
   };
   if (const auto drawn = failover::draw(shares, draw_uniform(random))) add_level(*drawn);
-  // If the drawn level has no usable endpoint but the excluded one, take the nearest level that has another.
+  // If the drawn level has no usable endpoint except the excluded one, the nearest level with another usable
+  // endpoint is used.
   for (std::size_t level = 0; level < failover::levels && usable.empty(); ++level)
     add_level(static_cast<failover::level>(level));
   return usable;
