--- a/src/fan_out/client.hpp
+++ b/src/fan_out/client.hpp
@@ -2,9 +2,9 @@
 // over uwsgi. Requests of other classes go to the next backend. The state machine makes the decisions; the
 // client makes the calls.
 //
-// For the dispatcher the whole fan-out of a request is one dependency call: the dispatcher decides when it
-// starts and how long it may last, or that it is skipped. If it is skipped, only fallbacks without a call are
-// used.
+// For the dispatcher the whole fan-out of a request is one dependency call: the dispatcher decides whether
+// and when the call starts, and how long it may last. If the call is skipped, only fallbacks without a call
+// are used.
 //
 // Used by the event loop's thread only.
 #pragma once
--- a/src/fan_out/dependency_state.cpp
+++ b/src/fan_out/dependency_state.cpp
@@ -3,8 +3,8 @@
 namespace marblewharf::fan_out {
 namespace {
 
-// A quarter of the sum of the bounds, not the maximum: a dependency that is already slow must not receive at
-// once all the calls that it can handle when it is healthy.
+// The limit starts at half the mean of its bounds. If it started at the maximum, a dependency that is slow at
+// start-up would at once receive as many calls as it can handle only when it is healthy.
 double initial_limit(const upstream::dependency_rules& rules) {
   return (rules.least_in_flight + rules.most_in_flight) / 4;
 }
--- a/src/fan_out/messages.hpp
+++ b/src/fan_out/messages.hpp
@@ -35,7 +35,7 @@
 
 struct sub_response {
   sub_response_state state = sub_response_state::missing;
-  duration age{};  // of a stale sub-response
+  duration age{};  // age of a stale sub-response
   std::string bytes;
 };
 
@@ -79,9 +79,9 @@
   std::uint64_t succeeded = 0;
   std::uint64_t failed = 0;
   std::uint64_t timed_out = 0;
-  std::uint64_t rejected = 0;          // by the dependency, with a retry-after
+  std::uint64_t rejected = 0;          // calls that the dependency rejected with a retry-after
   std::uint64_t without_capacity = 0;  // sub-requests that received no call because of a limit
-  std::uint64_t ejections = 0;         // of endpoints
+  std::uint64_t ejections = 0;         // ejections of endpoints
   // Sub-responses to parts whose own dependency is this one, by state.
   std::uint64_t fresh = 0;
   std::uint64_t stale = 0;
--- a/src/fan_out/state_machine.hpp
+++ b/src/fan_out/state_machine.hpp
@@ -92,7 +92,7 @@
     std::size_t source = 0;  // 0: its own dependency; n: its nth fallback
     // The following fields refer to the current source.
     std::size_t dependency = 0;
-    unsigned attempts = 0;  // without hedged requests
+    unsigned attempts = 0;  // number of attempts, not counting hedged requests
     time_point deadline{};
     bool queued = false;
     std::optional<std::size_t> avoided_endpoint;  // the endpoint of the last failed call
