--- a/src/transaction/coordinator.hpp
+++ b/src/transaction/coordinator.hpp
@@ -126,7 +126,7 @@
   const duration outcome_retention_;  // the longest idempotency window of any class
   const std::uint64_t random_;
   idempotency::aging_clock clock_;
-  std::uint64_t salt_ = 0;  // of the log's folder
+  std::uint64_t salt_ = 0;  // the salt of the log's folder
   participant_calls participants_;
   upstream::in_flight_calls in_flight_;
   std::uint64_t last_number_ = 0;
--- a/src/transaction/coordinator_intake.cpp
+++ b/src/transaction/coordinator_intake.cpp
@@ -58,7 +58,8 @@
   advance(transaction);
 }
 
-// Numbers increase also across restarts, because the aging clock does; no number on disk is used again.
+// Numbers increase, also across restarts, because the aging clock never goes back. A number on disk is
+// therefore never used again.
 transaction_id coordinator::next_id() const {
   const std::uint64_t number = std::max(last_number_, static_cast<std::uint64_t>(aging_now())) + 1;
   char text[transaction_id_size + 1];
--- a/src/transaction/log_records.hpp
+++ b/src/transaction/log_records.hpp
@@ -36,19 +36,19 @@
 struct begin_record {
   transaction_id id;
   std::string request_class;
-  std::string key;      // of the request, including its tenant and class
-  std::string payload;  // of the request
+  std::string key;      // the request's key, including its tenant and class
+  std::string payload;  // the request's payload
   // The endpoints of the participants (host:port, separated by spaces) in the order of the plan. Empty: the
   // first endpoint of each participant.
   std::string endpoints;
 };
 // The result of a committed transaction.
 struct result_record {
-  std::string key;  // of the request; distinguishes keys with the same hash
+  std::string key;  // the request's key; distinguishes keys with the same hash
   std::string result;
 };
 struct outcome_id {
-  std::uint64_t number = 0;  // of the transaction
+  std::uint64_t number = 0;  // the transaction's number
   outcome_cache::key key;    // hash with the folder's salt
 };
 struct committed_outcome {
--- a/src/transaction/open_transaction.hpp
+++ b/src/transaction/open_transaction.hpp
@@ -18,11 +18,11 @@
 
 // A participant of one transaction and the request to it that is in flight.
 struct participant_call {
-  endpoint address;                           // all requests of the transaction go to this endpoint
-  std::size_t endpoint_index = 0;             // of `address`; past the end if it is no longer in the settings
+  endpoint address;                // all requests of the transaction go to this endpoint
+  std::size_t endpoint_index = 0;  // index of `address`; past the end if it is no longer in the settings
   std::shared_ptr<uwsgi::exchange> exchange;  // null: no request is in flight
-  time_point sent_at{};                       // of the last request
-  fan_out::sub_response result;               // response to its commit
+  time_point sent_at{};                       // when the last request was sent
+  fan_out::sub_response result;               // the participant's response to the commit
 };
 
 struct open_transaction {
@@ -32,8 +32,8 @@
   transaction_id id;
   std::uint64_t number = 0;  // the second half of the id; increases also across restarts
   std::size_t request_class = 0;
-  std::string key;      // of the request, including its tenant and class
-  std::string payload;  // of the request
+  std::string key;      // the request's key, including its tenant and class
+  std::string payload;  // the request's payload
   const write_plan* plan;
   state_machine machine;
   request_id client = 0;  // the request to answer; 0: none
--- a/src/transaction/outcome_cache.hpp
+++ b/src/transaction/outcome_cache.hpp
@@ -28,7 +28,7 @@
     committed,  // the result is on disk, under the transaction's number
   };
   struct outcome {
-    std::uint64_t number = 0;  // of the transaction
+    std::uint64_t number = 0;  // the transaction's number
     status state = status::unknown;
   };
 
--- a/src/transaction/participant_calls.hpp
+++ b/src/transaction/participant_calls.hpp
@@ -16,7 +16,7 @@
 
 namespace marblewharf::transaction {
 
-// The meaning of a participant's response. `body`: of the response, if the reply is yes.
+// The meaning of a participant's response. `body`: the body of the response, if the reply is yes.
 struct participant_response {
   participant_reply reply = participant_reply::unknown;
   std::string body;
@@ -31,7 +31,7 @@
   using response_handler = std::function<void(const transaction_id& id, const send_request& request,
                                               const participant_response& response)>;
 
-  // `seed`: of the random selection of endpoints. `on_response`: called from the event loop when a request
+  // `seed`: seeds the random selection of endpoints. `on_response`: called from the event loop when a request
   // has ended without close(); its exchange still exists, and the handler must call close().
   participant_calls(net::reactor& reactor, const config& settings, std::uint64_t seed,
                     response_handler on_response);
--- a/src/transaction/state_machine.hpp
+++ b/src/transaction/state_machine.hpp
@@ -69,7 +69,7 @@
 // The outcome that is reported to the client, exactly once.
 enum class client_outcome {
   committed,  // committed at all participants
-  aborted,    // certainly committed at none: aborted at all participants, or going to be
+  aborted,    // certainly committed at no participant: all have aborted or will abort
   in_doubt,   // not certain yet; the client can inquire later with the request's key
 };
 
