--- a/src/quota/allocator.hpp
+++ b/src/quota/allocator.hpp
@@ -43,8 +43,8 @@
   void receive(time_point now, const message& request);
   std::vector<envelope> take_outbox() { return std::exchange(outbox_, {}); }
 
-  // Upper bound of the sum of what all nodes have in force of a quota, guaranteed shares excluded. Never
-  // exceeds pool(), except for units that are still in flight after their lease expired.
+  // Upper bound of the amount of a quota that all nodes together have in force, without the guaranteed
+  // shares. Never exceeds pool(), except for units that are still in flight after their lease expired.
   double committed(std::size_t index, time_point now) const;
   // The global limit minus the guaranteed shares of all members.
   double pool(std::size_t index) const;
--- a/src/quota/demand.hpp
+++ b/src/quota/demand.hpp
@@ -12,8 +12,9 @@
 namespace marblewharf::quota {
 
 struct demand_options {
-  duration time_constant = std::chrono::seconds(1);  // of the exponential decay of past measurements
-  double headroom_factor = 1.1;  // the measured demand is multiplied by it to allow for growth
+  duration time_constant =
+      std::chrono::seconds(1);   // time constant of the exponential decay of past measurements
+  double headroom_factor = 1.1;  // multiplies the measured demand, to allow for growth
   double headroom_units = 1;     // added to the demand, so that an idle node can start work
 };
 
--- a/src/quota/lease.hpp
+++ b/src/quota/lease.hpp
@@ -9,7 +9,7 @@
 
 namespace marblewharf::quota {
 
-using time_point = std::chrono::nanoseconds;  // of a clock that also advances while the machine is suspended
+using time_point = std::chrono::nanoseconds;  // on a clock that also advances while the machine is suspended
 using duration = std::chrono::nanoseconds;
 
 struct lease_options {
--- a/src/quota/message.hpp
+++ b/src/quota/message.hpp
@@ -35,7 +35,7 @@
   std::uint64_t term = 0;
   std::uint64_t sequence = 0;
   std::uint64_t session = 0;         // identifies the requesting process; a grant repeats the request's value
-  std::uint64_t config_digest = 0;   // of the sender's quota definitions and configured members
+  std::uint64_t config_digest = 0;   // digest of the sender's quota definitions and configured members
   std::vector<quota_entry> entries;  // by quota, in the order of the configuration
   bool sender_is_leader = false;
   std::string reply_to = {};  // destination of the answer; empty: `sender`
--- a/src/quota/quota_definition.hpp
+++ b/src/quota/quota_definition.hpp
@@ -12,7 +12,7 @@
   std::string name;
   double global_limit = 0;        // in the quota's unit: runs or calls in flight, or requests per second
   double guaranteed_share = 0;    // available to each configured member even if the leader is unreachable
-  double weight = 1;              // of a node in the max-min division
+  double weight = 1;              // weight of each node in the max-min division
   bool limits_in_flight = false;  // true: limits units in flight (they can outlast the lease); false: a rate
   duration settling_time{};       // how long units of a failed node or an ended process may stay in flight
 };
--- a/src/quota/wire.cpp
+++ b/src/quota/wire.cpp
@@ -132,7 +132,7 @@
         msgpack::unpack(datagram.data(), datagram.size(), parsed_bytes, nullptr, nullptr, unpack_limits);
     return decode_root(cluster_name, handle.get(), parsed_bytes != datagram.size());
   } catch (const std::exception&) {
-    return failed(wire_fault::other_kind);  // membership counts the datagram if it cannot decode it either
+    return failed(wire_fault::other_kind);  // membership counts datagrams that neither protocol can decode
   }
 }
 
