--- a/src/membership/dissemination.hpp
+++ b/src/membership/dissemination.hpp
@@ -15,7 +15,8 @@
 
 class dissemination {
  public:
-  // Each change is sent `retransmit_multiplier` times the logarithm of the member count, and at least once.
+  // Each change is sent in `retransmit_multiplier` * ceil(log10(members + 1)) messages, and in at least one.
+  // `members` includes this member.
   explicit dissemination(unsigned retransmit_multiplier) : retransmit_multiplier_(retransmit_multiplier) {}
 
   // Starts to disseminate the current entry of the member at `address`; restarts the transmission count if
--- a/src/membership/message.hpp
+++ b/src/membership/message.hpp
@@ -40,7 +40,7 @@
 struct message {
   message_kind kind = message_kind::ping;
   member_update sender;        // the sender's own state, from which the recipient learns of the sender
-  std::uint64_t sequence = 0;  // of the probe that this message belongs to
+  std::uint64_t sequence = 0;  // sequence number of the probe that this message belongs to
   std::string target;          // ping_req: member to probe; ack and nack of an indirect probe: probed member
   std::vector<member_update> gossip;
   std::vector<zone_vote> votes;  // written and read by the owner of swim, not by swim itself
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -127,8 +127,8 @@
 }
 
 // Only independent suspicions shorten the timeout: a suspicion that many members forward counts once. A new
-// confirmation is disseminated as well, until the number of confirmations that shortens the timeout to its
-// minimum is reached.
+// confirmation is also disseminated, until there are enough confirmations to shorten the timeout to its
+// minimum.
 void swim::confirm_suspicion(member_update& believed, const std::string& suspected_by) {
   std::vector<std::string>& suspecting_members = suspicions_[believed.address].suspected_by;
   if (suspecting_members.size() > options_.suspicion_confirmations) return;
--- a/src/membership/swim.hpp
+++ b/src/membership/swim.hpp
@@ -36,7 +36,7 @@
   double suspicion_min_rounds = 4;       // shortest suspicion timeout, in probe intervals times log10(n)
   double suspicion_max_factor = 6;       // ratio of the longest suspicion timeout to the shortest
   unsigned suspicion_confirmations = 3;  // confirmations that reduce the suspicion timeout to the shortest
-  unsigned retransmit_multiplier = 4;    // a change is sent this many times the logarithm of the member count
+  unsigned retransmit_multiplier = 4;    // multiplier of the number of copies of a change; see dissemination
   unsigned gossip_per_message = 8;       // changes in a message
   unsigned refresh_per_message = 2;      // round-robin entries of the member table in a message
   unsigned max_local_health = 8;         // worst local health score; 0 is healthy
