--- a/src/failover/locality.cpp
+++ b/src/failover/locality.cpp
@@ -49,8 +49,8 @@
   per_level coverage{};
   for (std::size_t i = 0; i < levels; ++i)
     if (total[i] > 0) coverage[i] = std::min(1.0, options.overprovisioning * able[i] / total[i]);
-  // If most endpoints are unable, wrong health checks are more likely than a failure of all these endpoints,
-  // and avoiding them would overload the few able endpoints.
+  // If most endpoints seem unavailable, wrong health checks are more likely than a failure of all these
+  // endpoints, and avoiding them would overload the few available ones.
   const bool panic = sum_of(coverage) < 1 && sum_of(able) < options.panic_threshold * endpoint_count;
   if (!panic) return {fill_levels(coverage), false};
   level_shares shares;
--- a/src/failover/locality.hpp
+++ b/src/failover/locality.hpp
@@ -21,9 +21,12 @@
 inline constexpr std::size_t levels = 3;
 
 struct locality_options {
-  double overprovisioning = 1.4;  // a level keeps all its calls if at least 1/1.4 of its endpoints are able
-  double panic_threshold = 0.5;  // if a smaller fraction is able, calls are spread over all endpoints equally
-  unsigned most_each = 0;        // calls in flight at which an endpoint counts as unable; 0: no limit
+  // A level keeps all its calls if at least 1/overprovisioning of its endpoints are available.
+  double overprovisioning = 1.4;
+  // If a smaller fraction of all endpoints is available, panic is possible; see shares_of().
+  double panic_threshold = 0.5;
+  // An endpoint with this many calls in flight counts as unavailable; 0: no limit.
+  unsigned most_each = 0;
 };
 
 struct place {
@@ -33,22 +36,22 @@
 
 struct endpoint_state {
   level where = level::rest;
-  bool able = true;  // to accept a call
+  bool able = true;  // whether the endpoint is available, that is, can accept a call
 };
 
 struct level_shares {
   std::array<double, levels> share{};  // by level; the sum is 1, or 0 if there are no endpoints
-  bool panic = false;                  // calls are spread equally over all endpoints, able or not
+  bool panic = false;                  // calls are spread equally over all endpoints, available or not
 };
 
 level level_of(const place& caller, const place& endpoint);
 
-// The coverage of a level is min(1, overprovisioning * fraction of its endpoints that are able). The levels
-// are filled in order: each gets the remaining calls up to its coverage. Calls that no level covers are
-// divided among the levels in proportion to these shares. Panic, as in Envoy, applies if the coverages add up
-// to less than 1 and fewer than panic_threshold of all endpoints are able; the share of a level is then its
-// fraction of all endpoints. A zone that is cut off while its own endpoints are healthy covers all calls and
-// therefore does not panic.
+// The coverage of a level is min(1, overprovisioning * fraction of its endpoints that are available). The
+// levels are filled in order: each gets the remaining calls up to its coverage. Calls that no level covers
+// are divided among the levels in proportion to these shares. Panic, as in Envoy, applies if the coverages
+// add up to less than 1 and a smaller fraction than panic_threshold of all endpoints is available; the share
+// of a level is then its fraction of all endpoints. A zone that is cut off while its own endpoints are
+// healthy covers all calls and therefore does not panic.
 level_shares shares_of(std::span<const endpoint_state> endpoints, const locality_options& options = {});
 
 // Selects the level for one call; `uniform` is in [0, 1). Returns nullopt if all shares are 0.
--- a/src/failover/zone_observation.hpp
+++ b/src/failover/zone_observation.hpp
@@ -25,8 +25,9 @@
 
 struct observation_rules {
   duration since_start{};  // time since the start of this process
-  duration
-      start_grace{};  // an unknown member counts as down only after it, as the member may start more slowly
+  // An unknown member counts as down only after this time since the start of this process, because the member
+  // may start more slowly.
+  duration start_grace{};
   // A member that answered within this window is not down, even if other members report it as down. A member
   // that left a probe unanswered within this window is not healthy.
   duration contact_window{};
