--- a/src/cluster/quota_client.cpp
+++ b/src/cluster/quota_client.cpp
@@ -84,7 +84,7 @@
   agent_.set_datagram_filter([this](std::string_view datagram) { return on_datagram(datagram); });
   requests_.watch_arrivals([this](const request& arrived) { count_arrival(arrived); });
   update_membership(lease_clock());
-  apply_shares(lease_clock());  // the shares limit the first request already
+  apply_shares(lease_clock());  // so that the shares apply from the first request on
 }
 
 // Uses CLOCK_BOOTTIME, which also advances while the machine is suspended; otherwise a lease would outlive
