--- a/src/scheduler/headroom_meter.hpp
+++ b/src/scheduler/headroom_meter.hpp
@@ -11,8 +11,9 @@
 namespace marblewharf::scheduler {
 
 struct headroom_options {
-  double full_below = 0.5;   // fraction of busy cores up to which the headroom is 1
-  double none_above = 0.85;  // fraction of busy cores from which it is 0; in between it falls linearly
+  double full_below = 0.5;  // fraction of busy cores up to which the headroom is 1
+  double none_above =
+      0.85;  // fraction of busy cores from which the headroom is 0; it falls linearly between the two
   // The headroom is 0 for this time after a request had to wait.
   std::chrono::nanoseconds wait_hold_off = std::chrono::seconds(1);
 };
--- a/src/scheduler/pool.hpp
+++ b/src/scheduler/pool.hpp
@@ -55,7 +55,7 @@
   struct pooled_job {
     std::string name;
     std::shared_ptr<slice_function> run_slice;
-    bool overrun_reported = false;  // for the slice that is running
+    bool overrun_reported = false;  // whether an overrun of the running slice was reported
   };
 
   static void run_worker(const std::shared_ptr<shared_state>& state, std::size_t worker);
@@ -66,7 +66,8 @@
   scheduler scheduler_;
   std::map<job_id, pooled_job> jobs_;
   note_handler handle_note_;
-  std::shared_ptr<shared_state> state_;  // shared with the threads; a detached thread keeps it after the pool
+  std::shared_ptr<shared_state>
+      state_;  // shared with the threads; a detached thread keeps it alive after the pool is destroyed
   std::vector<std::thread> threads_;
 };
 
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -73,7 +73,7 @@
 // ---- Budgets ----------------------------------------------------------------------------------------------
 
 void scheduler::set_headroom(double headroom, time_point now) {
-  refill(now);  // the time until now counts with the previous headroom
+  refill(now);  // until now the budgets are refilled with the previous headroom
   headroom_ = std::clamp(headroom, 0.0, 1.0);
 }
 
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -7,8 +7,9 @@
 // At most `workers` slices run at the same time, and never two of the same job. Over any time span t, the
 // slices use at most the rate of a budget times t, plus its burst, plus the overdraft of the slices that
 // emptied it (a running slice is never interrupted). Ageing prevents starvation: the priority of a job rises
-// while it waits. Without headroom, only urgent jobs run, which have passed their deadline, and the jobs that
-// an urgent job waits for; together they use at most the fraction `urgent_share` of the budgets.
+// while it waits. Without headroom, the only jobs that run are urgent ones, which have passed their deadline,
+// and those that an urgent job waits for; together they use at most the fraction `urgent_share` of the
+// budgets.
 #pragma once
 
 #include <chrono>
@@ -32,12 +33,12 @@
   duration every{};             // time from the end of a round until the next round is due; 0: runs once
   duration deadline{};          // time from being due until the job becomes urgent; 0: never urgent
   std::set<std::string> after;  // names of jobs to wait for while they are due or running
-  rates budget;                 // of this job, in addition to the budget of all jobs together
+  rates budget;                 // limits this job, in addition to the budget of all jobs together
 };
 
 struct options {
   unsigned workers = 1;
-  rates budget;                                     // of all jobs together
+  rates budget;                                     // limits all jobs together
   duration burst = std::chrono::milliseconds(200);  // size of the token buckets, as time at the full rate
   double urgent_share = 0.1;                        // fraction of the budgets that urgent jobs always have
   duration ageing_step = std::chrono::seconds(60);  // waiting time that improves the priority by 1
@@ -56,7 +57,7 @@
 // A slice to run.
 struct slice {
   job_id job = 0;
-  std::string name;         // of the job
+  std::string name;         // the job's name
   std::uint64_t round = 0;  // number of rounds that the job has started
 };
 
