--- a/src/runtime/link.cpp
+++ b/src/runtime/link.cpp
@@ -22,10 +22,11 @@
 
 link::~link() = default;
 
-// The runtime identifies runs by label and accepts one run for each label. If two open requests have the same
-// label, the runtime's response shows which of them has a label that the runtime does not know. The second
-// request is kept until then, so that a request with an invented label cannot displace the genuine one by
-// arriving first.
+// The runtime identifies runs by label and accepts one run for each label. If a second request has the label
+// of an open one, it is kept and not sent. If the runtime then answers that it does not know the first
+// request, the second one is sent in its place; otherwise the second one ends as unknown, at once if the
+// start of the first has already been delivered. A request with an invented label can therefore not displace
+// the genuine one by arriving first.
 void link::run(request_id id, const request& details) {
   const auto [position, inserted] = runs_.try_emplace(details.label);
   tracked_run& tracked = position->second;
--- a/src/runtime/link.hpp
+++ b/src/runtime/link.hpp
@@ -112,14 +112,14 @@
   transport transport_;
   command_sequence commands_;
   state state_ = state::down;
-  bool address_changed_ = false;  // up, but connected to the previous address
+  bool address_changed_ = false;  // the link is up, but still connected to the previous address
   run_table runs_;
   std::unordered_map<request_id, std::string> labels_;  // of runs and of their conflicting requests
-  std::uint64_t last_serial_ = 0;                       // of the notices processed
-  std::uint64_t fence_query_ = 0;  // its answer ends catching_up, or allows the new connection
+  std::uint64_t last_serial_ = 0;                       // serial number of the last processed notice
+  std::uint64_t fence_query_ = 0;  // gauge query whose answer ends catching_up or permits the new connection
   start_estimate runtime_start_;
   time_point sync_sent_at_{};
-  time_point next_attempt_at_{};  // to connect or to switch to the new address
+  time_point next_attempt_at_{};  // next attempt to connect or to switch to the new address
   time_point attempt_started_at_{};
 };
 
