--- a/src/thrift/codec.hpp
+++ b/src/thrift/codec.hpp
@@ -51,7 +51,7 @@
 
 struct frame {
   std::string_view payload;
-  std::size_t size = 0;  // of the payload and its length prefix
+  std::size_t size = 0;  // size of the payload with its length prefix, in bytes
 };
 
 // Returns the first frame in `bytes`, or nullopt while it is incomplete. Throws bad_frame if the length
--- a/src/thrift/front.cpp
+++ b/src/thrift/front.cpp
@@ -330,9 +330,9 @@
   }
 }
 
-// Asks callers to close their least valuable connections before the table of connections is full. Closing one
-// only when the table is full could cross a request that is on its way; a caller that was asked earlier has
-// stopped sending by then.
+// Asks callers to close the connections with the lowest eviction_rank() before all permitted connections are
+// in use. If a connection is closed only then, a request may already be on its way on it; a caller that was
+// asked earlier has stopped sending by then.
 void server::ask_unused_connections_to_close() {
   const auto connections_to_keep =
       static_cast<std::size_t>(config_.bounds.kept * static_cast<double>(config_.bounds.connections));
--- a/src/thrift/front.hpp
+++ b/src/thrift/front.hpp
@@ -59,7 +59,8 @@
   void drop(connection& closed);
   // Closes or ends a connection that exceeds one of its time limits.
   void apply_time_limits(connection& candidate, time_point now);
-  // Asks the least valuable connections to close while the table of connections is nearly full.
+  // While more than the fraction `limits::kept` of the permitted connections is in use, asks those with the
+  // lowest eviction_rank() to close.
   void ask_unused_connections_to_close();
   bool healthy() const;
 
