--- a/src/uwsgi/packet.hpp
+++ b/src/uwsgi/packet.hpp
@@ -48,7 +48,7 @@
 };
 struct response_head {
   unsigned status = 0;
-  std::size_t size = 0;                       // of the head, in bytes
+  std::size_t size = 0;                       // size of the head in bytes
   std::optional<std::size_t> content_length;  // length of the body; empty: the body ends with the connection
   std::optional<std::chrono::seconds> retry_after;  // empty if absent or not a number of seconds
 };
