--- a/src/store/cleaning.hpp
+++ b/src/store/cleaning.hpp
@@ -1,5 +1,5 @@
-// Decides when a store of tables cleans, and which batches it accepts meanwhile (docs/store.md). To clean
-// means log compaction by segment: the live records of the oldest segment are copied to the end of the log,
+// Decides when a store of tables is cleaned and which batches it accepts (docs/store.md). Cleaning is log
+// compaction by segment: the live records of the oldest segment are copied to the end of the log,
 // and the segment is deleted.
 //
 // No I/O, no clock: sizes and durations are passed in. Not thread-safe: owned by one thread.
--- a/src/store/log.hpp
+++ b/src/store/log.hpp
@@ -140,7 +140,7 @@
   std::uint64_t number_ = 0;    // of the active segment; if there is none, of the last one
   std::uint64_t end_ = 0;       // valid bytes of the active segment
   std::int64_t expiry_ = 0;     // when all records of the active segment have expired
-  std::uint64_t sequence_ = 0;  // of frames
+  std::uint64_t sequence_ = 0;  // sequence number of the last frame
 };
 
 }  // namespace marblewharf::store
--- a/src/store/tables.cpp
+++ b/src/store/tables.cpp
@@ -176,8 +176,8 @@
   return g;
 }
 
-// `group_...`: the sums of the batches of the same group that are not in the index yet. They are counted as
-// if no two of them changed the same key.
+// `group_bytes`, `group_growth`, `group_keys`: sums over the batches of the same group that are not in the
+// index yet. The sums are taken as if no two of these batches changed the same key.
 verdict tables::verdict_of(const batch& changes, std::uint64_t group_bytes, std::int64_t group_growth,
                            std::size_t group_keys) const {
   const growth g = growth_of(changes);
--- a/src/store/tables.hpp
+++ b/src/store/tables.hpp
@@ -41,8 +41,8 @@
   std::size_t max_key_bytes = 4096;
   // Limit for the lazy batches buffered in memory; they never exceed a quarter of a segment.
   std::uint64_t max_buffered_bytes = std::uint64_t{256} << 10;
-  std::chrono::nanoseconds max_buffered_time =
-      std::chrono::seconds(1);  // after this time a lazy batch is due to be written
+  // The time after which a lazy batch is due to be written.
+  std::chrono::nanoseconds max_buffered_time = std::chrono::seconds(1);
   std::chrono::nanoseconds max_snapshot_age = std::chrono::minutes(1);  // older snapshots are closed
   std::size_t slice_keys = 256;                         // visited in a slice of a checkpoint or of expiry
   std::uint64_t slice_bytes = std::uint64_t{64} << 10;  // copied in a slice of cleaning
