--- a/src/idempotency/results_command.cpp
+++ b/src/idempotency/results_command.cpp
@@ -136,7 +136,8 @@
   store::posix_file_system files;
   const auto lock = files.lock(query.folder + "/lock");
   const std::string path = query.folder + "/" + query.segment;
-  if (!query.segment.ends_with(".seg")) throw store::io_error(path + ": no segment");
+  if (!query.segment.ends_with(".seg"))
+    throw store::io_error(path + ": not a segment file, its name must end with .seg");
   files.rename(path, path + ".aside");
   files.sync_folder(query.folder);
   std::printf("%s is set aside: its keys are forgotten and may run again\n", path.c_str());
