--- a/src/fan_out/state_machine.hpp
+++ b/src/fan_out/state_machine.hpp
@@ -116,8 +116,8 @@
   enum class timer_kind { call_deadline, hedge, retry_placement, sub_request_deadline };
   struct timer {
     timer_kind kind{};
-    call_id call = 0;        // call_deadline, hedge
-    fan_out_id request = 0;  // retry_placement, sub_request_deadline
+    call_id call = 0;        // set for call_deadline and hedge
+    fan_out_id request = 0;  // set for retry_placement and sub_request_deadline
     std::size_t part = 0;
   };
 
