--- a/src/transaction/outcome_cache.hpp
+++ b/src/transaction/outcome_cache.hpp
@@ -35,9 +35,9 @@
   explicit outcome_cache(std::size_t capacity) : capacity_(capacity) {}
 
   bool has_capacity() const { return entries_.size() < capacity_; }
-  // Adds an open transaction. Numbers increase from transaction to transaction, also across restarts. A later
-  // transaction of a key replaces an earlier one, but never the reverse, whatever the order of the calls
-  // (recovery reads transactions from the folder in any order).
+  // Adds an open transaction. Numbers increase from transaction to transaction, also across restarts. Of two
+  // transactions of a key, the one with the higher number is kept, in whatever order they are added, because
+  // recovery reads transactions from the folder in any order.
   void on_begin(const key& request_key, std::uint64_t number);
   // The transaction was aborted or never started. Has no effect on a committed transaction.
   void on_abort(const key& request_key, std::uint64_t number);
--- a/src/transaction/state_machine.cpp
+++ b/src/transaction/state_machine.cpp
@@ -178,7 +178,7 @@
     if (reply == participant_reply::yes) {
       voter.prepared = true;
     } else {
-      must_abort_ = true;  // also if the vote is unknown; that participant is sent an abort, too
+      must_abort_ = true;  // also if the vote is unknown; this participant is sent an abort as well
     }
     decide_if_prepared();
   } else if (state_ == state::aborting) {
@@ -214,7 +214,7 @@
     return;
   }
   if (state_ != state::committing && state_ != state::aborting) return;
-  // A prepared participant must follow the decision, so after a no the request is repeated.
+  // A prepared participant must follow the decision, so the request is repeated unless it answers yes.
   if (reply == participant_reply::yes) {
     sender.acknowledged = true;
   } else {
--- a/src/transaction/state_machine.hpp
+++ b/src/transaction/state_machine.hpp
@@ -146,7 +146,7 @@
   state state_ = state::idle;
   log_record pending_record_{};  // in state logging
   bool reported_ = false;
-  bool must_abort_ = false;  // a participant voted no, or the deadline has passed
+  bool must_abort_ = false;  // a participant did not vote yes, or the deadline has passed
   // The write of a commit or last_agent record was attempted. It may be on disk even if the write failed, so
   // the outcome is certainly `aborted` only once the abort record is durable.
   bool decision_record_tried_ = false;
