--- a/src/quota/demand.hpp
+++ b/src/quota/demand.hpp
@@ -12,8 +12,8 @@
 namespace marblewharf::quota {
 
 struct demand_options {
-  duration time_constant =
-      std::chrono::seconds(1);   // time constant of the exponential decay of past measurements
+  // Time constant of the exponential decay of past measurements.
+  duration time_constant = std::chrono::seconds(1);
   double headroom_factor = 1.1;  // multiplies the measured demand, to allow for growth
   double headroom_units = 1;     // added to the demand, so that an idle node can start work
 };
--- a/src/quota/quota_coordinator.cpp
+++ b/src/quota/quota_coordinator.cpp
@@ -147,8 +147,8 @@
   }
 }
 
-// Delivers the messages of this member to itself immediately; the loop ends when they produce no further
-// ones.
+// Delivers the messages of this member to itself immediately, also those that such a delivery produces. Moves
+// all other messages to the outbox.
 void quota_coordinator::route_messages(time_point now) {
   bool delivered = true;
   while (delivered) {
