--- a/src/membership/swim.hpp
+++ b/src/membership/swim.hpp
@@ -36,12 +36,12 @@
   double suspicion_min_rounds = 4;       // shortest suspicion timeout, in probe intervals times log10(n)
   double suspicion_max_factor = 6;       // ratio of the longest suspicion timeout to the shortest
   unsigned suspicion_confirmations = 3;  // confirmations that reduce the suspicion timeout to the shortest
-  unsigned retransmit_multiplier = 4;    // multiplier of the number of copies of a change; see dissemination
-  unsigned gossip_per_message = 8;       // changes in a message
-  unsigned refresh_per_message = 2;      // round-robin entries of the member table in a message
-  unsigned max_local_health = 8;         // worst local health score; 0 is healthy
-  unsigned reconnect_intervals = 5;      // probe intervals between pings to a dead member; 0: no such pings
-  std::size_t max_members = 4096;        // updates about further members are dropped
+  unsigned retransmit_multiplier = 4;  // multiplier for the number of copies of a change; see `dissemination`
+  unsigned gossip_per_message = 8;     // changes in a message
+  unsigned refresh_per_message = 2;    // round-robin entries of the member table in a message
+  unsigned max_local_health = 8;       // worst local health score; 0 is healthy
+  unsigned reconnect_intervals = 5;    // probe intervals between pings to a dead member; 0: no such pings
+  std::size_t max_members = 4096;      // updates about further members are dropped
   std::size_t max_relayed_probes = 256;  // concurrent indirect probes for other members; more are dropped
 };
 
