--- a/src/cluster/cluster_view.hpp
+++ b/src/cluster/cluster_view.hpp
@@ -49,8 +49,9 @@
   const membership::swim& members() const { return membership_; }
   const failover::zone_view& zones() const { return zones_; }
   bool is_alive(const std::string& member) const { return membership_.is_alive(member); }
-  // Whether calls may be routed to `place`, the name of a zone or the address of a member: a zone must not be
-  // decided out, unless it is this member's own zone, and a member must be alive in addition.
+  // Whether calls may be routed to `place`, the name of a zone or the address of a configured member. Calls
+  // may be routed to a zone unless it is decided out, and always to this member's own zone. Calls may be
+  // routed to another member if it is alive and calls may be routed to its zone, and always to this member.
   bool is_routable(const std::string& place) const;
 
  private:
