--- a/src/scheduler/headroom_meter.hpp
+++ b/src/scheduler/headroom_meter.hpp
@@ -12,8 +12,8 @@
 
 struct headroom_options {
   double full_below = 0.5;  // fraction of busy cores up to which the headroom is 1
-  double none_above =
-      0.85;  // fraction of busy cores from which the headroom is 0; it falls linearly between the two
+  // Fraction of busy cores from which the headroom is 0. It falls linearly between the two fractions.
+  double none_above = 0.85;
   // The headroom is 0 for this time after a request had to wait.
   std::chrono::nanoseconds wait_hold_off = std::chrono::seconds(1);
 };
--- a/src/scheduler/pool.cpp
+++ b/src/scheduler/pool.cpp
@@ -128,8 +128,8 @@
 
 void pool::cancel(job_id id) {
   scheduler_.cancel(id);
-  if (!scheduler_.contains(id))
-    jobs_.erase(id);  // otherwise the job is erased when its running slice has ended
+  // A job with a running slice is erased when the slice has ended.
+  if (!scheduler_.contains(id)) jobs_.erase(id);
 }
 
 time_point pool::step(time_point now, double headroom) {
--- a/src/scheduler/pool.hpp
+++ b/src/scheduler/pool.hpp
@@ -66,8 +66,8 @@
   scheduler scheduler_;
   std::map<job_id, pooled_job> jobs_;
   note_handler handle_note_;
-  std::shared_ptr<shared_state>
-      state_;  // shared with the threads; a detached thread keeps it alive after the pool is destroyed
+  // Shared with the threads. A detached thread keeps it alive after the pool is destroyed.
+  std::shared_ptr<shared_state> state_;
   std::vector<std::thread> threads_;
 };
 
