--- a/src/runtime/tracked_run.hpp
+++ b/src/runtime/tracked_run.hpp
@@ -42,7 +42,7 @@
 // ends before the reconnect are known.
 enum class recovery {
   none,         // all commands have arrived, or none was sent
-  probe,        // send a stop: a paused run is continued, a run that never started is started
+  probe,        // send a stop; then continue the run if it was paused, or start it if it never started
   restart,      // send the start again: the run may execute twice, which its effect allows
   report_lost,  // the run may have started and must not execute twice: stop it and report it lost
   repeat_stop,  // send the last stop or continue again
