--- a/src/thrift/front.cpp
+++ b/src/thrift/front.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-// Connections are ranked by whether they brought no message, one, or more.
+// The rank of a connection depends on whether no message, one, or more were received on it.
 constexpr unsigned max_messages_counted = 2;
 
 // The fields of an error reply, under their names on the wire.
@@ -50,7 +50,7 @@
   void ask_to_close();
   // Stops reading because the caller violated the protocol. Open requests are still answered.
   void stop_reading(const char* reason);
-  // Counts a bad message; stops reading once the connection has brought `strikes` bad messages.
+  // Counts a bad message; stops reading after `strikes` bad messages on the connection.
   void add_strike();
   // Ends the connection in such a way that the caller receives everything sent before. No request may be
   // open.
@@ -145,9 +145,9 @@
   stream_.finish();
 }
 
-// Order of closing: connections that were asked to close, then those that brought no message, one message,
-// and more than one. The offsets separate the four groups; within a group the least recently used comes
-// first.
+// Order of closing: connections that were asked to close, then those on which no message, one message,
+// and more than one were received. The offsets separate the four groups; within a group the least recently
+// used comes first.
 std::optional<time_point> server::connection::eviction_rank() const {
   if (!open_requests_.empty() || has_incomplete_message() || (arriving_ && !reading_stopped_))
     return std::nullopt;
