--- a/src/store/committer.hpp
+++ b/src/store/committer.hpp
@@ -31,7 +31,7 @@
     kind operation = kind::write;
     bool ok = false;    // false for a write: the record is not part of the log
     position location;  // after a write: the record's location
-    std::string body;   // of a record that was read, or the error text
+    std::string body;   // after a read: the record's body, or the error text if `ok` is false
   };
   // The state after the requests whose `done` was collected.
   struct disk_status {
