--- a/src/fan_out/state_machine.hpp
+++ b/src/fan_out/state_machine.hpp
@@ -92,7 +92,7 @@
     std::size_t source = 0;  // 0: its own dependency; n: its nth fallback
     // The following fields refer to the current source.
     std::size_t dependency = 0;
-    unsigned attempts = 0;  // without hedged requests
+    unsigned attempts = 0;  // number of attempts, not counting hedged requests
     time_point deadline{};
     bool queued = false;
     std::optional<std::size_t> avoided_endpoint;  // the endpoint of the last failed call
@@ -116,8 +116,8 @@
   enum class timer_kind { call_deadline, hedge, retry_placement, sub_request_deadline };
   struct timer {
     timer_kind kind{};
-    call_id call = 0;        // call_deadline, hedge
-    fan_out_id request = 0;  // retry_placement, sub_request_deadline
+    call_id call = 0;        // set for call_deadline and hedge
+    fan_out_id request = 0;  // set for retry_placement and sub_request_deadline
     std::size_t part = 0;
   };
 
--- a/src/store/tables.cpp
+++ b/src/store/tables.cpp
@@ -113,8 +113,8 @@
     if (recovered_->replay_from.segment > newest || (end > 0 && end < recovered_->replay_from.offset))
       throw damaged(options_.folder + ": the log ends before the position of its checkpoint");
   }
-  // Removes keys whose record was overwritten or erased after the checkpoint, if the later record was cleaned
-  // as well. Segments are cleaned oldest first, so the segment in the checkpoint no longer exists either.
+  // Removes the keys that the checkpoint places in a deleted segment. Their record was overwritten or erased
+  // later, and cleaning deleted the later record too. The oldest segments are deleted first.
   if (log_->oldest_sealed() != 0) index_.discard_before(log_->oldest_sealed());
   figures_.replayed = log_->counts().records;
   if (recovered_) figures_.checkpoint_fault = recovered_->fault;
@@ -176,8 +176,8 @@
   return g;
 }
 
-// `group_...`: the sums of the batches of the same group that are not in the index yet. They are counted as
-// if no two of them changed the same key.
+// `group_bytes`, `group_growth`, `group_keys`: sums over the batches of the same group that are not in the
+// index yet. The sums are taken as if no two of these batches changed the same key.
 verdict tables::verdict_of(const batch& changes, std::uint64_t group_bytes, std::int64_t group_growth,
                            std::size_t group_keys) const {
   const growth g = growth_of(changes);
--- a/src/transaction/state_machine.hpp
+++ b/src/transaction/state_machine.hpp
@@ -69,7 +69,7 @@
 // The outcome that is reported to the client, exactly once.
 enum class client_outcome {
   committed,  // committed at all participants
-  aborted,    // certainly committed at none: aborted at all participants, or going to be
+  aborted,    // certainly committed at no participant: all have aborted or will abort
   in_doubt,   // not certain yet; the client can inquire later with the request's key
 };
 
@@ -146,7 +146,7 @@
   state state_ = state::idle;
   log_record pending_record_{};  // in state logging
   bool reported_ = false;
-  bool must_abort_ = false;  // a participant voted no, or the deadline has passed
+  bool must_abort_ = false;  // a participant did not vote yes, or the deadline has passed
   // The write of a commit or last_agent record was attempted. It may be on disk even if the write failed, so
   // the outcome is certainly `aborted` only once the abort record is durable.
   bool decision_record_tried_ = false;
