--- a/tests/net/budgets_test.cpp
+++ b/tests/net/budgets_test.cpp
@@ -66,8 +66,8 @@
   s.audit();
 }
 
-// Three nodes have clocks that are as fast as the configured drift allows and three as slow, while changing
-// demand moves the shares.
+// The clocks of three nodes are as fast, and those of three others as slow, as the configured drift allows,
+// while changing demand moves the shares.
 void clocks_drift_apart() {
   quota_cluster s({.drift = 0.05, .rate = [](int i) { return i % 3 == 0 ? 1.05 : i % 3 == 1 ? 0.95 : 1.0; }});
   for (int round = 0; round < 6; ++round) {
@@ -170,7 +170,7 @@
 }
 
 // Nodes are killed and restarted while their runs continue on the runtime: the runs that the killed process
-// left still count against the quota, also those within its guaranteed share.
+// left behind still count against the quota, including those within its guaranteed share.
 void runs_of_a_killed_process_count() {
   quota_cluster s({.run_ms = 700, .guaranteed_share = 5});
   s.set_all_demand(400);
@@ -283,7 +283,7 @@
 
 // An unusable quota setting stops the start with file, line and key.
 void setting_errors_name_file_line_and_key() {
-  // The exit status and the log of a node that is started with this operator's file.
+  // Returns the exit status and the log of a node that is started with this operator's file.
   const auto start_error = [](const std::string& text) {
     runtime r;
     node_options o;
--- a/tests/net/dependencies_test.cpp
+++ b/tests/net/dependencies_test.cpp
@@ -83,7 +83,7 @@
   return text.find(wanted) != std::string::npos;
 }
 
-// Each part is passed on byte for byte, also one that contains a multipart boundary. Each sub-request carries
+// Each part is passed on byte for byte, even if it contains a multipart boundary. Each sub-request carries
 // its time budget. Request classes without parts are forwarded unchanged.
 void fan_out_assembles_the_parts() {
   site s(two_parts);
@@ -138,7 +138,7 @@
     s.kurse1.change(behaves(behaviour));
     int fresh = 0;
     for (int i = 0; i < 12; ++i) fresh += part(s.answer(), "kurse") == "fresh 101.42";
-    CHECK(fresh >= 9);  // the retry budget allows so many further attempts
+    CHECK(fresh >= 9);  // the retry budget allows enough further attempts for at least nine requests
   }
 }
 
--- a/tests/net/dispatcher_test.cpp
+++ b/tests/net/dispatcher_test.cpp
@@ -103,7 +103,8 @@
         test.counters.served == 1);
 }
 
-// `rejected` would assert that the request never ran, whatever end the backend reports.
+// A request that was started is answered `failed` whichever unsuccessful end the backend reports, because
+// `rejected` would tell the client that it never ran.
 void started_requests_are_never_rejected() {
   fixture test(test_settings());
   for (const run_end end : {run_end::failed, run_end::aborted, run_end::never_started}) {
--- a/tests/net/fleet_test.cpp
+++ b/tests/net/fleet_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Nine nodes that start together find each other and consider all members alive and all zones in.
+// Nine nodes that start together find each other and consider all members alive, and no zone is voted out.
 void converges() {
   test_cluster f({.regions = {"r0", "r0", "r1"}});
   f.wait_until_healthy();
@@ -38,7 +38,7 @@
 }
 
 // One node is killed and restarted on the same address: it is considered dead, then alive with a higher
-// incarnation. Its zone stays in.
+// incarnation. Its zone is not voted out.
 void restarted_alone() {
   test_cluster f;
   f.wait_until_healthy();
@@ -77,9 +77,9 @@
   f.wait_until_healthy();
 }
 
-// Zone 2 is reachable and unreachable in turn, 500 ms each, for 8 s: it is voted out once, and not in again
-// before it was stable for the hold-down (2 s). 500 ms is less than the suspicion timeout, so that its
-// members stay alive and only probes fail.
+// Zone 2 is reachable and unreachable in turn, 500 ms each, for 8 s: it is voted out once, and is voted in
+// again only after it has been stable for the hold-down (2 s). 500 ms is less than the suspicion timeout, so
+// that its members stay alive and only probes fail.
 void flapping_zone() {
   test_cluster f({.hold_down = "2s"});
   f.wait_until_healthy();
@@ -234,7 +234,7 @@
 
 // A node is paused past its suspicion timeout and resumed: no calls go to the endpoint next to it while it is
 // suspect or dead. It then refutes the report with a higher incarnation, and calls go there again. Its zone
-// stays in, because two of its three members are alive.
+// is not voted out, because two of its three members are alive.
 void paused_and_resumed() {
   // The places of the endpoints are member addresses here. They are known only after the relay has started,
   // so that node 0 is restarted with them.
--- a/tests/net/harness.hpp
+++ b/tests/net/harness.hpp
@@ -171,8 +171,8 @@
 };
 
 // Whether a listener may use the port. A port that was reserved for a node that binds it later is not
-// available to any other listener of this process. `reserve`: reserves the port; false where it was reserved
-// before.
+// available to any other listener of this process. With `reserve` true, also reserves the port; returns false
+// if it was reserved before.
 inline bool claim_port(int port, bool reserve) {
   static std::mutex mutex;
   static std::set<int> reserved_ports;
@@ -268,7 +268,7 @@
   listener door;                      // where the node connects
   connection link;                    // the node's connection
   std::string synced_serial;          // the serial number in the node's last `sync`
-  int serial = 0;                     // of the last end notice
+  int serial = 0;                     // the serial number of the last end notice
   std::string stats = "0.2,1,0.1,3";  // the gauges: cpu_busy, runnable, mem_used, sockets
 
   // Answers the line where it is a `gauges` query; returns false for any other line.
@@ -341,7 +341,7 @@
     pid_ = ::fork();
     CHECK(pid_ >= 0);
     if (pid_ == 0) {
-      ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // no node survives a failed test
+      ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // so that no node survives a failed test
       ::dup2(::open(log_path.c_str(), O_CREAT | O_WRONLY, 0600), 2);
       if (options.descriptors > 0) {
         const rlimit limit{static_cast<rlim_t>(options.descriptors),
--- a/tests/net/keyed_test.cpp
+++ b/tests/net/keyed_test.cpp
@@ -343,7 +343,7 @@
   s.fake_runtime->end(call, "fine", "cQ==");  // the node did not stop the run
   c.send(write_of(2, 2, "k1"));
   CHECK(result(read_reply(c)) == "q");
-  // A duplicate whose deadline passes while it waits for its primary is failed, never refused.
+  // A duplicate whose deadline passes while it waits for its primary is answered `failed`, never `refused`.
   c.send(write_of(3, 3, "k2"));
   s.fake_runtime->expect("start");
   c.send(write_of(4, 4, "k2"));
@@ -518,7 +518,7 @@
     o.operators.replace(o.operators.find(first_port), first_port.size(), std::to_string(free_port()));
     node second(other, o);
     other.up();
-    // The second node serves, but leaves the folder alone: it refuses keyed requests without running them
+    // The second node serves, but does not open the folder: it refuses keyed requests without running them
     // until the first node releases the folder.
     second.logged(
         "another process holds this folder; keyed requests are rejected until the folder is released");
--- a/tests/net/node_test.cpp
+++ b/tests/net/node_test.cpp
@@ -184,7 +184,7 @@
   CHECK(read_reply(c).kind == "served");
   --r.serial;
   r.end(label(1), "fine", "YQ==");
-  r.end(label(7), "fine", "YQ==");  // of an unknown call
+  r.end(label(7), "fine", "YQ==");  // the end of an unknown call
   c.send(check(2));
   CHECK(read_reply(c).seqid == 2);
 }
@@ -332,8 +332,8 @@
   CHECK(n.resident_kb() < (sanitized ? 400000 : 40000));
 }
 
-// Guards against incomplete messages that occupy a connection without limit, also where a byte arrives now
-// and then.
+// Guards against incomplete messages that occupy a connection without limit, also if single bytes keep
+// arriving at intervals.
 void slow_message_closes_the_connection() {
   runtime r;
   node n(r);
@@ -348,7 +348,7 @@
   CHECK(read_reply(c).kind == "closing" && c.rest().empty());
 }
 
-// Guards against a node that was stopped and then treats its clients as silent for that time.
+// Guards against a node that counts the time for which it was stopped itself as silence of its clients.
 void time_while_stopped_is_not_client_silence() {
   runtime r;
   node n(r);
@@ -432,7 +432,7 @@
   r.link = r.door.accept();
   CHECK(member(r.link.line(), "serial") == "0");
   r.send("{\"msg\":\"ready\",\"how\":\"running\",\"duration\":60000}");
-  r.end(label(4), "fine", "YQ==");  // ended while the link was lost
+  r.end(label(4), "fine", "YQ==");  // the run ended while the link was lost
   CHECK(r.answer_gauges(r.link.line()));
   CHECK(read_reply(c).seqid == 4);
   std::map<std::string, std::string> command_of_call;
@@ -445,7 +445,7 @@
       CHECK(command_of_call.emplace(member(line, "call"), member(line, "msg")).second);
     }
   }
-  CHECK(command_of_call[label(5)] == "start");  // was never sent before
+  CHECK(command_of_call[label(5)] == "start");  // no start of request 5 was sent on the lost link
   CHECK(command_of_call[label(1)] == "stop" && command_of_call[label(2)] == "stop" &&
         command_of_call[label(3)] == "stop");
   r.end(label(1), "broken_off");    // the run was in progress and is now paused
--- a/tests/net/ops_test.cpp
+++ b/tests/net/ops_test.cpp
@@ -81,7 +81,7 @@
   std::string path;
 };
 
-// Checks that for 300 ms the node sends the runtime nothing but requests for gauges, so no start.
+// Checks that for 300 ms the node sends the runtime nothing but `gauges` queries, and therefore no start.
 void expect_no_start(runtime& r) {
   const auto quiet_until = clock::now() + 300ms;
   while (clock::now() < quiet_until) {
@@ -134,7 +134,8 @@
   CHECK(first_line(call(w.console_port, "ready\n")) == "200 yes");
   CHECK(first_line(call(w.console_port, "resume\n")).rfind("200", 0) == 0);
   CHECK(is_healthy(w.price_node.port));
-  CHECK(first_line(call(w.console_port, "resume\n")).rfind("200", 0) == 0);  // without a drain: no change
+  CHECK(first_line(call(w.console_port, "resume\n")).rfind("200", 0) ==
+        0);  // no drain is active, so this changes nothing
   CHECK(is_healthy(w.price_node.port));
 }
 
@@ -168,7 +169,8 @@
   CHECK(clock::now() - since >= 4s);  // closed only after the console's time-out
 }
 
-// Idle connections beyond the console's limit do not block further commands; neither do client connections.
+// Idle connections beyond the console's limit do not block further commands. Client connections do not block
+// commands either.
 void idle_connections_do_not_block_the_console() {
   runtime r;
   node_with_console w(r);
@@ -187,8 +189,8 @@
   CHECK(f.contains("app.pending"));
 }
 
-// app.pending counts requests that still need an answer: neither a request that failed at its deadline while
-// its run continues, nor one that its client interrupted.
+// app.pending counts requests that still need an answer. It does not count a request that failed at its
+// deadline while its run continues, or a request that its client interrupted.
 void pending_counts_unanswered_requests() {
   runtime r;
   node_with_console w(r, {.write_aim_ms = 400});
@@ -242,7 +244,8 @@
   first_runtime.end(running, "fine", "YQ==");
   const reply answered = read_reply(existing);
   CHECK(answered.kind == "served" && answered.seqid == 1 && result(answered) == "a");
-  existing.close();  // as a balancer does once all requests of a closing connection are answered
+  existing.close();  // a balancer also closes the connection once all requests of a closing connection are
+                     // answered
   const auto closed_at = clock::now();
   CHECK(first.price_node.wait() == 0);
   CHECK(clock::now() - closed_at < 2500ms);  // the process ends with its last connection, not at stop_ms
--- a/tests/net/pcap_test.cpp
+++ b/tests/net/pcap_test.cpp
@@ -1,5 +1,5 @@
-// Capture files: the node records its front's connections, and marblewharf_pcap reads the file, also with
-// reordered, repeated, missing and invalid packets.
+// Capture files: the node records its front's connections, and marblewharf_pcap reads the file, even if
+// packets are reordered, repeated, missing or invalid.
 #include <map>
 
 #include "harness.hpp"
@@ -126,7 +126,7 @@
     if (!has_data(mixed[i]) || !has_data(mixed[i + 1])) continue;
     std::swap(mixed[i], mixed[i + 1]);
     mixed.insert(mixed.begin() + static_cast<std::ptrdiff_t>(i + 2),
-                 std::string(mixed[i]));  // one segment twice
+                 std::string(mixed[i]));  // one segment is recorded twice
     ++swapped;
     i += 2;
   }
--- a/tests/net/races_test.cpp
+++ b/tests/net/races_test.cpp
@@ -200,7 +200,7 @@
   CHECK(read_reply(c).kind == "served");
   n.signal(SIGTERM);
   std::string rest;
-  CHECK(c.closed_gracefully(rest));  // before the process exits, so that it could still read the next request
+  CHECK(c.closed_gracefully(rest));  // the process still runs and could read the next request
   c.send(execute(2, usual(2), "b"));
   CHECK(n.wait() == 0);
   std::string line;
@@ -354,7 +354,8 @@
     runtime r;
     node_options o;
     o.listen_port = free_port();
-    connection silent;  // stays open until the first node has ended, or else that node would reconnect
+    connection
+        silent;  // stays open until the first node has ended, because that node would reconnect otherwise
     {
       node first(r, o);
       if (killed_in == state::held) {
@@ -743,10 +744,10 @@
   c.send(keyed_attempt(1, "a", 3000));  // the window of this attempt ended 1.5 s ago
   r.end(r.expect("start"), "fine", "YQ==");
   CHECK(result(read_reply(c)) == "a");
-  c.send(keyed_attempt(2, "a", 1600));  // arrived within that window, is read after it
+  c.send(keyed_attempt(2, "a", 1600));  // arrived within the window of attempt 1 and is read after it
   CHECK(result(read_reply(c)) == "a");
   expect_no_start(r);
-  c.send(keyed_attempt(3, "a", 1200));  // arrived after that window
+  c.send(keyed_attempt(3, "a", 1200));  // arrived after the window of attempt 1
   r.end(r.expect("start"), "fine", "Yg==");
   CHECK(result(read_reply(c)) == "b");
   c.send(keyed_attempt(4, "a"));
--- a/tests/net/settings_test.cpp
+++ b/tests/net/settings_test.cpp
@@ -70,7 +70,7 @@
   CHECK(settings.uwsgi->default_cost[1] == 1500 && settings.uwsgi->reserved_kb == 8);
   CHECK(settings.keyed && settings.keyed->windows[0] == 0s && settings.keyed->windows[1] == 90s &&
         settings.keyed->space == 64u << 20);
-  CHECK(!read("").uwsgi && !read("").keyed && !read("").fleet);  // no section: disabled
+  CHECK(!read("").uwsgi && !read("").keyed && !read("").fleet);  // a feature without a section is disabled
   const config with_fleet =
       read(two_member_fleet +
            "uwsgi {\n  listen = \"127.0.0.1:3030\"\n  servers = {\"127.0.0.1:1\"}\n  class_var = P\n"
--- a/tests/net/uwsgi_test.cpp
+++ b/tests/net/uwsgi_test.cpp
@@ -38,13 +38,13 @@
     price_node = std::make_unique<node>(fake_runtime, o);
     fake_runtime.up();
   }
-  // A gateway's connection on which these bytes were sent.
+  // Connects as a gateway and sends `bytes`.
   connection caller(const std::string& bytes) {
     connection c = connection::to(uwsgi_port);
     c.send(bytes);
     return c;
   }
-  // The next attempt that reaches either server.
+  // Accepts the next attempt that reaches one of the two servers.
   connection attempt() {
     const auto until = clock::now() + std::chrono::milliseconds(patience_ms);
     while (clock::now() < until) {
@@ -85,7 +85,7 @@
   CHECK(d.rest() == "HTTP/1.0 404 Not Found\r\n\r\nno such fund");
 }
 
-// A server error, a response that is no HTTP, a truncated response and unreachable servers are answered with
+// A server error, a response that is not HTTP, a truncated response and unreachable servers are answered with
 // 502.
 void answers_failures_with_502() {
   site s;
@@ -109,7 +109,7 @@
 void retries_only_safe_requests() {
   site s;
   connection c = s.caller(request(write_path, "isar-invest", "x"));
-  s.attempt().take(1);  // then closes the connection
+  s.attempt().take(1);  // the server closes the connection after one byte
   CHECK(starts_with(c.rest(), "HTTP/1.1 502 "));
   CHECK(s.no_attempt(200));
   connection d = s.caller(request(read_path, "isar-invest", "x"));
--- a/tests/net/writing_test.cpp
+++ b/tests/net/writing_test.cpp
@@ -25,7 +25,7 @@
   explicit participant(std::function<reaction(const uwsgi_request&)> script =
                            [](const uwsgi_request&) { return reaction{}; })
       : script_(std::move(script)), server([this](const uwsgi_request& q) { return step(q); }) {}
-  // From any thread.
+  // Replaces the script; may be called from any thread.
   void change(std::function<reaction(const uwsgi_request&)> script) {
     const std::lock_guard lock(guard_);
     script_ = std::move(script);
@@ -209,7 +209,7 @@
   const auto folder_bytes = [&] {
     std::uintmax_t bytes = 0;
     for (const auto& f : std::filesystem::directory_iterator(s.folder + "/writes")) {
-      std::error_code removed;  // by a compaction since the folder was listed
+      std::error_code removed;  // set if a compaction removed the file after the folder was listed
       const auto size = std::filesystem::file_size(f.path(), removed);
       if (!removed) bytes += size;
     }
