--- a/tests/idempotency/crash_fs.hpp
+++ b/tests/idempotency/crash_fs.hpp
@@ -174,7 +174,8 @@
     if (at == names_.end()) throw io_error(path + ": no such file");
     return *at->second;
   }
-  // Counts a modifying call and fails it if its turn has come. True: the call must be cut short.
+  // Counts a modifying call and throws if it is the one that has to fail. Returns true if the call must be
+  // cut short instead.
   bool count_call(const std::string& name, bool may_cut = false) {
     expect_powered();
     ++calls;
--- a/tests/idempotency/durable_service_test.cpp
+++ b/tests/idempotency/durable_service_test.cpp
@@ -204,7 +204,8 @@
         steady() - begin >= 500ms);
   const request_id overdue = f.submit("a");
   f.step_until([&] { return f.answered(overdue); });
-  CHECK(f.status_of(overdue) == response_status::failed);  // coalesced, and then its deadline passed
+  CHECK(f.status_of(overdue) ==
+        response_status::failed);  // the duplicate was coalesced, and then its deadline passed
   f.disk.failing = false;
   request_id later = 0;
   f.step_until([&] {
--- a/tests/idempotency/key_table_test.cpp
+++ b/tests/idempotency/key_table_test.cpp
@@ -150,7 +150,7 @@
         CHECK(at->second == result);
       } else if (kind == test_node::answer_kind::rejected) {
         CHECK(!executions.contains(n) ||
-              executions[n] == 0);  // a request that ran is never answered 'rejected'
+              executions[n] == 0);  // only a request that never ran may be answered 'rejected'
       }
     }
   };
@@ -249,7 +249,7 @@
         continue;
       }
       CHECK(content);
-      // The state must be that after some write, or after the intent of the next one.
+      // The state must be the one after some write, or after that write and the intent of the next one.
       bool matches = false;
       for (std::size_t i = 0; i < states.size() && !matches; ++i) {
         auto next = states[i];
@@ -313,7 +313,7 @@
 
 // Guards against a false report of a missing segment. An expired segment is deleted while its successor has
 // been open for long; recovery then knows no later time than the creation of the successor, at which the
-// segment had not expired. Each call fails in turn, also by a power loss.
+// segment had not expired. Each call fails in turn, with an error and by a power loss.
 void expired_segment_is_not_reported_missing() {
   const auto run_all = [](std::uint64_t fail_at, crash::fault fault_kind, unsigned seed) {
     crash::fs fs;
@@ -322,7 +322,7 @@
     std::mt19937 random(seed);
     std::map<std::uint64_t, int> executions;
     aging_time now = 5000;
-    std::set<std::uint64_t> served;  // and have not expired
+    std::set<std::uint64_t> served;  // served keys that have not expired
     const auto segments = [&] {
       std::size_t n = 0;
       for (const auto& [path, bytes] : fs.image()) n += path.ends_with(".seg");
@@ -441,7 +441,7 @@
     CHECK(pass == (s == key_state::completed         ? claim_status::completed
                    : s == key_state::outcome_unknown ? claim_status::inquiry_primary
                                                      : claim_status::coalesced));
-    // Space is reserved only for records that have yet to be written.
+    // Space is reserved only for records that are not written yet.
     CHECK(known.reserved_bytes() <= 300 && (s != key_state::completed || known.reserved_bytes() == 0));
     // Open keys do not expire; the others do.
     key_table old = in(s);
--- a/tests/idempotency/kill_test.cpp
+++ b/tests/idempotency/kill_test.cpp
@@ -67,7 +67,8 @@
   return out;
 }
 
-// The runtime: outlives the node, runs each request that it is sent, and ends it after up to 8 ms.
+// Simulates the runtime, which outlives the node: runs each request that it receives and ends the run after
+// at most 8 ms.
 void run_runtime(shared_state& state, const runtime& door, unsigned seed) {
   std::mt19937 random(seed);
   while (!state.stop_servers) {
--- a/tests/idempotency/memory_service_test.cpp
+++ b/tests/idempotency/memory_service_test.cpp
@@ -120,7 +120,7 @@
   f.service.step(15600ms);  // the first result has expired, the second has not
   CHECK(f.observer.fetched.at(4) == "second");
   CHECK(f.arrive(5, "a", 13050ms) == claim_status::completed);
-  f.service.step(30s);  // the result was never fetched, as its caller had left
+  f.service.step(30s);  // the result was never fetched, because its caller had left
   CHECK(f.service.bytes() == 0);
 }
 
--- a/tests/idempotency/recorded_folder_test.cpp
+++ b/tests/idempotency/recorded_folder_test.cpp
@@ -26,7 +26,7 @@
 const std::string empty_result;
 const std::string odd_key = "k\xc3\xa4y /";
 
-// A copy of the folder, as opening a folder writes to it.
+// A copy of the folder, because opening a folder writes to it.
 class folder_copy {
  public:
   folder_copy() {
