--- a/tests/store/processes_test.cpp
+++ b/tests/store/processes_test.cpp
@@ -194,7 +194,7 @@
 
 }  // namespace
 
-// kills [TIMES] [SEED] | second_process | commands
+// Arguments: kills [TIMES] [SEED] | second_process | commands
 int main(int argc, char** argv) {
   const std::string name = argc > 1 ? argv[1] : "";
   const unsigned seed = argc > 3 ? static_cast<unsigned>(std::stoul(argv[3])) : 1;
--- a/tests/store/tables_test.cpp
+++ b/tests/store/tables_test.cpp
@@ -76,7 +76,7 @@
   crash::fs fs;
   std::unique_ptr<tables> t;
   std::vector<state> possible = {{}};  // back(): the current state; front(): the last durable state
-  std::vector<state> in_doubt;         // states after commits that failed since
+  std::vector<state> in_doubt;         // states after the commits that failed since the last durable state
   std::int64_t now = second;
   std::mt19937 random;
   std::uint64_t seed = 0;
@@ -115,7 +115,8 @@
     open();
     CHECK(matches());
     const auto seen = read_all(*t, now);
-    // Continue from the recovered state: the latest one that matches.
+    // Continues from the recovered state: the last matching one of `possible`, or of `in_doubt` if one
+    // matches there.
     state recovered;
     for (const state& s : possible)
       if (seen == visible(s, now)) recovered = s;
@@ -211,8 +212,8 @@
   }));
 }
 
-// The same with long histories, in which the log is cleaned many times and power is lost at many different
-// calls.
+// The same comparison with long histories, in which the log is cleaned many times and power is lost at many
+// different calls.
 void recovery_in_long_histories() {
   std::uint64_t cleaned = 0, checkpoints = 0, crashes = 0;
   for (unsigned seed = 1; seed <= 60; ++seed) {
@@ -345,8 +346,8 @@
     files.erase(path);
     const auto found = recovered_state(r, files);
     if (path == newest)
-      CHECK(!found ||
-            *found < r.states.size());  // it may have had no records yet, and recovery creates a new one
+      CHECK(!found || *found < r.states.size());  // the newest segment may have had no records yet; recovery
+                                                  // then creates a new one
     else
       CHECK(!found);
   }
@@ -371,8 +372,8 @@
 // ---- Guarantees
 // -----------------------------------------------------------------------------------------------
 
-// Cold keys among keys that are overwritten continuously: the space on disk and the bytes copied by cleaning
-// must stay within the bounds of the amplification.
+// Some keys are written once and others are overwritten continuously: the space on disk and the bytes copied
+// by cleaning must stay within the bounds that follow from the configured amplification.
 void amplification_stays_within_bound() {
   for (const double amplification_bound : {1.5, 2.0, 4.0}) {
     crash::fs fs;
@@ -523,8 +524,9 @@
   }
 }
 
-// A backup is taken while commits continue: the restored state must be one from the time of the backup.
-// Restoring an unfinished backup, a folder without a backup, or into a folder that is not empty is refused.
+// A backup is taken while commits continue: the restored state must be one from the time of the backup. A
+// restore is refused if the backup is unfinished, the folder has no backup, or the target folder is not
+// empty.
 void backup_and_restore() {
   crash::fs fs;
   tables t(fs, options(), second);
@@ -643,7 +645,7 @@
             } catch (const io_error&) {
               ++failed;
               CHECK(read_all(t, second) == visible(expected, second));
-              if (++tries == 3) fs.fail_at = 0;  // repaired
+              if (++tries == 3) fs.fail_at = 0;  // the disk is repaired
             }
           }
           fs.fail_at = 0;  // in case the call was not reached
--- a/tests/store/versions_test.cpp
+++ b/tests/store/versions_test.cpp
@@ -17,8 +17,8 @@
 
 constexpr const char* table_names[] = {"a", "b"};
 
-// Compares the index with a complete history of states: a snapshot must see the state at its opening,
-// whatever was committed and whichever snapshots were closed since.
+// Compares the index with a complete history of states: a snapshot must see the state at its opening, even
+// after later commits and after other snapshots were closed.
 void snapshots_match_history() {
   CHECK(rc::check(
       "snapshots see the state at their opening, counts are correct, unreferenced versions are removed", [] {
@@ -80,8 +80,9 @@
       }));
 }
 
-// For random sizes: a batch that the amplification allows is never rejected while no cleaning is needed,
-// writers never use the reserve, and a batch is rejected without a retry time only because of the live bytes.
+// For random sizes: while no cleaning is needed, a batch is accepted if the live bytes stay within
+// max_live_bytes(). An accepted batch leaves the reserve free. A rejection without a retry time means that
+// the live bytes would exceed max_live_bytes().
 void cleaning_rules_hold() {
   CHECK(rc::check("no batch is rejected forever, the reserve is kept", [] {
     const auto segment = std::uint64_t{1} << *rc::gen::inRange(12, 24);
