--- a/tests/quota/quota_test.cpp
+++ b/tests/quota/quota_test.cpp
@@ -27,14 +27,16 @@
 
 // Quota 0: requests per second. Quota 1: runs in flight, each lasting up to `longest_run`.
 constexpr duration longest_run = 800ms;
-// A settling time would hide a lease that the allocator treats as expired too early, so some cases set none.
+// Some cases set no settling time, because it would hide a lease that the allocator treats as expired too
+// early.
 bool has_settling_time = true;
 
 struct simulated_cluster {
   explicit simulated_cluster(int member_count, std::uint64_t seed) : random(seed) {
     for (int i = 0; i < member_count; ++i) names.insert(member_address(i));
     for (int i = 0; i < member_count; ++i) {
-      // One third of the clocks run as fast as the drift allows, one third as slow, one third exactly.
+      // One third of the clocks are as fast as the drift allows, one third are as slow as it allows, and one
+      // third are exact.
       rate[i] = i % 3 == 0 ? 1 + drift : i % 3 == 1 ? 1 - drift : 1;
       offset[i] = std::chrono::seconds(random() % 100000);
       demand[i] = {0, 0};
@@ -354,8 +356,8 @@
   }
 }
 
-// The leader is killed and restarted repeatedly: no leader may grant shares that an earlier grant still
-// holds.
+// The leader is killed and restarted repeatedly: no leader may grant shares that are still in force under an
+// earlier grant.
 void repeated_leader_changes() {
   has_settling_time = false;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
@@ -365,7 +367,7 @@
     for (int turn = 0; turn < 6; ++turn) {
       const int target = cluster.leader();
       if (target >= 0) cluster.kill(target);
-      // Two members cannot send for a while: they keep their shares without reporting them to the next
+      // Two members cannot send for a while: they keep their shares, but cannot report them to the next
       // leader.
       for (int i = 0; i < 5; ++i)
         for (int k = 0; k < 2; ++k)
@@ -423,7 +425,8 @@
   CHECK(answer(10s + safe_expiry_wait(rules), "a") == message_kind::vote_granted);
   CHECK(answer(11500ms, "b") == message_kind::vote_refused);
   CHECK(answer(11600ms, "a") == message_kind::vote_granted);  // renewal
-  // "b" leads with other members' votes, but the vote for "a" is still valid.
+  // "b" has become the leader by the votes of other members. This member still refuses it its vote, because
+  // its vote for "a" is valid.
   CHECK(answer(11700ms, "b", true) == message_kind::vote_refused);
   CHECK(answer(12600ms, "a") == message_kind::vote_refused);  // no renewal while "b" is the known leader
   CHECK(answer(11600ms + safe_expiry_wait(rules), "b", true) == message_kind::vote_granted);
