--- a/tests/scheduler/scheduler_test.cpp
+++ b/tests/scheduler/scheduler_test.cpp
@@ -120,7 +120,7 @@
   scheduler::time_point now = 1s;
   for (int i = 0; i < 3000; ++i, now += 10ms) {
     const auto next = jobs.pick(now);
-    CHECK(next && !jobs.pick(now));  // one worker
+    CHECK(next && !jobs.pick(now));  // there is only one worker
     ++ran[next->job];
     jobs.on_end(next->job, scheduler::slice_end::done, {1ms, 0, 0}, now + 5ms);
   }
@@ -316,7 +316,8 @@
     const auto faults = scrub_all(scrubber);
     ++corrupted;
     // The header contains the valid length of the previous segment, so a corrupted header is already found
-    // while the previous segment is scrubbed. In that case the fault must name this segment as well.
+    // while the previous segment is scrubbed. In that case, too, the fault must name the segment with the
+    // corrupted header.
     found += !faults.empty() && faults[0].find(second) == 0;
   }
   std::ofstream(second, std::ios::binary) << intact;
