--- a/tests/net/ops_test.cpp
+++ b/tests/net/ops_test.cpp
@@ -134,8 +134,7 @@
   CHECK(first_line(call(w.console_port, "ready\n")) == "200 yes");
   CHECK(first_line(call(w.console_port, "resume\n")).rfind("200", 0) == 0);
   CHECK(is_healthy(w.price_node.port));
-  CHECK(first_line(call(w.console_port, "resume\n")).rfind("200", 0) ==
-        0);  // no drain is active, so this changes nothing
+  CHECK(first_line(call(w.console_port, "resume\n")).rfind("200", 0) == 0);  // no drain is active: no change
   CHECK(is_healthy(w.price_node.port));
 }
 
--- a/tests/net/races_test.cpp
+++ b/tests/net/races_test.cpp
@@ -354,8 +354,7 @@
     runtime r;
     node_options o;
     o.listen_port = free_port();
-    connection
-        silent;  // stays open until the first node has ended, because that node would reconnect otherwise
+    connection silent;  // kept open until the first node has ended: otherwise that node would reconnect
     {
       node first(r, o);
       if (killed_in == state::held) {
