--- a/tests/cluster/audit.hpp
+++ b/tests/cluster/audit.hpp
@@ -30,7 +30,7 @@
   int node = 0;
   double share = 0;
   double from = 0, until = 0;  // ns
-  double counted = 0;  // the part of the share that is in the guaranteed share, which the sum always includes
+  double counted = 0;          // the part covered by the guaranteed share, which the sum always includes
 };
 
 // The concatenated logs of the processes of one member that never ran at the same time.
@@ -105,7 +105,7 @@
 
 struct quota_cluster_options {
   double drift = 0.01;
-  std::function<double(int)> rate = [](int) { return 1.0; };  // of the clock of node i
+  std::function<double(int)> rate = [](int) { return 1.0; };  // the rate of the clock of node i
   int lease_ms = 1000, renew_ms = 200;
   // Above 0: the quota limits runs in flight, and each run lasts this long. 0: it limits the requests per
   // second of a tenant.
--- a/tests/cluster/fleet.hpp
+++ b/tests/cluster/fleet.hpp
@@ -161,7 +161,7 @@
   bool sees_zone(int i, int zone, bool out) const {
     return zones_seen_by(i).find(zone_line(zone, out)) != std::string::npos;
   }
-  // Waits until every member in `observers` shows the zone as out or in, according to `out`.
+  // Waits until every member in `observers` shows the zone as out, or as in if `out` is false.
   void wait_for_zone(const std::vector<int>& observers, int zone, bool out) const {
     for (const int i : observers) wait_until([&] { return sees_zone(i, zone, out); }, i);
   }
@@ -186,8 +186,8 @@
       ++alive;
     return alive;
   }
-  // The sum of the decisions to take a zone out that these members counted. Uses statistics, because the
-  // number of log lines per second is limited.
+  // Returns how many decisions to take a zone out these members have counted in total. Uses statistics,
+  // because the number of log lines per second is limited.
   long declared_out(const std::vector<int>& members) const {
     long total = 0;
     for (const int i : members) total += statistic(console(i), "fleet.declared_out");
--- a/tests/cluster/relay.hpp
+++ b/tests/cluster/relay.hpp
@@ -3,7 +3,7 @@
 //
 // Faults: links cut in one or both directions (between nodes or zones), a fraction of datagrams lost, a
 // fraction duplicated, and a random delay of each datagram, which also reorders them. The random numbers
-// depend on the seed only; the owner should print the seed. The relay runs a thread of its own until it is
+// depend on the seed only, so the owner should print it. The relay runs a thread of its own until it is
 // destroyed. Its functions may be called from any thread.
 #pragma once
 
