--- a/tests/failover/locality_test.cpp
+++ b/tests/failover/locality_test.cpp
@@ -1,5 +1,5 @@
 // Locality-aware load balancing (ctest -L failover). Guards against calls leaving the caller's zone without
-// need, and against overloading the able endpoints of a level that has lost most of its endpoints.
+// need, and against overloading the available endpoints of a level that has lost most of its endpoints.
 #include "failover/locality.hpp"
 
 #include <rapidcheck.h>
@@ -15,7 +15,7 @@
 
 namespace {
 
-// `total` endpoints in each level, of which `able` can accept calls.
+// `total` endpoints in each level, of which `able` are available (can accept calls).
 std::vector<endpoint_state> endpoints_of(std::array<int, 3> total, std::array<int, 3> able) {
   std::vector<endpoint_state> endpoints;
   for (std::size_t l = 0; l < 3; ++l)
@@ -36,24 +36,26 @@
 }
 
 void shares_follow_able_endpoints() {
-  // All endpoints are able: all calls stay in the zone.
+  // All endpoints are available: all calls stay in the zone.
   CHECK(near(shares_of(endpoints_of({3, 3, 3}, {3, 3, 3})).share[0], 1));
-  // Three of four endpoints able: 1.4 * 3/4 > 1, so all calls stay in the zone. Two of three: 1.4 * 2/3 of
-  // the calls stay in the zone.
+  // With three of four endpoints available, 1.4 * 3/4 > 1, so all calls stay in the zone. With two of three
+  // available, 1.4 * 2/3 of the calls stay in the zone.
   CHECK(near(shares_of(endpoints_of({4, 3, 3}, {3, 3, 3})).share[0], 1));
   CHECK(near(shares_of(endpoints_of({3, 3, 3}, {2, 3, 3})).share[0], 1.4 * 2 / 3));
-  // One of two endpoints able: 0.7 of the calls stay in the zone, 0.3 go to the region.
+  // With one of two endpoints available, 0.7 of the calls stay in the zone and 0.3 go to the region.
   const level_shares half = shares_of(endpoints_of({2, 3, 3}, {1, 3, 3}));
   CHECK(near(half.share[0], 0.7) && near(half.share[1], 0.3) && near(half.share[2], 0) && !half.panic);
-  // No endpoint of the zone is able: the region gets all calls.
+  // No endpoint of the zone is available: the region gets all calls.
   CHECK(near(shares_of(endpoints_of({3, 3, 3}, {0, 3, 3})).share[1], 1));
-  // No endpoint of the zone or the region is able, all others are: the rest covers all calls, so there is no
-  // panic although 6 of 9 endpoints are unable.
+  // No endpoint of the zone or the region is available, but all others are: the remaining level covers all
+  // calls, so there is no panic although 6 of 9 endpoints are unavailable.
   CHECK(near(shares_of(endpoints_of({3, 3, 3}, {0, 0, 3})).share[2], 1));
-  // The levels do not cover all calls, and less than half of all endpoints are able: panic, equal shares.
+  // The levels do not cover all calls, and less than half of all endpoints are available: in panic mode all
+  // endpoints get equal shares.
   const level_shares panic = shares_of(endpoints_of({3, 3, 3}, {0, 0, 2}));
   CHECK(panic.panic && near(panic.share[0], 1.0 / 3));
-  // A zone that is cut off observes its own endpoints as able and all others as unable: its calls stay in it.
+  // A zone that is cut off observes its own endpoints as available and all others as unavailable: its calls
+  // stay in the zone.
   const level_shares cut = shares_of(endpoints_of({3, 3, 3}, {3, 0, 0}));
   CHECK(!cut.panic && near(cut.share[0], 1));
   CHECK(shares_of({}).share == (std::array<double, 3>{}));
--- a/tests/failover/zone_view_test.cpp
+++ b/tests/failover/zone_view_test.cpp
@@ -280,8 +280,8 @@
   CHECK(view.observe(3s, "z1", zone_observation::down));  // z2 was last silent one lease ago
 }
 
-// Rejected are votes of an unconfigured voter, on the voter's own zone, and with a value that does not match
-// the parity of the epoch.
+// A vote is rejected if the voter is not configured, if it concerns the voter's own zone, or if its value
+// does not match the parity of the epoch.
 void rejected_votes() {
   zone_view view({{"a", "z0"}, {"b", "z1"}, {"c", "z2"}}, "a", {.hold_down = 1s});
   CHECK(!view.receive(0s, vote{"x", "z1", 1, true, 1}));
@@ -289,7 +289,7 @@
   CHECK(!view.receive(0s, vote{"c", "z1", 1, false, 1}));
   CHECK(view.rejected_votes() == 3);
   CHECK(!view.receive(0s, vote{"c", "z1", 1, true, 1}));  // one of the two other zones: no quorum yet
-  CHECK(view.observe(0s, "z1", zone_observation::down));  // the own vote adds the second zone
+  CHECK(view.observe(0s, "z1", zone_observation::down));  // this member's own vote adds the second zone
   CHECK(view.decision("z1").out && view.decision("z1").epoch == 1);
   CHECK(!view.receive(0s, vote{"c", "z1", 1, true, 2}));  // epoch 1 is already decided
 }
@@ -308,7 +308,7 @@
   CHECK(observe_zone(std::vector{dead, member_observation{member_state::suspect, 500ms}}, rules) ==
         zone_observation::uncertain);
   CHECK(observe_zone(std::vector{dead, member_observation{member_state::dead, 500ms}}, rules) ==
-        zone_observation::uncertain);  // dead only according to other members
+        zone_observation::uncertain);  // the members are dead only according to others
   CHECK(observe_zone(std::vector{dead, unknown}, rules) == zone_observation::down);
   CHECK(observe_zone(std::vector{dead, unknown},
                      {.since_start = 4s, .start_grace = 5s, .contact_window = 1s}) ==
