--- a/tests/membership/swim_test.cpp
+++ b/tests/membership/swim_test.cpp
@@ -72,7 +72,7 @@
         "z2");
 }
 
-// A member that is cut off must be declared dead by all other members, and no other member may be.
+// A member that is cut off must be declared dead by all other members. No other member may be declared dead.
 void cut_off_member_is_declared_dead(std::uint64_t seed) {
   simulated_cluster cluster(seed);
   cluster.run(10s);
