--- a/tests/upstream/endpoint_set_test.cpp
+++ b/tests/upstream/endpoint_set_test.cpp
@@ -137,9 +137,10 @@
   const std::array<duration, 3> equal{200us, 200us, 200us};
   for (const int calls : make_calls(60, equal)) CHECK(calls > 5);
   make_calls(1, {50ms, 50ms, 50ms});  // one slow call at one of the endpoints
-  make_calls(6000, equal);            // 7 s
+  make_calls(6000, equal);            // these calls take 7 s
   for (const int calls : make_calls(600, equal)) CHECK(calls > 60);
-  // 12 s; the slow endpoint is due for a call about once per 1500 ms (three times the fade of 500 ms).
+  // These calls take 12 s; the slow endpoint is due for a call about once per 1500 ms (three times the fade
+  // of 500 ms).
   const auto slow = make_calls(10'000, {1600us, 200us, 200us});
   CHECK(slow[0] >= 4 && slow[0] < 40);
   for (const int calls : make_calls(6000, equal)) CHECK(calls > 600);  // endpoint 0 is fast again
--- a/tests/upstream/rules_test.cpp
+++ b/tests/upstream/rules_test.cpp
@@ -102,8 +102,8 @@
 }
 
 // Guards against more calls in flight than allowed (transactions and fan-out together: the quota share;
-// transactions alone: the limit of the participant), against transactions with only some of their calls, and
-// against calls that cannot be acquired again after their release.
+// transactions alone: the limit of the participant), against transactions that get only some of their calls,
+// and against calls that cannot be acquired again after their release.
 void transaction_calls_stay_within_limits() {
   CHECK(rc::check("transactions acquire all of their calls or none, within the limits", [] {
     const std::size_t count = 3;
