--- a/tests/fan_out/library_test.cpp
+++ b/tests/fan_out/library_test.cpp
@@ -1,5 +1,5 @@
-// Tests of fan-out as a library (marblewharf/gathering.hpp): calls are functions of the embedder, decisions
-// are made by the daemon's state machine.
+// Tests of fan-out as a library (marblewharf/gathering.hpp): the embedder supplies the calls as functions,
+// and the state machine of the daemon makes the decisions.
 #include <map>
 #include <thread>
 
--- a/tests/fan_out/state_machine_test.cpp
+++ b/tests/fan_out/state_machine_test.cpp
@@ -133,7 +133,7 @@
     max_in_flight = std::max(max_in_flight, sim.machine.in_flight(1));
   }
   CHECK(max_in_flight == 3 &&
-        sim.machine.in_flight(0) > 3);  // rounded down to whole calls, and only at that dependency
+        sim.machine.in_flight(0) > 3);  // the share is rounded down and limits only that dependency
   sim.run_until(sim.now + 5s);
   sim.machine.set_share(1, 0.5);
   sim.begin(100, 2900ms);
