--- a/tests/transaction/state_machine_test.cpp
+++ b/tests/transaction/state_machine_test.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 // A correct participant that identifies the transaction by its id: repeated requests have no effect, and a
-// prepare that arrives after the abort gets a no.
+// prepare that arrives after the abort is answered with a no vote.
 struct simulated_participant {
   participant_kind kind{};
   enum class state { none, prepared, committed, aborted } current = state::none;
