--- a/tests/admission_policy/dependency_call_admission_test.cpp
+++ b/tests/admission_policy/dependency_call_admission_test.cpp
@@ -108,7 +108,7 @@
   request run = run_with_deadline(1s);
   EXPECT_EQ(calls.expected_calls(run), 1);
   calls.note_run_end(0, 9);
-  EXPECT_EQ(calls.expected_calls(run), 2);  // moves from 1 to 9 by one eighth
+  EXPECT_EQ(calls.expected_calls(run), 2);  // the estimate moves by one eighth of the way from 1 to 9
   run.calls_made = 3;
   EXPECT_EQ(calls.expected_calls(run), 0);
 }
--- a/tests/admission_policy/policy_test.cpp
+++ b/tests/admission_policy/policy_test.cpp
@@ -96,9 +96,9 @@
   EXPECT_EQ(harness.ids_of<start>(), id_list{4});
 }
 
-// Six requests at once against a burst of 4 leave the tokens at -2. Two seconds at a rate of 1 add two
-// tokens, which is still less than one token. The next request therefore exceeds the curve although it starts
-// now, and the one after it starts one interval later.
+// Six requests at once against a burst of 4 leave the tokens at -2. Two seconds at a rate of 1 raise them to
+// 0, which is still less than one token. The next request therefore exceeds the curve although it starts now,
+// and the one after it starts one interval later.
 TEST(Tags, TokensMayGoNegative) {
   settings policy_settings = plain_settings();
   policy_settings.classes[0].latency_objective = 4s;
@@ -113,7 +113,7 @@
   harness.send_at(2s, {make_arrival(10), make_arrival(11, 0), make_arrival(12, 0), make_arrival(13, 1)});
   EXPECT_EQ(harness.ids_of<start>(), id_list{10});
   harness.send_at(2010ms, {successful_completion(10)});
-  EXPECT_EQ(harness.ids_of<start>(), id_list{13});  // request 10 used MaxS, so 11 starts at 3 s
+  EXPECT_EQ(harness.ids_of<start>(), id_list{13});  // request 10 used MaxS, so 11 gets start tag 3 s
 }
 
 // Tenant 0 exceeds its curve on spare capacity, so its tags are in the future. At its next arrival the tags
@@ -173,7 +173,7 @@
   policy_settings.classes[0].deadline = 60s;
   policy_harness harness(policy_settings);
   harness.send({make_arrival(1), make_arrival(2), make_arrival(3), make_arrival(4)});
-  for (int i = 1; i <= 2; ++i) {  // the gauge does not yet cover the time since work waits
+  for (int i = 1; i <= 2; ++i) {  // the gauge does not yet cover the time since work began to wait
     harness.send_at(i * 100ms, {timer_with_cpu_busy(0.5)});
     EXPECT_TRUE(harness.ids_of<start>().empty());
   }
--- a/tests/admission_policy/rules_test.cpp
+++ b/tests/admission_policy/rules_test.cpp
@@ -1,6 +1,7 @@
-// Guards the promises of the policy under random but valid events: one answer per request and in time, no
-// duplicate runs, memory, runs and calls within their limits, and a clean shutdown. The simulated host checks
-// every action against its own view of the requests. Seeds are fixed, and decisions are not scored.
+// Checks the guarantees of the policy under random but valid events: each request gets one answer in time, no
+// run is duplicated, memory, runs and calls stay within their limits, and the shutdown is clean. The
+// simulated host checks every action against its own view of the requests. Seeds are fixed. The quality of
+// the decisions is not rated.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -119,7 +120,8 @@
         created.first_attempt = original->first;
       }
     }
-    // Or an attempt that arrived before its first attempt was read, so that no key links the two.
+    // Otherwise, sometimes makes the attempt a retry that arrived before its first attempt was read, so that
+    // no key links the two.
     if (its_class.effect == request_effect::keyed && attempt.duplicate_of == 0 && below(3) == 0) {
       for (const auto& [first_id, original] : retained_keys_) {
         const time_point arrived = now_ - attempt.read_delay;
@@ -189,7 +191,7 @@
     }
     for (const request_id id : ended_ids) requests_.erase(id);
     if (below(100) == 0)
-      batch.emplace_back(completion{last_id_ + 7, outcome::ok, 1ms});  // of an unknown request
+      batch.emplace_back(completion{last_id_ + 7, outcome::ok, 1ms});  // for an unknown request
     if (below(100) == 0) batch.emplace_back(call_ended{last_id_ + 7, outcome::ok, 1ms});
     for (auto key = retained_keys_.begin(); key != retained_keys_.end();)
       key = key->second.expiry <= now_ ? retained_keys_.erase(key) : std::next(key);
