--- a/tests/peers/frail.hpp
+++ b/tests/peers/frail.hpp
@@ -29,7 +29,8 @@
     if (good() && ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(bytes.size()))
       close();
   }
-  // Appends the bytes that arrive to `in`. False if the connection has ended or nothing arrives in time.
+  // Appends the bytes that arrive to `in`. Returns false if the connection has ended or nothing arrives in
+  // time.
   bool more(std::string& in, int timeout_ms = harness::patience_ms) {
     pollfd p{fd_, POLLIN, 0};
     char chunk[4096];
--- a/tests/peers/uwsgi_server.hpp
+++ b/tests/peers/uwsgi_server.hpp
@@ -28,7 +28,7 @@
   error,    // 500
   refuse,   // 409
   reset,    // closes the connection without a response
-  half,     // sends half of the response, then closes
+  half,     // sends half of the response, then closes the connection
   hang,     // sends the first byte, then nothing
   garbage,  // sends bytes that are not HTTP
   huge,     // sends a large body without Content-Length
@@ -75,12 +75,12 @@
     bool answered = false;
   };
 
-  // The 16-bit little-endian number at `offset`.
+  // Reads the 16-bit little-endian number at `offset`.
   static std::size_t le16(const std::string& bytes, std::size_t offset) {
     return static_cast<std::uint8_t>(bytes[offset]) |
            static_cast<std::size_t>(static_cast<std::uint8_t>(bytes[offset + 1])) << 8;
   }
-  // The request, once it has arrived completely.
+  // Decodes the request; returns nothing until it has arrived completely.
   static std::optional<uwsgi_request> parse_request(const std::string& in) {
     if (in.size() < 4 || in.size() < 4 + le16(in, 1)) return std::nullopt;
     uwsgi_request r;
