--- a/tests/net/keyed_test.cpp
+++ b/tests/net/keyed_test.cpp
@@ -249,14 +249,14 @@
   CHECK(s.fake_runtime->expect("start") == label(5));
   // The uwsgi front answers an unknown outcome with status 409 and a header.
   connection u = s.uwsgi(uwsgi_write("u1"));
-  s.server.accept().take(10);  // then closes the connection
+  s.server.accept().take(10);  // the server closes the connection
   CHECK(starts_with(u.rest(), "HTTP/1.1 409 "));
   CHECK(s.uwsgi(uwsgi_write("u1")).rest().find("Outcome: unknown") != std::string::npos);
   CHECK(!s.server.waiting(50));
 }
 
-// A nack of the runtime proves that a request never ran: its key is released and a later request may run,
-// also after a crash.
+// A nack of the runtime proves that a request never ran: its key is released, and a later request with the
+// key may run. Both hold after a crash, too.
 void released_key_may_run() {
   site s;
   connection c = s.thrift();
@@ -268,7 +268,7 @@
   CHECK(s.fake_runtime->expect("start") == label(2));
   s.fake_runtime->end(label(2), "fine", "cQ==");
   CHECK(result(read_reply(c)) == "q");
-  // The outcome of the released key is not unknown after a crash either.
+  // After a crash, the released key must not have an unknown outcome.
   c.send(write_of(3, 3, "k3"));
   s.fake_runtime->send("{\"msg\":\"nack\",\"how\":\"start\",\"call\":\"" + s.fake_runtime->expect("start") +
                        "\"}");
--- a/tests/net/middleware_test.cpp
+++ b/tests/net/middleware_test.cpp
@@ -1,5 +1,5 @@
-// Tests the middleware with the example server as a process. Guards against a gate that runs more than the
-// server can serve, answers wrongly under overload, or runs a keyed request twice.
+// Tests the middleware with the example server as a process. Guards against middleware that runs more
+// requests than the server can serve, gives wrong answers under overload, or runs a keyed request twice.
 #include <filesystem>
 #include <map>
 #include <mutex>
@@ -99,11 +99,11 @@
         responses_by_status["200"] + responses_by_status["503"] + responses_by_status["504"] ==
             callers_count);
   CHECK(with_retry_after == responses_by_status["503"]);
-  CHECK(server.get("/kurs").find("101.42") != std::string::npos);  // serves again after the overload
+  CHECK(server.get("/kurs").find("101.42") != std::string::npos);  // is served again after the overload
 }
 
-// A duplicate gets the stored response and its handler does not run: after the first response, concurrently
-// with the first request, and after the server was killed and restarted.
+// A duplicate gets the stored response and its handler does not run. The duplicate arrives after the first
+// response, concurrently with the first request, or after the server was killed and restarted.
 void stores_keyed_responses() {
   char name[] = "/tmp/marblewharf-middleware-XXXXXX";
   CHECK(::mkdtemp(name) != nullptr);
