--- a/tests/store/tables_test.cpp
+++ b/tests/store/tables_test.cpp
@@ -388,7 +388,7 @@
       while (!t.commit(b, durability::lazily, second).may) CHECK(t.clean_step(second));
     };
     for (int i = 0; i < 200; ++i) write("cold" + std::to_string(i));
-    double excess = 0;  // segments above the amplification bound
+    double excess = 0;  // number of segments above the amplification bound
     for (int i = 0; i < 30000; ++i) {
       write("hot" + std::to_string(random() % 40));
       t.clean_step(second);
