--- a/tests/failover/zone_view_test.cpp
+++ b/tests/failover/zone_view_test.cpp
@@ -308,7 +308,7 @@
   CHECK(observe_zone(std::vector{dead, member_observation{member_state::suspect, 500ms}}, rules) ==
         zone_observation::uncertain);
   CHECK(observe_zone(std::vector{dead, member_observation{member_state::dead, 500ms}}, rules) ==
-        zone_observation::uncertain);  // the second one has just answered this member
+        zone_observation::uncertain);  // the second one is dead by gossip only: it has just answered
   CHECK(observe_zone(std::vector{dead, unknown}, rules) == zone_observation::down);
   CHECK(observe_zone(std::vector{dead, unknown},
                      {.since_start = 4s, .start_grace = 5s, .contact_window = 1s}) ==
--- a/tests/net/middleware_test.cpp
+++ b/tests/net/middleware_test.cpp
@@ -99,7 +99,7 @@
         responses_by_status["200"] + responses_by_status["503"] + responses_by_status["504"] ==
             callers_count);
   CHECK(with_retry_after == responses_by_status["503"]);
-  CHECK(server.get("/kurs").find("101.42") != std::string::npos);  // is served again after the overload
+  CHECK(server.get("/kurs").find("101.42") != std::string::npos);  // served again after the overload
 }
 
 // A duplicate gets the stored response and its handler does not run. The duplicate arrives after the first
--- a/tests/store/tables_test.cpp
+++ b/tests/store/tables_test.cpp
@@ -402,8 +402,8 @@
     std::printf(
         "amplification %.1f: %.2f bytes written to disk per byte, bound %.2f; %.1f segments over the limit\n",
         amplification_bound, write_cost, amplification_bound / (amplification_bound - 1), excess);
-    CHECK(excess <= 7);  // those at which cleaning starts, the open one, the spare, and one more that copies
-                         // are written to
+    CHECK(excess <= 7);  // the segments above the bound at which cleaning starts, the open one, the spare,
+                         // and one more that copies are written to
     CHECK(write_cost <= amplification_bound / (amplification_bound - 1) * 1.1);
     CHECK(f.keys == 240);
   }
