--- a/tests/net/keyed_test.cpp
+++ b/tests/net/keyed_test.cpp
@@ -249,14 +249,14 @@
   CHECK(s.fake_runtime->expect("start") == label(5));
   // The uwsgi front answers an unknown outcome with status 409 and a header.
   connection u = s.uwsgi(uwsgi_write("u1"));
-  s.server.accept().take(10);  // then closes the connection
+  s.server.accept().take(10);  // the server closes the connection
   CHECK(starts_with(u.rest(), "HTTP/1.1 409 "));
   CHECK(s.uwsgi(uwsgi_write("u1")).rest().find("Outcome: unknown") != std::string::npos);
   CHECK(!s.server.waiting(50));
 }
 
-// A nack of the runtime proves that a request never ran: its key is released and a later request may run,
-// also after a crash.
+// A nack of the runtime proves that a request never ran: its key is released, and a later request with the
+// key may run. Both hold after a crash, too.
 void released_key_may_run() {
   site s;
   connection c = s.thrift();
@@ -268,7 +268,7 @@
   CHECK(s.fake_runtime->expect("start") == label(2));
   s.fake_runtime->end(label(2), "fine", "cQ==");
   CHECK(result(read_reply(c)) == "q");
-  // The outcome of the released key is not unknown after a crash either.
+  // After a crash, the released key must not have an unknown outcome.
   c.send(write_of(3, 3, "k3"));
   s.fake_runtime->send("{\"msg\":\"nack\",\"how\":\"start\",\"call\":\"" + s.fake_runtime->expect("start") +
                        "\"}");
@@ -343,7 +343,7 @@
   s.fake_runtime->end(call, "fine", "cQ==");  // the node did not stop the run
   c.send(write_of(2, 2, "k1"));
   CHECK(result(read_reply(c)) == "q");
-  // A duplicate whose deadline passes while it waits for its primary is failed, never refused.
+  // A duplicate whose deadline passes while it waits for its primary is answered `failed`, never `refused`.
   c.send(write_of(3, 3, "k2"));
   s.fake_runtime->expect("start");
   c.send(write_of(4, 4, "k2"));
@@ -518,7 +518,7 @@
     o.operators.replace(o.operators.find(first_port), first_port.size(), std::to_string(free_port()));
     node second(other, o);
     other.up();
-    // The second node serves, but leaves the folder alone: it refuses keyed requests without running them
+    // The second node serves, but does not open the folder: it refuses keyed requests without running them
     // until the first node releases the folder.
     second.logged(
         "another process holds this folder; keyed requests are rejected until the folder is released");
