--- a/tests/net/dependencies_test.cpp
+++ b/tests/net/dependencies_test.cpp
@@ -240,14 +240,15 @@
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {{"gathers", fan_out_assembles_the_parts},
-                                                   {"stalls", stalled_dependency_gives_a_partial_response},
-                                                   {"another", next_attempt_goes_to_another_endpoint},
-                                                   {"falls_back", fallbacks_are_tried_in_order},
-                                                   {"required", missing_required_part_fails_the_request},
-                                                   {"comes_back", recovered_endpoints_are_used_again},
-                                                   {"leaves", client_disconnect_and_shutdown_during_fan_out},
-                                                   {"plans", unusable_plans_stop_the_start}};
+  const std::map<std::string, void (*)()> tests = {
+      {"assembles_parts", fan_out_assembles_the_parts},
+      {"stalled_dependency", stalled_dependency_gives_a_partial_response},
+      {"next_endpoint", next_attempt_goes_to_another_endpoint},
+      {"fallbacks", fallbacks_are_tried_in_order},
+      {"required_part", missing_required_part_fails_the_request},
+      {"recovered_endpoints", recovered_endpoints_are_used_again},
+      {"disconnect_and_shutdown", client_disconnect_and_shutdown_during_fan_out},
+      {"plans", unusable_plans_stop_the_start}};
   tests.at(argv[1])();
   return 0;
 }
--- a/tests/net/fleet_test.cpp
+++ b/tests/net/fleet_test.cpp
@@ -283,11 +283,11 @@
     two_partitions_heal_at_once();
   else if (name == "lossy")
     lossy_network();
-  else if (name == "replaced")
+  else if (name == "zone_hot_restarted")
     zone_hot_restarted();
-  else if (name == "near")
+  else if (name == "nearest_locality")
     calls_prefer_the_nearest_locality();
-  else if (name == "cut_off_serves")
+  else if (name == "partitioned_zone_serves")
     partitioned_zone_keeps_serving();
   else
     CHECK(false);
--- a/tests/net/keyed_test.cpp
+++ b/tests/net/keyed_test.cpp
@@ -150,7 +150,7 @@
 
 // A run continues when the client of its primary disconnects: waiting duplicates and later ones get the
 // result.
-void cancelled_primary_runs_on_for_duplicates() {
+void run_continues_after_client_disconnect() {
   site s;
   std::optional<connection> c = s.thrift();
   connection d = s.thrift();
@@ -257,7 +257,7 @@
 
 // A nack of the runtime proves that a request never ran: its key is released and a later request may run,
 // also after a crash.
-void released_key_may_run() {
+void released_key_can_run_again() {
   site s;
   connection c = s.thrift();
   c.send(write_of(1, 1, "k1"));
@@ -284,7 +284,7 @@
 
 // A failure that the backend reports is a stored outcome: a duplicate gets the same failure and starts no
 // run.
-void stated_failure_is_stored() {
+void reported_failure_is_stored() {
   site s;
   connection c = s.thrift();
   c.send(write_of(1, 1, "k1"));
@@ -330,7 +330,7 @@
 
 // A keyed run continues past its deadline: the primary is answered with a failure, a later duplicate with the
 // result.
-void run_goes_on_past_its_deadline() {
+void run_continues_past_its_deadline() {
   node_options o;
   o.aim_ms = 300;
   o.write_aim_ms = 300;
@@ -595,22 +595,23 @@
 }  // namespace
 
 int main(int, char** argv) {
-  const std::map<std::string, void (*)()> tests = {{"repeats", duplicates_get_the_stored_result},
-                                                   {"joins", duplicates_are_coalesced},
-                                                   {"leaves", cancelled_primary_runs_on_for_duplicates},
-                                                   {"scope", keys_are_scoped},
-                                                   {"bad_keys", unusable_keys_are_rejected},
-                                                   {"crash", crash_leaves_the_outcome_unknown},
-                                                   {"never_ran", released_key_may_run},
-                                                   {"failure", stated_failure_is_stored},
-                                                   {"refused", rejected_primary_frees_its_key},
-                                                   {"too_long", run_goes_on_past_its_deadline},
-                                                   {"full", full_folder_rejects_new_keys},
-                                                   {"drain", drain_answers_coalesced_duplicates},
-                                                   {"lost_link", lost_link_keeps_the_run},
-                                                   {"inquiry", inquiries_find_the_outcome},
-                                                   {"folders", locked_and_damaged_folders_are_reported},
-                                                   {"scrub", scrubbing_finds_a_changed_byte}};
+  const std::map<std::string, void (*)()> tests = {
+      {"stored_result", duplicates_get_the_stored_result},
+      {"coalescing", duplicates_are_coalesced},
+      {"client_disconnects", run_continues_after_client_disconnect},
+      {"key_scope", keys_are_scoped},
+      {"bad_keys", unusable_keys_are_rejected},
+      {"crash", crash_leaves_the_outcome_unknown},
+      {"released_key", released_key_can_run_again},
+      {"stored_failure", reported_failure_is_stored},
+      {"rejected_primary", rejected_primary_frees_its_key},
+      {"deadline", run_continues_past_its_deadline},
+      {"full_folder", full_folder_rejects_new_keys},
+      {"drain", drain_answers_coalesced_duplicates},
+      {"lost_link", lost_link_keeps_the_run},
+      {"inquiry", inquiries_find_the_outcome},
+      {"folders", locked_and_damaged_folders_are_reported},
+      {"scrub", scrubbing_finds_a_changed_byte}};
   tests.at(argv[1])();
   return 0;
 }
--- a/tests/net/ops_test.cpp
+++ b/tests/net/ops_test.cpp
@@ -443,8 +443,8 @@
 int main(int, char** argv) {
   const std::map<std::string, void (*)()> tests = {
       {"console", console_answers_each_command},
-      {"pieces", console_reads_commands_in_pieces},
-      {"crowd", idle_connections_do_not_block_the_console},
+      {"partial_commands", console_reads_commands_in_pieces},
+      {"idle_connections", idle_connections_do_not_block_the_console},
       {"successor", successor_accepts_new_connections},
       {"pending", pending_counts_unanswered_requests},
       {"old_mark", stale_ready_mark_is_no_successor},
--- a/tests/net/uwsgi_test.cpp
+++ b/tests/net/uwsgi_test.cpp
@@ -310,9 +310,9 @@
       {"failures", answers_failures_with_502},
       {"repeats", retries_only_safe_requests},
       {"overdue", overdue_request_gets_504_and_is_cancelled},
-      {"gone", disconnected_client_cancels_its_request},
+      {"client_disconnects", disconnected_client_cancels_its_request},
       {"bad_packets", invalid_packets_are_rejected},
-      {"silent", idle_connections_do_not_block_gateways},
+      {"idle_connections", idle_connections_do_not_block_gateways},
       {"refusals", rejections_are_503_with_retry_after},
       {"mixed_load", thrift_writes_meet_their_objective_under_uwsgi_overload},
   };
--- a/tests/net/writing_test.cpp
+++ b/tests/net/writing_test.cpp
@@ -285,7 +285,7 @@
   const std::map<std::string, void (*)()> tests = {{"open_for_long", open_transaction_survives_compaction},
                                                    {"outcomes_bounded", stored_outcomes_are_bounded},
                                                    {"folder_full", full_folder_rejects_writes},
-                                                   {"cleaned", compaction_bounds_the_folder},
+                                                   {"compaction", compaction_bounds_the_folder},
                                                    {"participant_full", participant_limit_rejects_writes},
                                                    {"endpoints_share", endpoints_share_transactions}};
   tests.at(argv[1])();
