--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -1,6 +1,7 @@
-// Measures the store of tables beside its own first form (segments without cleaning): writes and reads a
-// second, how long a commit takes while the store cleans and while it does not, starts, and what space and
-// cleaning cost under a skewed load. One table, one run; figures are ratios within it.
+// Compares the store of tables with a plain log of segments that is not cleaned: writes and reads per second
+// and commit latencies with and without concurrent cleaning. Also measures start times with and without a
+// checkpoint, and the space and write amplification under a skewed load. Ratios compare figures of the same
+// run.
 #include <algorithm>
 #include <atomic>
 #include <chrono>
@@ -23,7 +24,7 @@
 namespace {
 
 constexpr int in_flight = 64, value_size = 200;
-constexpr auto each = std::chrono::seconds(4);
+constexpr auto run_length = std::chrono::seconds(4);
 
 std::int64_t unix_now() {
   return std::chrono::system_clock::now().time_since_epoch() / std::chrono::nanoseconds(1);
@@ -32,47 +33,53 @@
   return std::chrono::duration<double>(clock_type::now() - t).count();
 }
 
-struct scratch {
-  scratch() {
-    char name[] = "marblewharf-store-bench-XXXXXX";  // in the working folder: /tmp may be memory
+struct scratch_folder {
+  scratch_folder() {
+    char name[] = "marblewharf-store-bench-XXXXXX";  // in the working folder, because /tmp may be in memory
     path = ::mkdtemp(name);
   }
-  ~scratch() { std::filesystem::remove_all(path); }
+  ~scratch_folder() { std::filesystem::remove_all(path); }
   std::string path;
 };
 
 struct load {
-  double a_second = 0, p50_ms = 0, p99_ms = 0, worst_ms = 0;
+  double per_second = 0, p50_ms = 0, p99_ms = 0, worst_ms = 0;
 };
 
-// Keeps so many requests open for a while. `ask` starts one, `collect` gives the tickets of those that ended.
-load drive(const std::function<bool(std::uint64_t)>& ask,
-           const std::function<void(std::vector<std::uint64_t>&)>& collect) {
+// Keeps `in_flight` requests in flight for `run_length`, then waits for the remaining ones. `start_request`
+// starts a request and returns false if the store did not accept it; `collect` appends the tickets of the
+// ended requests.
+load run_load(const std::function<bool(std::uint64_t)>& start_request,
+              const std::function<void(std::vector<std::uint64_t>&)>& collect) {
   std::map<std::uint64_t, clock_type::time_point> open;
-  std::vector<double> took;
+  std::vector<double> latencies_ms;
   const auto begin = clock_type::now();
   std::uint64_t ticket = 0;
   while (true) {
-    const bool over = clock_type::now() - begin > each;
-    while (!over && open.size() < in_flight && ask(ticket + 1)) open[++ticket] = clock_type::now();
+    const bool stopping = clock_type::now() - begin > run_length;
+    while (!stopping && open.size() < in_flight && start_request(ticket + 1))
+      open[++ticket] = clock_type::now();
     std::vector<std::uint64_t> ended;
     collect(ended);
-    for (const std::uint64_t t : ended) {
-      took.push_back(1000 * seconds_since(open[t]));
-      open.erase(t);
+    for (const std::uint64_t ended_ticket : ended) {
+      latencies_ms.push_back(1000 * seconds_since(open[ended_ticket]));
+      open.erase(ended_ticket);
     }
-    if (over && open.empty()) break;
+    if (stopping && open.empty()) break;
     if (ended.empty()) std::this_thread::sleep_for(std::chrono::microseconds(20));
   }
-  std::sort(took.begin(), took.end());
-  const auto at = [&](double q) {
-    return took.empty() ? 0 : took[static_cast<std::size_t>(q * static_cast<double>(took.size() - 1))];
+  std::sort(latencies_ms.begin(), latencies_ms.end());
+  const auto quantile_ms = [&](double quantile) {
+    return latencies_ms.empty() ? 0
+                                : latencies_ms[static_cast<std::size_t>(
+                                      quantile * static_cast<double>(latencies_ms.size() - 1))];
   };
-  return {static_cast<double>(took.size()) / seconds_since(begin), at(0.5), at(0.99), at(1)};
+  return {static_cast<double>(latencies_ms.size()) / seconds_since(begin), quantile_ms(0.5),
+          quantile_ms(0.99), quantile_ms(1)};
 }
 
-// Few keys take most writes: the key's number falls off as a Zipf law with exponent 1 does.
-struct skewed {
+// Draws key numbers from a Zipf distribution with exponent 1, so that a few keys get most of the writes.
+struct zipf_keys {
   std::size_t keys;
   std::mt19937_64 random{7};
   std::size_t operator()() {
@@ -81,171 +88,187 @@
   }
 };
 
-load first_form(const std::string& folder) {
+// Measures writes to a log of segments without cleaning.
+load measure_log(const std::string& folder) {
   posix_file_system fs;
-  auto l = std::make_unique<marblewharf::store::log>(
+  auto log = std::make_unique<marblewharf::store::log>(
       fs, log_options{folder, std::uint64_t{8} << 20, std::uint64_t{4} << 30, 7, {}},
       [](std::uint32_t, std::string_view) { return never; },
       [](std::uint32_t, std::string_view, const position&) {});
-  l->open(unix_now());
-  committer c(std::move(l), {}, unix_now, [] {});
-  skewed key{20'000};
-  return drive(
-      [&](std::uint64_t t) {
-        return c.write(t, {{1, "k" + std::to_string(key()) + std::string(value_size, 'v')}, never});
+  log->open(unix_now());
+  committer log_committer(std::move(log), {}, unix_now, [] {});
+  zipf_keys key{20'000};
+  return run_load(
+      [&](std::uint64_t ticket) {
+        return log_committer.write(ticket,
+                                   {{1, "k" + std::to_string(key()) + std::string(value_size, 'v')}, never});
       },
       [&](std::vector<std::uint64_t>& ended) {
-        std::vector<committer::done> out;
-        c.collect(out);
-        for (const auto& d : out) ended.push_back(d.ticket);
+        std::vector<committer::done> results;
+        log_committer.collect(results);
+        for (const auto& result : results) ended.push_back(result.ticket);
       });
 }
 
-tables_options options(const std::string& folder, double amplification = 2) {
-  tables_options o;
-  o.folder = folder;
-  o.disk = {std::uint64_t{8} << 20, std::uint64_t{4} << 30, amplification};
-  o.most_keys = 2'000'000;
-  o.salt = 7;
-  return o;
+tables_options make_options(const std::string& folder, double amplification = 2) {
+  tables_options options;
+  options.folder = folder;
+  options.disk = {std::uint64_t{8} << 20, std::uint64_t{4} << 30, amplification};
+  options.most_keys = 2'000'000;
+  options.salt = 7;
+  return options;
 }
 
-void collect(table_service& s, std::vector<std::uint64_t>& ended) {
-  std::vector<table_service::done> out;
-  s.collect(out);
-  for (const auto& d : out) ended.push_back(d.ticket);
+void collect(table_service& service, std::vector<std::uint64_t>& ended) {
+  std::vector<table_service::done> results;
+  service.collect(results);
+  for (const auto& result : results) ended.push_back(result.ticket);
 }
 
+// continuous: writes while slices of cleaning follow each other without a pause; paced: with 10 ms between
+// them. cleaned_*: number of segments cleaned during these writes.
 struct table_loads {
-  load writes, on_end, paced, reads;
-  std::uint64_t cleaned_on_end = 0, cleaned_paced = 0;
+  load writes, continuous, paced, reads;
+  std::uint64_t cleaned_continuous = 0, cleaned_paced = 0;
 };
-table_loads tables_form(const std::string& folder) {
+table_loads measure_tables(const std::string& folder) {
   posix_file_system fs;
-  table_service s(std::make_shared<posix_file_system>(), folder,
-                  std::make_unique<tables>(fs, options(folder, 1.5), unix_now()), {}, unix_now, [] {});
-  skewed key{20'000};
-  const auto write = [&](std::uint64_t t) {
-    batch b;
-    b.put("t", "k" + std::to_string(key()), std::string(value_size, 'v'));
-    return s.commit(t, std::move(b), durability::now);
+  table_service service(std::make_shared<posix_file_system>(), folder,
+                        std::make_unique<tables>(fs, make_options(folder, 1.5), unix_now()), {}, unix_now,
+                        [] {});
+  zipf_keys key{20'000};
+  const auto write = [&](std::uint64_t ticket) {
+    batch writes;
+    writes.put("t", "k" + std::to_string(key()), std::string(value_size, 'v'));
+    return service.commit(ticket, std::move(writes), durability::now);
   };
-  const auto ended = [&](std::vector<std::uint64_t>& e) { collect(s, e); };
+  const auto ended = [&](std::vector<std::uint64_t>& tickets) { collect(service, tickets); };
   table_loads out;
-  out.writes = drive(write, ended);
-  // What the loads leave is cleaned away beside the next: slice upon slice, then one every few milliseconds,
-  // as budgets allow.
-  const auto beside = [&](std::chrono::milliseconds pause, std::uint64_t& cleaned) {
-    std::atomic<bool> over = false;
-    const std::uint64_t before = s.show().cleaned;
-    std::thread slices([&] {
-      while (!over)
-        if (!s.step(table_service::work::clean).more || pause.count() > 0)
+  out.writes = run_load(write, ended);
+  // Measures writes while another thread cleans the segments that the writes leave behind. `pause` is the
+  // time between two slices of cleaning; budgets of a node lead to a pause of a few milliseconds.
+  const auto write_while_cleaning = [&](std::chrono::milliseconds pause, std::uint64_t& cleaned) {
+    std::atomic<bool> stopping = false;
+    const std::uint64_t cleaned_before = service.show().cleaned;
+    std::thread cleaner([&] {
+      while (!stopping)
+        if (!service.step(table_service::work::clean).more || pause.count() > 0)
           std::this_thread::sleep_for(std::max(pause, std::chrono::milliseconds(1)));
     });
-    const load l = drive(write, ended);
-    over = true;
-    slices.join();
-    cleaned = s.show().cleaned - before;
-    return l;
+    const load measured = run_load(write, ended);
+    stopping = true;
+    cleaner.join();
+    cleaned = service.show().cleaned - cleaned_before;
+    return measured;
   };
-  out.on_end = beside(std::chrono::milliseconds(0), out.cleaned_on_end);
-  out.paced = beside(std::chrono::milliseconds(10), out.cleaned_paced);
-  out.reads = drive([&](std::uint64_t t) { return s.get(t, "t", "k" + std::to_string(key())); }, ended);
+  out.continuous = write_while_cleaning(std::chrono::milliseconds(0), out.cleaned_continuous);
+  out.paced = write_while_cleaning(std::chrono::milliseconds(10), out.cleaned_paced);
+  out.reads = run_load(
+      [&](std::uint64_t ticket) { return service.get(ticket, "t", "k" + std::to_string(key())); }, ended);
   return out;
 }
 
-void starts(std::size_t keys) {
-  scratch here;
+// Measures the start of a store with `keys` keys without and with a checkpoint.
+void measure_starts(std::size_t keys) {
+  scratch_folder scratch_files;
   posix_file_system fs;
-  double plain = 0, with = 0;
-  std::uint64_t read = 0;
+  double log_seconds = 0, checkpoint_seconds = 0;
+  std::uint64_t records_read = 0;
   {
-    tables t(fs, options(here.path + "/s"), unix_now());
-    for (std::size_t i = 0; i < 2 * keys; ++i) {  // each twice
-      batch b;
-      b.put("t", "k" + std::to_string(i % keys), std::string(value_size, 'v'));
-      t.commit(b, durability::lazily, unix_now());
+    tables store(fs, make_options(scratch_files.path + "/s"), unix_now());
+    for (std::size_t i = 0; i < 2 * keys; ++i) {  // two writes per key
+      batch writes;
+      writes.put("t", "k" + std::to_string(i % keys), std::string(value_size, 'v'));
+      store.commit(writes, durability::lazily, unix_now());
     }
-    t.flush(unix_now());
+    store.flush(unix_now());
   }
   {
     const auto begin = clock_type::now();
-    tables t(fs, options(here.path + "/s"), unix_now());
-    plain = seconds_since(begin);
-    while (t.checkpoint_step(unix_now())) {
+    tables store(fs, make_options(scratch_files.path + "/s"), unix_now());
+    log_seconds = seconds_since(begin);
+    while (store.checkpoint_step(unix_now())) {
     }
   }
   {
     const auto begin = clock_type::now();
-    tables t(fs, options(here.path + "/s"), unix_now());
-    with = seconds_since(begin);
-    read = t.show().read;
+    tables store(fs, make_options(scratch_files.path + "/s"), unix_now());
+    checkpoint_seconds = seconds_since(begin);
+    records_read = store.show().replayed;
   }
-  std::printf("%9zu keys | log %7.3f s | checkpoint %7.3f s | ratio %.2f | records read behind it %llu\n",
-              keys, plain, with, with / plain, static_cast<unsigned long long>(read));
+  std::printf(
+      "%9zu keys | log %7.3f s | checkpoint %7.3f s | ratio %.2f | records read after the checkpoint %llu\n",
+      keys, log_seconds, checkpoint_seconds, checkpoint_seconds / log_seconds,
+      static_cast<unsigned long long>(records_read));
 }
 
-void amplification(double a) {
-  scratch here;
+// Writes a skewed load and cleans the store with the space amplification `target`. Prints the highest space
+// amplification, the write amplification and its expected value, target / (target - 1).
+void measure_amplification(double target) {
+  scratch_folder scratch_files;
   posix_file_system fs;
-  tables_options o = options(here.path + "/s", a);
-  o.disk.segment = std::uint64_t{1} << 20;
-  tables t(fs, o, unix_now());
-  skewed key{20'000};
-  double worst = 0;
+  tables_options options = make_options(scratch_files.path + "/s", target);
+  options.disk.segment = std::uint64_t{1} << 20;
+  tables store(fs, options, unix_now());
+  zipf_keys key{20'000};
+  double highest = 0;
   for (int i = 0; i < 400'000; ++i) {
-    batch b;
-    b.put("t", "k" + std::to_string(key()), std::string(value_size, 'v'));
-    if (!t.commit(b, durability::lazily, unix_now()).may) --i;
-    if (i % 64 == 0) t.clean_step(unix_now());
+    batch writes;
+    writes.put("t", "k" + std::to_string(key()), std::string(value_size, 'v'));
+    if (!store.commit(writes, durability::lazily, unix_now()).may) --i;
+    if (i % 64 == 0) store.clean_step(unix_now());
     if (i > 100'000 && i % 1000 == 0) {
-      const auto f = t.show();
-      worst = std::max(worst, static_cast<double>(f.disk.used) / static_cast<double>(f.disk.live));
+      const auto statistics = store.show();
+      highest = std::max(
+          highest, static_cast<double>(statistics.disk.used) / static_cast<double>(statistics.disk.live));
     }
   }
-  const auto f = t.show();
-  const auto segments = [&](double over) {
-    return over * static_cast<double>(f.disk.live) / static_cast<double>(o.disk.segment);
+  const auto statistics = store.show();
+  const auto segments = [&](double ratio) {
+    return ratio * static_cast<double>(statistics.disk.live) / static_cast<double>(options.disk.segment);
   };
   std::printf(
-      "amplification %.1f | most space over what counts %.2f (%.1f segments beyond it) | written for one "
-      "%.2f of %.2f\n",
-      a, worst, segments(worst - a),
-      static_cast<double>(f.written + f.copied) / static_cast<double>(f.written), a / (a - 1));
+      "space amplification %.1f | highest used / live space %.2f (%.1f segments above the target) | "
+      "write amplification %.2f, expected %.2f\n",
+      target, highest, segments(highest - target),
+      static_cast<double>(statistics.written + statistics.copied) / static_cast<double>(statistics.written),
+      target / (target - 1));
 }
 
 }  // namespace
 
 int main() {
-  load before;
-  table_loads now;
+  load log_load;
+  table_loads table_load;
   {
-    scratch here;
-    before = first_form(here.path + "/first");
+    scratch_folder scratch_files;
+    log_load = measure_log(scratch_files.path + "/first");
   }
   {
-    scratch here;
-    now = tables_form(here.path + "/tables");
+    scratch_folder scratch_files;
+    table_load = measure_tables(scratch_files.path + "/tables");
   }
-  std::printf("durable writes, %d in flight    | a second |  over |  p50 ms |  p99 ms | worst ms\n",
+  std::printf("durable writes, %d in flight    | per sec. | ratio |  p50 ms |  p99 ms | worst ms\n",
               in_flight);
-  const auto line = [&](const char* what, const load& l) {
-    std::printf("%-32s| %8.0f | %5.2f | %7.2f | %7.2f | %7.2f\n", what, l.a_second,
-                l.a_second / before.a_second, l.p50_ms, l.p99_ms, l.worst_ms);
+  const auto print_line = [&](const char* label, const load& measured) {
+    std::printf("%-32s| %8.0f | %5.2f | %7.2f | %7.2f | %7.2f\n", label, measured.per_second,
+                measured.per_second / log_load.per_second, measured.p50_ms, measured.p99_ms,
+                measured.worst_ms);
   };
-  line("segments, no cleaning", before);
-  line("tables", now.writes);
-  line("tables, cleaning on end", now.on_end);
-  line("tables, a slice each 10 ms", now.paced);
-  line("tables, reads", now.reads);
+  print_line("segments, no cleaning", log_load);
+  print_line("tables", table_load.writes);
+  print_line("tables, continuous cleaning", table_load.continuous);
+  print_line("tables, a slice every 10 ms", table_load.paced);
+  print_line("tables, reads", table_load.reads);
   std::printf(
-      "p99 of a commit over that without cleaning: on end %.2f (%llu segments cleaned), paced %.2f "
+      "p99 of commits / p99 without cleaning: continuous %.2f (%llu segments cleaned), paced %.2f "
       "(%llu)\n\n",
-      now.on_end.p99_ms / now.writes.p99_ms, static_cast<unsigned long long>(now.cleaned_on_end),
-      now.paced.p99_ms / now.writes.p99_ms, static_cast<unsigned long long>(now.cleaned_paced));
-  for (const std::size_t keys : {10'000, 100'000, 1'000'000}) starts(keys);
+      table_load.continuous.p99_ms / table_load.writes.p99_ms,
+      static_cast<unsigned long long>(table_load.cleaned_continuous),
+      table_load.paced.p99_ms / table_load.writes.p99_ms,
+      static_cast<unsigned long long>(table_load.cleaned_paced));
+  for (const std::size_t keys : {10'000, 100'000, 1'000'000}) measure_starts(keys);
   std::printf("\n");
-  for (const double a : {1.5, 2.0, 4.0}) amplification(a);
+  for (const double target : {1.5, 2.0, 4.0}) measure_amplification(target);
   return 0;
 }
