--- a/bench/dependencies_bench.cpp
+++ b/bench/dependencies_bench.cpp
@@ -1,6 +1,6 @@
-// Measures gathered answers with one of four dependencies slowed eightfold, beside a plain client with one
-// time-out for all and a fixed number of retries; and the node's own cost for 1, 4 and 16 dependencies. One
-// table, one run.
+// Measures fan-out over four dependencies while one of them is slowed eightfold. Compares the node with a
+// simple client that uses the same time-out for all dependencies and a fixed number of retries. Also measures
+// the processor time of the node for each request with 1, 4 and 16 dependencies.
 #include <algorithm>
 #include <atomic>
 #include <cstdio>
@@ -26,137 +26,151 @@
   return std::chrono::duration<double>(d).count();
 }
 
-// A dependency with as many slots: what comes beyond waits, as in a real one, so that load makes it slow.
-class slotted {
+// The service times of a dependency with a fixed number of slots. A request waits until a slot is free, so
+// that load increases the response times as in a real dependency.
+class slot_queue {
  public:
-  slotted(unsigned slots, std::chrono::microseconds each) : free_(slots), each_(each), random_(seed) {}
-  std::atomic<int> factor = 1;
+  slot_queue(unsigned slots, std::chrono::microseconds service_time)
+      : free_(slots), service_time_(service_time), random_(seed) {}
+  std::atomic<int> slowdown = 1;
   reaction operator()() {
     const std::lock_guard lock(guard_);
     const auto now = clock::now();
-    auto first = std::min_element(free_.begin(), free_.end());
-    const auto begin = std::max(*first, now);
+    auto slot = std::min_element(free_.begin(), free_.end());
+    const auto begin = std::max(*slot, now);
     const double spread = std::uniform_real_distribution<double>(0.7, 1.3)(random_);
-    *first = begin + std::chrono::microseconds(
-                         static_cast<long>(spread * factor * static_cast<double>(each_.count())));
-    return {std::chrono::duration_cast<std::chrono::microseconds>(*first - now), manner::whole, "101.42"};
+    *slot = begin + std::chrono::microseconds(
+                        static_cast<long>(spread * slowdown * static_cast<double>(service_time_.count())));
+    return {std::chrono::duration_cast<std::chrono::microseconds>(*slot - now), manner::whole, "101.42"};
   }
 
  private:
   std::mutex guard_;
   std::vector<clock::time_point> free_;
-  std::chrono::microseconds each_;
+  std::chrono::microseconds service_time_;
   std::mt19937 random_;
 };
 
-struct four {
-  four() {
+struct dependency_set {
+  dependency_set() {
     for (int d = 0; d < 4; ++d) {
       for (int e = 0; e < 2; ++e) {
-        slots.push_back(std::make_unique<slotted>(8, 10ms));
+        slots.push_back(std::make_unique<slot_queue>(8, 10ms));
         servers.push_back(std::make_unique<uwsgi_server>(
             [s = slots.back().get()](const uwsgi_request&) { return (*s)(); }));
       }
     }
   }
-  void slow(int factor) {
-    slots[4]->factor = factor;
-    slots[5]->factor = factor;
+  // Multiplies the service times of dependency 2 by `slowdown`.
+  void set_slowdown(int slowdown) {
+    slots[4]->slowdown = slowdown;
+    slots[5]->slowdown = slowdown;
   }
   int requests() const {
-    int n = 0;
-    for (const auto& s : servers) n += s->requests;
-    return n;
+    int total = 0;
+    for (const auto& server : servers) total += server->requests;
+    return total;
   }
-  std::vector<std::unique_ptr<slotted>> slots;
+  std::vector<std::unique_ptr<slot_queue>> slots;
   std::vector<std::unique_ptr<uwsgi_server>> servers;
 };
 
-struct figures {
-  int asked = 0, in_time = 0, healthy = 0, all = 0;
+struct load_result {
+  // healthy: fresh sub-responses of the dependencies that are not slowed; complete: requests with four fresh
+  // sub-responses; calls: dependency calls per sub-request; p50, p99: seconds.
+  int sent = 0, in_time = 0, healthy = 0, complete = 0;
   double p50 = 0, p99 = 0, calls = 0;
 };
 
-// Open load: `rate` a second for `length`, each answered by `ask`, which returns the fresh parts, by name.
-figures load(double rate, clock::duration length, const four& f, const std::function<std::string()>& ask) {
+// Sends `rate` requests per second for `length` on a fixed schedule (open loop). `ask` executes one request
+// and returns "x" followed by the digits of the dependencies with a fresh sub-response, or an empty string if
+// the request failed.
+load_result run_load(double rate, clock::duration length, const dependency_set& dependencies,
+                     const std::function<std::string()>& ask) {
   constexpr int workers = 192;
   std::atomic<int> next = 0;
   const int total = static_cast<int>(rate * seconds(length));
   const auto begin = clock::now();
-  const int before = f.requests();
+  const int calls_before = dependencies.requests();
   std::mutex guard;
-  figures r;
-  std::vector<double> took;
+  load_result result;
+  std::vector<double> latencies;
   std::vector<std::thread> threads;
   for (int w = 0; w < workers; ++w) {
     threads.emplace_back([&] {
-      for (int n; (n = next++) < total;) {
+      for (int number; (number = next++) < total;) {
         const auto due =
-            begin + std::chrono::duration_cast<clock::duration>(std::chrono::duration<double>(n / rate));
+            begin + std::chrono::duration_cast<clock::duration>(std::chrono::duration<double>(number / rate));
         std::this_thread::sleep_until(due);
         const std::string fresh = ask();
-        const double s = seconds(clock::now() - due);
+        const double latency = seconds(clock::now() - due);
         const std::lock_guard lock(guard);
-        ++r.asked;
-        r.in_time += !fresh.empty() && s <= 2.9;
-        for (const char d : {'0', '1', '3'}) r.healthy += fresh.find(d) != std::string::npos;
-        r.all += fresh.size() == 5;
-        took.push_back(s);
+        ++result.sent;
+        result.in_time += !fresh.empty() && latency <= 2.9;
+        for (const char dependency : {'0', '1', '3'})
+          result.healthy += fresh.find(dependency) != std::string::npos;
+        result.complete += fresh.size() == 5;
+        latencies.push_back(latency);
       }
     });
   }
-  for (std::thread& t : threads) t.join();
-  std::sort(took.begin(), took.end());
-  r.p50 = took[took.size() / 2];
-  r.p99 = took[took.size() * 99 / 100];
-  r.calls = static_cast<double>(f.requests() - before) / (4.0 * r.asked);
-  return r;
+  for (std::thread& thread : threads) thread.join();
+  std::sort(latencies.begin(), latencies.end());
+  result.p50 = latencies[latencies.size() / 2];
+  result.p99 = latencies[latencies.size() * 99 / 100];
+  result.calls = static_cast<double>(dependencies.requests() - calls_before) / (4.0 * result.sent);
+  return result;
 }
 
-std::string exchange(int port, const std::string& bytes, int ms) {
+// Sends `bytes` on a new connection and returns all bytes up to the end of the stream, or an empty string if
+// the connection fails or the time-out expires.
+std::string exchange(int port, const std::string& bytes, int timeout_ms) {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  const sockaddr_in a = address_of(port);
-  std::string in;
-  if (::connect(fd, reinterpret_cast<const sockaddr*>(&a), sizeof a) == 0 &&
+  const sockaddr_in address = address_of(port);
+  std::string received;
+  if (::connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0 &&
       ::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL) > 0) {
-    const auto until = clock::now() + std::chrono::milliseconds(ms);
+    const auto until = clock::now() + std::chrono::milliseconds(timeout_ms);
     while (true) {
-      const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until - clock::now()).count();
-      pollfd p{fd, POLLIN, 0};
+      const auto left_ms =
+          std::chrono::duration_cast<std::chrono::milliseconds>(until - clock::now()).count();
+      pollfd readable{fd, POLLIN, 0};
       char chunk[8192];
-      if (left <= 0 || ::poll(&p, 1, static_cast<int>(left)) <= 0) {
-        in.clear();
+      if (left_ms <= 0 || ::poll(&readable, 1, static_cast<int>(left_ms)) <= 0) {
+        received.clear();
         break;
       }
       const ssize_t n = ::recv(fd, chunk, sizeof chunk, 0);
       if (n <= 0) break;
-      in.append(chunk, static_cast<std::size_t>(n));
+      received.append(chunk, static_cast<std::size_t>(n));
     }
   }
   ::close(fd);
-  return in;
+  return received;
 }
 
-std::string bytes_of() {
+std::string request_packet() {
   return uwsgi_peer::packet(
       {{"PATH_INFO", "/kurs/liste"}, {"REMOTE_USER", "isar-invest"}, {"CONTENT_LENGTH", "0"}}, "");
 }
 
-// What a plain client does: all parts at once, one time-out, two retries.
-std::string plain(const four& f) {
+// Queries all dependencies in parallel as a simple client does: the same time-out for each attempt and two
+// retries. Returns the names of the fresh sub-responses as run_load() expects them.
+std::string request_directly(const dependency_set& dependencies) {
   std::atomic<unsigned> fresh = 0;
   std::vector<std::thread> parts;
   for (std::size_t d = 0; d < 4; ++d) {
     parts.emplace_back([&, d] {
       for (std::size_t attempt = 0; attempt < 3; ++attempt) {
-        if (exchange(f.servers[2 * d + attempt % 2]->port(), bytes_of(), 950).rfind("HTTP/1.1 200", 0) != 0)
+        if (exchange(dependencies.servers[2 * d + attempt % 2]->port(), request_packet(), 950)
+                .rfind("HTTP/1.1 200", 0) != 0)
           continue;
         fresh |= 1u << d;
         return;
       }
     });
   }
-  for (std::thread& t : parts) t.join();
+  for (std::thread& thread : parts) thread.join();
   std::string names = "x";
   for (unsigned d = 0; d < 4; ++d) {
     if ((fresh >> d & 1) != 0) names += static_cast<char>('0' + d);
@@ -164,71 +178,76 @@
   return names;
 }
 
-std::string operators(int uwsgi_port, const std::vector<std::vector<std::string>>& dependencies) {
+std::string operator_settings(int uwsgi_port, const std::vector<std::vector<std::string>>& dependencies) {
   std::string text = "uwsgi {\n listen = \"" + own_host() + ":" + std::to_string(uwsgi_port) +
                      "\"\n servers = {\"" + own_host() +
                      ":1\"}\n class_var = PATH_INFO\n tenant_var = REMOTE_USER\n}\n" +
                      "class kurs-abfrage {\n uwsgi_values = {\"/kurs/liste\"}\n}\n" +
                      "class kurs-meldung {\n uwsgi_values = {\"/kurs/meldung\"}\n}\n";
   for (std::size_t d = 0; d < dependencies.size(); ++d) {
-    std::string at;
-    for (const std::string& one : dependencies[d]) at += (at.empty() ? "\"" : ", \"") + one + "\"";
-    text += "dependency d" + std::to_string(d) + " {\n endpoints = {" + at + "}\n budget = 400ms\n}\npart p" +
-            std::to_string(d) + " {\n class = kurs-abfrage\n from = d" + std::to_string(d) + "\n}\n";
+    std::string endpoints;
+    for (const std::string& address : dependencies[d])
+      endpoints += (endpoints.empty() ? "\"" : ", \"") + address + "\"";
+    text += "dependency d" + std::to_string(d) + " {\n endpoints = {" + endpoints +
+            "}\n budget = 400ms\n}\npart p" + std::to_string(d) + " {\n class = kurs-abfrage\n from = d" +
+            std::to_string(d) + "\n}\n";
   }
   return text;
 }
 
-node_options options_of(const std::string& text) {
-  node_options o;
-  o.aim_ms = 2900;
-  o.cores = 512;
-  o.quota = o.other_quota = 1000000;
-  o.operators = text;
-  return o;
+node_options options_of(const std::string& operator_text) {
+  node_options options;
+  options.aim_ms = 2900;
+  options.cores = 512;
+  options.quota = options.other_quota = 1000000;
+  options.operators = operator_text;
+  return options;
 }
 
-std::string gathered(int port) {
-  const std::string a = exchange(port, bytes_of(), 10000);
-  std::string names = a.rfind("HTTP/1.1 200", 0) == 0 ? "x" : "";
+// Sends one fan-out request to the node. Returns "x" followed by the digits of the dependencies with a fresh
+// sub-response, or an empty string if the request failed.
+std::string request_fan_out(int port) {
+  const std::string response = exchange(port, request_packet(), 10000);
+  std::string names = response.rfind("HTTP/1.1 200", 0) == 0 ? "x" : "";
   for (int d = 0; d < 4; ++d) {
-    if (a.find("Part: p" + std::to_string(d) + "\r\nPart-State: fresh") != std::string::npos)
+    if (response.find("Part: p" + std::to_string(d) + "\r\nPart-State: fresh") != std::string::npos)
       names += std::to_string(d);
   }
   return names;
 }
 
-void print(const char* what, const figures& r, const figures& calm) {
-  std::printf("%-24s %6d %9.2f%% %9.1f%% %8.1f%% %8.3f %8.1f %8.1f\n", what, r.asked,
-              100.0 * r.in_time / r.asked,
-              100.0 * r.healthy / (3.0 * r.asked) / (calm.healthy / (3.0 * calm.asked)),
-              100.0 * r.all / r.asked, r.calls, r.p50 * 1e3, r.p99 * 1e3);
+void print_row(const char* label, const load_result& result, const load_result& baseline) {
+  std::printf("%-24s %6d %9.2f%% %9.1f%% %8.1f%% %8.3f %8.1f %8.1f\n", label, result.sent,
+              100.0 * result.in_time / result.sent,
+              100.0 * result.healthy / (3.0 * result.sent) / (baseline.healthy / (3.0 * baseline.sent)),
+              100.0 * result.complete / result.sent, result.calls, result.p50 * 1e3, result.p99 * 1e3);
   std::fflush(stdout);
 }
 
-void cost(std::size_t n) {
+// Measures the processor time of the node per fan-out request.
+void measure_cost(std::size_t dependencies) {
   std::vector<std::unique_ptr<uwsgi_server>> servers;
-  std::vector<std::vector<std::string>> at;
-  for (std::size_t d = 0; d < n; ++d) {
+  std::vector<std::vector<std::string>> endpoints;
+  for (std::size_t d = 0; d < dependencies; ++d) {
     servers.push_back(std::make_unique<uwsgi_server>([](const uwsgi_request&) { return reaction{}; }));
-    at.push_back({servers.back()->address()});
+    endpoints.push_back({servers.back()->address()});
   }
   runtime r;
   const int port = free_port();
-  node nd(r, options_of(operators(port, at)));
+  node price_node(r, options_of(operator_settings(port, endpoints)));
   r.up();
   constexpr int requests = 2000;
-  for (int i = 0; i < 200; ++i) CHECK(!gathered(port).empty());
-  const auto before = nd.used();
+  for (int i = 0; i < 200; ++i) CHECK(!request_fan_out(port).empty());
+  const auto used_before = price_node.used();
   std::vector<std::thread> callers;
   for (int c = 0; c < 8; ++c) {
     callers.emplace_back([&] {
-      for (int i = 0; i < requests / 8; ++i) CHECK(!gathered(port).empty());
+      for (int i = 0; i < requests / 8; ++i) CHECK(!request_fan_out(port).empty());
     });
   }
-  for (std::thread& t : callers) t.join();
-  std::printf("%zu dependencies: %.0f us of the node's processor for a request\n", n,
-              static_cast<double>((nd.used() - before).count()) * 1e3 / requests);
+  for (std::thread& thread : callers) thread.join();
+  std::printf("%zu dependencies: %.0f us of node processor time per request\n", dependencies,
+              static_cast<double>((price_node.used() - used_before).count()) * 1e3 / requests);
   std::fflush(stdout);
 }
 
@@ -237,35 +256,38 @@
 int main(int argc, char** argv) {
   const double rate = argc > 1 ? std::atof(argv[1]) : 300;
   std::printf(
-      "seed %u; %g requests a second, four dependencies with two endpoints of 8 slots and 10 ms each\n", seed,
-      rate);
-  four f;
-  std::vector<std::vector<std::string>> at(4);
-  for (std::size_t i = 0; i < 8; ++i) at[i / 2].push_back(f.servers[i]->address());
-  std::printf("%-24s %6s %10s %10s %9s %8s %8s %8s\n", "", "asked", "in 2.9 s", "healthy", "complete",
-              "calls", "p50 ms", "p99 ms");
+      "seed %u; %g requests per second; four dependencies with two endpoints each; 8 slots per endpoint, 10 "
+      "ms per call\n",
+      seed, rate);
+  dependency_set dependencies;
+  std::vector<std::vector<std::string>> endpoints(4);
+  for (std::size_t i = 0; i < 8; ++i) endpoints[i / 2].push_back(dependencies.servers[i]->address());
+  std::printf("%-24s %6s %10s %10s %9s %8s %8s %8s\n", "", "sent", "in 2.9 s", "healthy", "complete", "calls",
+              "p50 ms", "p99 ms");
   {
     runtime r;
     const int port = free_port();
-    node n(r, options_of(operators(port, at)));
+    node price_node(r, options_of(operator_settings(port, endpoints)));
     r.up();
-    const auto ask = [port] { return gathered(port); };
-    const figures calm = load(rate, 5s, f, ask);
-    print("node, calm", calm, calm);
-    f.slow(8);
-    print("node, one slowed 8x", load(rate, 10s, f, ask), calm);
-    f.slow(1);
-    load(rate, 5s, f, ask);  // it finds back
-    print("node, calm again", load(rate, 5s, f, ask), calm);
-    n.signal(SIGUSR1);
-    n.logged("dependencies: d3");
+    const auto ask = [port] { return request_fan_out(port); };
+    const load_result baseline = run_load(rate, 5s, dependencies, ask);
+    print_row("node, no slowdown", baseline, baseline);
+    dependencies.set_slowdown(8);
+    print_row("node, one slowed 8x", run_load(rate, 10s, dependencies, ask), baseline);
+    dependencies.set_slowdown(1);
+    run_load(rate, 5s, dependencies, ask);  // lets the node detect that the dependency has recovered
+    print_row("node, after recovery", run_load(rate, 5s, dependencies, ask), baseline);
+    price_node.signal(SIGUSR1);
+    price_node.logged("dependencies: d3");
   }
   std::this_thread::sleep_for(2s);
-  const figures calm = load(rate, 5s, f, [&] { return plain(f); });
-  print("plain client, calm", calm, calm);
-  f.slow(8);
-  print("plain, one slowed 8x", load(rate, 10s, f, [&] { return plain(f); }), calm);
-  f.slow(1);
-  for (const std::size_t n : {1u, 4u, 16u}) cost(n);
+  const load_result baseline =
+      run_load(rate, 5s, dependencies, [&] { return request_directly(dependencies); });
+  print_row("client, no slowdown", baseline, baseline);
+  dependencies.set_slowdown(8);
+  print_row("client, one slowed 8x",
+            run_load(rate, 10s, dependencies, [&] { return request_directly(dependencies); }), baseline);
+  dependencies.set_slowdown(1);
+  for (const std::size_t count : {1u, 4u, 16u}) measure_cost(count);
   return 0;
 }
--- a/bench/ops_bench.cpp
+++ b/bench/ops_bench.cpp
@@ -1,6 +1,6 @@
-// Measures daily operation against the real program: how long the console takes to answer with and without
-// clients' load, and how many requests end at the door while a second process replaces the first. One table,
-// one run; figures are ratios within it.
+// Measures operations on a real node process: the response time of the console with and without client load,
+// and how many requests get no complete response while a second process replaces the first (hot restart). The
+// ratios in the table compare figures of the same run.
 #include <algorithm>
 #include <atomic>
 #include <cstdio>
@@ -21,54 +21,57 @@
   return std::chrono::duration<double, std::milli>(d).count();
 }
 
-// A node with a console of its own; `listen` beside another node, `tmpdir` shared with it.
-struct with_console {
-  with_console(const runtime& r, int listen, const std::string& tmpdir)
-      : console_port(free_port()), n(r, options(listen, tmpdir, console_port)) {}
-  static node_options options(int listen, const std::string& tmpdir, int console) {
-    node_options o;
-    o.listen_port = listen;
-    o.tmpdir = tmpdir;
-    o.edit_from = "\"seed\"";
-    o.edit_to = "\"console\":\"" + own_host() + ":" + std::to_string(console) + "\",\"seed\"";
-    return o;
+// A node with its own console. To replace a running node, it listens on the same port (`listen`) and shares
+// the folder `tmpdir` with that node. With `listen` 0 it takes a free port.
+struct node_with_console {
+  node_with_console(const runtime& r, int listen, const std::string& tmpdir)
+      : console_port(free_port()), price_node(r, make_options(listen, tmpdir, console_port)) {}
+  static node_options make_options(int listen, const std::string& tmpdir, int console) {
+    node_options options;
+    options.listen_port = listen;
+    options.tmpdir = tmpdir;
+    options.edit_from = "\"seed\"";
+    options.edit_to = "\"console\":\"" + own_host() + ":" + std::to_string(console) + "\",\"seed\"";
+    return options;
   }
   int console_port;
-  node n;
+  node price_node;
 };
 
-int dial(int port) {
+int connect_to(int port) {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  const sockaddr_in a = address_of(port);
-  if (::connect(fd, reinterpret_cast<const sockaddr*>(&a), sizeof a) == 0) return fd;
+  const sockaddr_in address = address_of(port);
+  if (::connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0) return fd;
   ::close(fd);
   return -1;
 }
 
-// All that comes until the end of the stream or `wait_ms` of silence; empty where the connection failed.
+// Sends `bytes` on a new connection and returns the bytes received. Stops at the end of the stream, after
+// `wait_ms` without data or, unless `until_end`, after one complete Thrift frame. Returns an empty string if
+// the connection fails.
 std::string exchange(int port, const std::string& bytes, int wait_ms, bool until_end) {
-  const int fd = dial(port);
+  const int fd = connect_to(port);
   if (fd < 0) return {};
-  std::string in;
+  std::string received;
   if (::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size())) {
     while (true) {
-      pollfd p{fd, POLLIN, 0};
-      if (::poll(&p, 1, wait_ms) <= 0) break;
+      pollfd readable{fd, POLLIN, 0};
+      if (::poll(&readable, 1, wait_ms) <= 0) break;
       char chunk[4096];
       const ssize_t got = ::recv(fd, chunk, sizeof chunk, 0);
       if (got <= 0) break;
-      in.append(chunk, static_cast<std::size_t>(got));
-      // A Thrift reply is whole once its frame is.
-      if (!until_end && in.size() >= 4 && in.size() >= 4 + to_u32(in)) break;
+      received.append(chunk, static_cast<std::size_t>(got));
+      // A Thrift reply is complete when its frame is complete.
+      if (!until_end && received.size() >= 4 && received.size() >= 4 + to_u32(received)) break;
     }
   }
   ::close(fd);
-  return in;
+  return received;
 }
 
-// Requests on new connections, each one's answer awaited, until `stop`.
+// Clients that send each request on a new connection and wait for its response, until `stop` is set.
 struct client_load {
-  std::atomic<long> asked = 0, answered = 0, at_the_door = 0;
+  std::atomic<long> sent = 0, answered = 0, unanswered = 0;
   std::atomic<bool> stop = false;
   std::vector<std::thread> threads;
   void start(int port) {
@@ -76,13 +79,13 @@
       threads.emplace_back([this, port, c] {
         std::mt19937 random(seed + static_cast<unsigned>(c));
         for (int n = 1; !stop; ++n) {
-          ++asked;
+          ++sent;
           const std::string reply = exchange(port, execute(1, usual(c * 100000 + n), "kurs"), 5000, false);
-          // Refused, reset or closed without a whole answer: it ended at the door.
+          // Without a complete response, the connection was refused, reset or closed, or the wait timed out.
           if (reply.size() >= 4 && reply.size() >= 4 + to_u32(reply)) {
             ++answered;
           } else {
-            ++at_the_door;
+            ++unanswered;
           }
           std::this_thread::sleep_for(std::chrono::microseconds(random() % 2000));
         }
@@ -91,34 +94,34 @@
   }
   void finish() {
     stop = true;
-    for (std::thread& t : threads) t.join();
+    for (std::thread& thread : threads) thread.join();
     threads.clear();
   }
 };
 
-struct times {
-  double p50 = 0, p99 = 0, most = 0;
-  int wrong = 0;
+struct response_times {
+  double p50 = 0, p99 = 0, longest = 0;
+  int not_200 = 0;
 };
 
-// Console calls, one after the other, for `length`.
-times console_calls(int port, clock::duration length) {
-  std::vector<double> took;
-  times t;
+// Sends console commands one after the other for `length` and measures their response times.
+response_times measure_console(int port, clock::duration length) {
+  std::vector<double> durations_ms;
+  response_times measured;
   const auto until = clock::now() + length;
   for (int i = 0; clock::now() < until; ++i) {
-    const char* line = i % 2 == 0 ? "show-stat\n" : "ready\n";
+    const char* command = i % 2 == 0 ? "show-stat\n" : "ready\n";
     const auto begun = clock::now();
-    const std::string answer = exchange(port, line, 2000, true);
-    took.push_back(ms(clock::now() - begun));
-    t.wrong += answer.rfind("200", 0) == 0 ? 0 : 1;
+    const std::string answer = exchange(port, command, 2000, true);
+    durations_ms.push_back(ms(clock::now() - begun));
+    measured.not_200 += answer.rfind("200", 0) == 0 ? 0 : 1;
     std::this_thread::sleep_for(20ms);
   }
-  std::sort(took.begin(), took.end());
-  t.p50 = took[took.size() / 2];
-  t.p99 = took[took.size() * 99 / 100];
-  t.most = took.back();
-  return t;
+  std::sort(durations_ms.begin(), durations_ms.end());
+  measured.p50 = durations_ms[durations_ms.size() / 2];
+  measured.p99 = durations_ms[durations_ms.size() * 99 / 100];
+  measured.longest = durations_ms.back();
+  return measured;
 }
 
 void wait_ready(int console) {
@@ -132,48 +135,49 @@
 }  // namespace
 
 int main() {
-  std::printf("seed %u, %d clients, each request on a new connection\n", seed, clients);
+  std::printf("seed %u, %d clients, a new connection for each request\n", seed, clients);
   char folder[] = "/tmp/marblewharf-ops-bench-XXXXXX";
   CHECK(::mkdtemp(folder) != nullptr);
   peers::quick_runtime first_runtime, second_runtime;
-  auto first = std::make_unique<with_console>(first_runtime.r, 0, folder);
+  auto first = std::make_unique<node_with_console>(first_runtime.r, 0, folder);
   first_runtime.start();
   wait_ready(first->console_port);
 
-  const times idle = console_calls(first->console_port, 3s);
+  const response_times idle = measure_console(first->console_port, 3s);
   client_load load;
-  load.start(first->n.port);
+  load.start(first->price_node.port);
   std::this_thread::sleep_for(500ms);
-  const long before = load.answered;
-  const auto loaded_since = clock::now();
-  const times loaded = console_calls(first->console_port, 3s);
-  const double rate = static_cast<double>(load.answered - before) /
-                      std::chrono::duration<double>(clock::now() - loaded_since).count();
-
-  // Replacement under the same load.
-  const long asked_before = load.asked, door_before = load.at_the_door;
-  with_console second(second_runtime.r, first->n.port, folder);
+  const long answered_before = load.answered;
+  const auto load_began = clock::now();
+  const response_times loaded = measure_console(first->console_port, 3s);
+  const double rate = static_cast<double>(load.answered - answered_before) /
+                      std::chrono::duration<double>(clock::now() - load_began).count();
+
+  // Replaces the first process under the same load.
+  const long sent_before = load.sent, unanswered_before = load.unanswered;
+  node_with_console second(second_runtime.r, first->price_node.port, folder);
   second_runtime.start();
   wait_ready(second.console_port);
-  first->n.signal(SIGTERM);
-  const int status = first->n.wait();
+  first->price_node.signal(SIGTERM);
+  const int exit_status = first->price_node.wait();
   std::this_thread::sleep_for(1s);
   load.finish();
-  const long asked = load.asked - asked_before, at_door = load.at_the_door - door_before;
+  const long sent = load.sent - sent_before, unanswered = load.unanswered - unanswered_before;
 
   std::printf("| measure | idle | under load | ratio |\n| --- | --- | --- | --- |\n");
-  std::printf("| console answer p50, ms | %.2f | %.2f | %.2f |\n", idle.p50, loaded.p50,
+  std::printf("| console response time p50, ms | %.2f | %.2f | %.2f |\n", idle.p50, loaded.p50,
               loaded.p50 / idle.p50);
-  std::printf("| console answer p99, ms | %.2f | %.2f | %.2f |\n", idle.p99, loaded.p99,
+  std::printf("| console response time p99, ms | %.2f | %.2f | %.2f |\n", idle.p99, loaded.p99,
               loaded.p99 / idle.p99);
-  std::printf("| console answer, longest, ms | %.2f | %.2f | %.2f |\n", idle.most, loaded.most,
-              loaded.most / idle.most);
-  std::printf("| console answers not 200 | %d | %d | |\n", idle.wrong, loaded.wrong);
-  std::printf("\nclient load: %.0f requests a second served\n", rate);
+  std::printf("| console response time, longest, ms | %.2f | %.2f | %.2f |\n", idle.longest, loaded.longest,
+              loaded.longest / idle.longest);
+  std::printf("| console responses other than 200 | %d | %d | |\n", idle.not_200, loaded.not_200);
+  std::printf("\nclient load: %.0f requests served per second\n", rate);
   std::printf(
-      "replacement: %ld requests asked from start of the second process to 1 s after the first ended "
-      "(exit %d); %ld ended at the door, a share of %.4f\n",
-      asked, status, at_door, asked > 0 ? static_cast<double>(at_door) / static_cast<double>(asked) : 0.0);
+      "replacement: %ld requests sent from the start of the second process until 1 s after the exit of the "
+      "first (status %d); %ld without a complete response, a fraction of %.4f\n",
+      sent, exit_status, unanswered,
+      sent > 0 ? static_cast<double>(unanswered) / static_cast<double>(sent) : 0.0);
   ::unlink((std::string(folder) + "/marblewharf-n0.ready").c_str());
   ::rmdir(folder);
   return 0;
