--- a/bench/budgets_bench.cpp
+++ b/bench/budgets_bench.cpp
@@ -25,18 +25,19 @@
 
 struct measurements {
   std::mutex guard;
-  double highest_ratio = 0;
+  double highest_ratio = 0;  // sum of shares in force / limit
   int clusters_above_limit = 0, completed = 0;
   std::vector<double> used_fractions, join_rounds, burst_rounds;
 };
 
+// Waits until the condition holds and returns the waiting time in rounds.
 double rounds_until(const std::function<bool()>& condition) {
-  const auto begun = harness::clock::now();
+  const auto began = harness::clock::now();
   while (!condition()) {
-    CHECK(harness::clock::now() - begun < 60s);
+    CHECK(harness::clock::now() - began < 60s);
     std::this_thread::sleep_for(5ms);
   }
-  return std::chrono::duration<double, std::milli>(harness::clock::now() - begun).count() / round_ms;
+  return std::chrono::duration<double, std::milli>(harness::clock::now() - began).count() / round_ms;
 }
 
 // Runs one schedule on a running cluster: first random faults and demands drawn from the seed, then the
--- a/bench/dependencies_bench.cpp
+++ b/bench/dependencies_bench.cpp
@@ -77,16 +77,16 @@
 
 struct load_result {
   // healthy: fresh sub-responses of the dependencies that are not slowed; complete: requests with four fresh
-  // sub-responses; calls: dependency calls per sub-request; p50, p99: seconds.
+  // sub-responses; calls: dependency calls per sub-request; latencies in seconds.
   int sent = 0, in_time = 0, healthy = 0, complete = 0;
-  double p50 = 0, p99 = 0, calls = 0;
+  double p50_s = 0, p99_s = 0, calls = 0;
 };
 
-// Sends `rate` requests per second for `length` on a fixed schedule (open loop). `ask` executes one request
-// and returns "x" followed by the digits of the dependencies with a fresh sub-response, or an empty string if
-// the request failed.
+// Sends `rate` requests per second for `length` on a fixed schedule (open loop). `send_request` sends one
+// request and returns "x" followed by the digits of the dependencies with a fresh sub-response, or an empty
+// string if the request failed.
 load_result run_load(double rate, clock::duration length, const dependency_set& dependencies,
-                     const std::function<std::string()>& ask) {
+                     const std::function<std::string()>& send_request) {
   constexpr int workers = 192;
   std::atomic<int> next = 0;
   const int total = static_cast<int>(rate * seconds(length));
@@ -102,7 +102,7 @@
         const auto due =
             begin + std::chrono::duration_cast<clock::duration>(std::chrono::duration<double>(number / rate));
         std::this_thread::sleep_until(due);
-        const std::string fresh = ask();
+        const std::string fresh = send_request();
         const double latency = seconds(clock::now() - due);
         const std::lock_guard lock(guard);
         ++result.sent;
@@ -116,8 +116,8 @@
   }
   for (std::thread& thread : threads) thread.join();
   std::sort(latencies.begin(), latencies.end());
-  result.p50 = latencies[latencies.size() / 2];
-  result.p99 = latencies[latencies.size() * 99 / 100];
+  result.p50_s = latencies[latencies.size() / 2];
+  result.p99_s = latencies[latencies.size() * 99 / 100];
   result.calls = static_cast<double>(dependencies.requests() - calls_before) / (4.0 * result.sent);
   return result;
 }
@@ -140,9 +140,9 @@
         received.clear();
         break;
       }
-      const ssize_t n = ::recv(fd, chunk, sizeof chunk, 0);
-      if (n <= 0) break;
-      received.append(chunk, static_cast<std::size_t>(n));
+      const ssize_t count = ::recv(fd, chunk, sizeof chunk, 0);
+      if (count <= 0) break;
+      received.append(chunk, static_cast<std::size_t>(count));
     }
   }
   ::close(fd);
@@ -220,7 +220,7 @@
   std::printf("%-24s %6d %9.2f%% %9.1f%% %8.1f%% %8.3f %8.1f %8.1f\n", label, result.sent,
               100.0 * result.in_time / result.sent,
               100.0 * result.healthy / (3.0 * result.sent) / (baseline.healthy / (3.0 * baseline.sent)),
-              100.0 * result.complete / result.sent, result.calls, result.p50 * 1e3, result.p99 * 1e3);
+              100.0 * result.complete / result.sent, result.calls, result.p50_s * 1e3, result.p99_s * 1e3);
   std::fflush(stdout);
 }
 
@@ -269,14 +269,14 @@
     const int port = free_port();
     node price_node(r, options_of(operator_settings(port, endpoints)));
     r.up();
-    const auto ask = [port] { return request_fan_out(port); };
-    const load_result baseline = run_load(rate, 5s, dependencies, ask);
+    const auto send_request = [port] { return request_fan_out(port); };
+    const load_result baseline = run_load(rate, 5s, dependencies, send_request);
     print_row("node, no slowdown", baseline, baseline);
     dependencies.set_slowdown(8);
-    print_row("node, one slowed 8x", run_load(rate, 10s, dependencies, ask), baseline);
+    print_row("node, one slowed 8x", run_load(rate, 10s, dependencies, send_request), baseline);
     dependencies.set_slowdown(1);
-    run_load(rate, 5s, dependencies, ask);  // lets the node detect that the dependency has recovered
-    print_row("node, after recovery", run_load(rate, 5s, dependencies, ask), baseline);
+    run_load(rate, 5s, dependencies, send_request);  // lets the node detect that the dependency has recovered
+    print_row("node, after recovery", run_load(rate, 5s, dependencies, send_request), baseline);
     price_node.signal(SIGUSR1);
     price_node.logged("dependencies: d3");
   }
--- a/bench/failover_bench.cpp
+++ b/bench/failover_bench.cpp
@@ -24,8 +24,7 @@
 }
 
 // Returns the processor time of the reactor per request, in us, over `requests` requests. One connection
-// keeps 16 requests in flight. The first requests (a fifth of `requests`) warm the node up and are not
-// counted.
+// keeps 16 requests in flight. Before the measurement, `requests` / 5 further requests warm the node up.
 double request_cost_us(const std::string& program, int requests) {
   runtime r;
   node_options options;
--- a/bench/keyed_bench.cpp
+++ b/bench/keyed_bench.cpp
@@ -328,16 +328,16 @@
   print_line("group commit / one sync each", group_rate / single_rate, "times", "(target: at least 5)");
   measure_recovery(work.path + "/many");
   int served = 0;
-  const auto without = measure_steps("", false, 0ms, served);
-  const auto with = measure_steps(work.path + "/fast", true, 0ms, served);
-  const auto slow = measure_steps(work.path + "/slow", true, 200ms, served);
-  print_line("reactor step without a store, 99.9th percentile", without.first, "us");
-  print_line("... with a store", with.first, "us");
-  print_line("... with a store whose disk takes 200 ms per sync", slow.first, "us",
+  const auto without_store = measure_steps("", false, 0ms, served);
+  const auto with_store = measure_steps(work.path + "/fast", true, 0ms, served);
+  const auto with_slow_disk = measure_steps(work.path + "/slow", true, 200ms, served);
+  print_line("reactor step without a store, 99.9th percentile", without_store.first, "us");
+  print_line("... with a store", with_store.first, "us");
+  print_line("... with a store whose disk takes 200 ms per sync", with_slow_disk.first, "us",
              "(target: as without a store)");
-  print_line("reactor step without a store, mean", without.second, "us");
-  print_line("... with a store", with.second, "us");
-  print_line("... with a store whose disk takes 200 ms per sync", slow.second, "us");
+  print_line("reactor step without a store, mean", without_store.second, "us");
+  print_line("... with a store", with_store.second, "us");
+  print_line("... with a store whose disk takes 200 ms per sync", with_slow_disk.second, "us");
   const write_load unkeyed = measure_writes("", false);
   const write_load keyed = measure_writes(work.path + "/node", true);
   print_line("unkeyed writes", unkeyed.per_second, "1/s");
--- a/bench/ops_bench.cpp
+++ b/bench/ops_bench.cpp
@@ -58,9 +58,9 @@
       pollfd readable{fd, POLLIN, 0};
       if (::poll(&readable, 1, wait_ms) <= 0) break;
       char chunk[4096];
-      const ssize_t got = ::recv(fd, chunk, sizeof chunk, 0);
-      if (got <= 0) break;
-      received.append(chunk, static_cast<std::size_t>(got));
+      const ssize_t count = ::recv(fd, chunk, sizeof chunk, 0);
+      if (count <= 0) break;
+      received.append(chunk, static_cast<std::size_t>(count));
       // A Thrift reply is complete when its frame is complete.
       if (!until_end && received.size() >= 4 && received.size() >= 4 + to_u32(received)) break;
     }
@@ -78,9 +78,10 @@
     for (int c = 0; c < clients; ++c) {
       threads.emplace_back([this, port, c] {
         std::mt19937 random(seed + static_cast<unsigned>(c));
-        for (int n = 1; !stop; ++n) {
+        for (int number = 1; !stop; ++number) {
           ++sent;
-          const std::string reply = exchange(port, execute(1, usual(c * 100000 + n), "kurs"), 5000, false);
+          const std::string reply =
+              exchange(port, execute(1, usual(c * 100000 + number), "kurs"), 5000, false);
           // Without a complete response, the connection was refused, reset or closed, or the wait timed out.
           if (reply.size() >= 4 && reply.size() >= 4 + to_u32(reply)) {
             ++answered;
@@ -100,7 +101,7 @@
 };
 
 struct response_times {
-  double p50 = 0, p99 = 0, longest = 0;
+  double p50_ms = 0, p99_ms = 0, longest_ms = 0;
   int not_200 = 0;
 };
 
@@ -111,16 +112,16 @@
   const auto until = clock::now() + length;
   for (int i = 0; clock::now() < until; ++i) {
     const char* command = i % 2 == 0 ? "show-stat\n" : "ready\n";
-    const auto begun = clock::now();
+    const auto began = clock::now();
     const std::string answer = exchange(port, command, 2000, true);
-    durations_ms.push_back(ms(clock::now() - begun));
+    durations_ms.push_back(ms(clock::now() - began));
     measured.not_200 += answer.rfind("200", 0) == 0 ? 0 : 1;
     std::this_thread::sleep_for(20ms);
   }
   std::sort(durations_ms.begin(), durations_ms.end());
-  measured.p50 = durations_ms[durations_ms.size() / 2];
-  measured.p99 = durations_ms[durations_ms.size() * 99 / 100];
-  measured.longest = durations_ms.back();
+  measured.p50_ms = durations_ms[durations_ms.size() / 2];
+  measured.p99_ms = durations_ms[durations_ms.size() * 99 / 100];
+  measured.longest_ms = durations_ms.back();
   return measured;
 }
 
@@ -165,12 +166,12 @@
   const long sent = load.sent - sent_before, unanswered = load.unanswered - unanswered_before;
 
   std::printf("| measure | idle | under load | ratio |\n| --- | --- | --- | --- |\n");
-  std::printf("| console response time p50, ms | %.2f | %.2f | %.2f |\n", idle.p50, loaded.p50,
-              loaded.p50 / idle.p50);
-  std::printf("| console response time p99, ms | %.2f | %.2f | %.2f |\n", idle.p99, loaded.p99,
-              loaded.p99 / idle.p99);
-  std::printf("| console response time, longest, ms | %.2f | %.2f | %.2f |\n", idle.longest, loaded.longest,
-              loaded.longest / idle.longest);
+  std::printf("| console response time p50, ms | %.2f | %.2f | %.2f |\n", idle.p50_ms, loaded.p50_ms,
+              loaded.p50_ms / idle.p50_ms);
+  std::printf("| console response time p99, ms | %.2f | %.2f | %.2f |\n", idle.p99_ms, loaded.p99_ms,
+              loaded.p99_ms / idle.p99_ms);
+  std::printf("| console response time, longest, ms | %.2f | %.2f | %.2f |\n", idle.longest_ms,
+              loaded.longest_ms, loaded.longest_ms / idle.longest_ms);
   std::printf("| console responses other than 200 | %d | %d | |\n", idle.not_200, loaded.not_200);
   std::printf("\nclient load: %.0f requests served per second\n", rate);
   std::printf(
