--- a/bench/keyed_bench.cpp
+++ b/bench/keyed_bench.cpp
@@ -57,7 +57,7 @@
       [](std::uint32_t, std::string_view, const store::position&) {});
   log->open(1);
   store::committer_options options;
-  options.batch = batch;
+  options.max_batch_records = batch;
   std::mutex guard;
   std::condition_variable collectable;
   bool notified = false;
@@ -128,7 +128,7 @@
   options.windows = {1h};
   options.classes = {"kurs-meldung"};
   options.tenants = {"isar-invest"};
-  options.entries = 2 * entries;
+  options.max_keys = 2 * entries;
   options.space = 8ull << 30;
   options.unix_now = 1000s;
   options.steady_now = steady();
@@ -139,9 +139,9 @@
   const double recovery_seconds = seconds(steady() - begin);
   ::malloc_trim(0);
   const std::size_t bytes_after = ::mallinfo2().uordblks;
-  CHECK(service.known().size() == entries);
+  CHECK(service.table().size() == entries);
   print_line("recovery of 1,000,000 entries", recovery_seconds, "s", "(target: under 2)");
-  const double index_bytes = 8.0 * static_cast<double>(service.known().buckets());
+  const double index_bytes = 8.0 * static_cast<double>(service.table().buckets());
   print_line("memory per entry, without the slots of the index",
              (static_cast<double>(bytes_after - bytes_before) - index_bytes) / entries, "bytes",
              "(target: at most 160)");
@@ -179,7 +179,7 @@
 
 struct dispatcher_fixture : front, backend {
   explicit dispatcher_fixture(const admission_policy::settings& s) : dispatch(s, 1, steady(), counters) {
-    dispatch.add(*this);
+    dispatch.add_front(*this);
     dispatch.on_server_up(false, steady() - 60s);
   }
   void respond(request_id, const answer& a) override {
@@ -221,7 +221,7 @@
     options.steady_now = steady();
     service = std::make_unique<idempotency::durable_service>(disk, options, fixture.counters, [] {});
     service->set_observer(fixture.dispatch);
-    fixture.dispatch.use(*service, 10s);
+    fixture.dispatch.enable_idempotency(*service, 10s);
   }
   std::vector<double> steps_us;
   std::uint64_t last_key = 0;
@@ -236,7 +236,7 @@
       fixture.dispatch.on_arrival(fixture, fixture, std::move(arrival));
     }
     for (const request_id id : std::exchange(fixture.running, {}))
-      fixture.dispatch.on_end(id, run_end::succeeded, "done", 1ms);
+      fixture.dispatch.on_run_ended(id, run_end::succeeded, "done", 1ms);
     if (service) service->step(steady());
     fixture.dispatch.step(steady(), {});
     steps_us.push_back(seconds(steady() - step_begin) * 1e6);
@@ -319,7 +319,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  telemetry::limit_lines(0);
+  telemetry::set_log_rate_limit(0);
   const work_folder work(argc > 1 ? argv[1] : "/tmp");
   const double single_rate = commits_per_second(work.path + "/one", 1, 64);
   const double group_rate = commits_per_second(work.path + "/group", 1024, 64);
--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -93,15 +93,15 @@
   posix_file_system fs;
   auto log = std::make_unique<marblewharf::store::log>(
       fs, log_options{folder, std::uint64_t{8} << 20, std::uint64_t{4} << 30, 7, {}},
-      [](std::uint32_t, std::string_view) { return never; },
+      [](std::uint32_t, std::string_view) { return no_expiry; },
       [](std::uint32_t, std::string_view, const position&) {});
   log->open(unix_now());
   committer log_committer(std::move(log), {}, unix_now, [] {});
   zipf_keys key{20'000};
   return run_load(
       [&](std::uint64_t ticket) {
-        return log_committer.write(ticket,
-                                   {{1, "k" + std::to_string(key()) + std::string(value_size, 'v')}, never});
+        return log_committer.write(
+            ticket, {{1, "k" + std::to_string(key()) + std::string(value_size, 'v')}, no_expiry});
       },
       [&](std::vector<std::uint64_t>& ended) {
         std::vector<committer::done> results;
@@ -114,7 +114,7 @@
   tables_options options;
   options.folder = folder;
   options.disk = {std::uint64_t{8} << 20, std::uint64_t{4} << 30, amplification};
-  options.most_keys = 2'000'000;
+  options.max_keys = 2'000'000;
   options.salt = 7;
   return options;
 }
@@ -152,7 +152,7 @@
     const std::uint64_t cleaned_before = service.show().cleaned;
     std::thread cleaner([&] {
       while (!stopping)
-        if (!service.step(table_service::work::clean).more || pause.count() > 0)
+        if (!service.step(table_service::work::clean).has_more || pause.count() > 0)
           std::this_thread::sleep_for(std::max(pause, std::chrono::milliseconds(1)));
     });
     const load measured = run_load(write, ended);
@@ -215,17 +215,18 @@
   for (int i = 0; i < 400'000; ++i) {
     batch writes;
     writes.put("t", "k" + std::to_string(key()), std::string(value_size, 'v'));
-    if (!store.commit(writes, durability::lazily, unix_now()).may) --i;
+    if (!store.commit(writes, durability::lazily, unix_now()).accepted) --i;
     if (i % 64 == 0) store.clean_step(unix_now());
     if (i > 100'000 && i % 1000 == 0) {
       const auto statistics = store.show();
-      highest = std::max(
-          highest, static_cast<double>(statistics.disk.used) / static_cast<double>(statistics.disk.live));
+      highest = std::max(highest, static_cast<double>(statistics.disk.used_bytes) /
+                                      static_cast<double>(statistics.disk.live_bytes));
     }
   }
   const auto statistics = store.show();
   const auto segments = [&](double ratio) {
-    return ratio * static_cast<double>(statistics.disk.live) / static_cast<double>(options.disk.segment);
+    return ratio * static_cast<double>(statistics.disk.live_bytes) /
+           static_cast<double>(options.disk.segment);
   };
   std::printf(
       "space amplification %.1f | highest used / live space %.2f (%.1f segments above the target) | "
--- a/src/admin/console_server.cpp
+++ b/src/admin/console_server.cpp
@@ -17,7 +17,7 @@
 }  // namespace
 
 // A connection of a console caller: reads one line, answers the line and waits until the caller closes.
-class console_server::connection : public net::stream::owner {
+class console_server::connection : public net::stream::observer {
  public:
   connection(console_server& server, const Poco::Net::StreamSocket& socket)
       : server_(server), stream_(server.reactor_, server.bounds_, *this, socket) {}
@@ -31,12 +31,12 @@
   bool answered() const { return answered_; }
   // Whether no complete line arrived within `console_wait`.
   bool line_overdue(time_point now) const {
-    return !answered_ && now - opened_at_ > server_.bounds_.console_wait;
+    return !answered_ && now - opened_at_ > server_.bounds_.console_line_timeout;
   }
   // Whether the connection was answered, and the caller has closed it or the `linger` time has passed.
   bool finished(time_point now) const {
     if (!answered_) return false;
-    return now - answered_at_ > server_.bounds_.linger || (stream_.flushed() && !stream_.is_open());
+    return now - answered_at_ > server_.bounds_.linger_timeout || (stream_.flushed() && !stream_.is_open());
   }
   // Whether this connection is evicted before `other`. Answered connections are evicted first, in the order
   // of their answers; then the others, in the order in which they were opened.
@@ -59,7 +59,7 @@
 
 std::size_t console_server::connection::on_bytes(std::string_view bytes) {
   if (answered_) return bytes.size();
-  const std::size_t max_line_bytes = server_.bounds_.console_line;
+  const std::size_t max_line_bytes = server_.bounds_.max_console_line_bytes;
   const std::size_t line_end = bytes.find('\n');
   if (line_end == std::string_view::npos) {
     // Bounds the memory for a line without an end.
@@ -89,7 +89,7 @@
   if (std::exchange(answered_, true)) return;
   answered_at_ = net::steady_now();
   stream_.send(text);
-  stream_.finish();
+  stream_.shutdown_output();
 }
 
 console_server::console_server(net::reactor& reactor, const limits& bounds, const endpoint& address,
@@ -110,12 +110,12 @@
   try {
     listener_.emplace(
         reactor_, bounds_, address_.host, address_.port,
-        [this](const Poco::Net::StreamSocket& socket) { accept(socket); }, net::port_sharing::alone);
+        [this](const Poco::Net::StreamSocket& socket) { accept(socket); }, net::port_sharing::exclusive);
     if (retrying)
       telemetry::log("console", "listening on %s:%u, which the other process has released",
                      address_.host.c_str(), unsigned{address_.port});
     next_bind_ = time_point::max();
-  } catch (const net::address_held&) {
+  } catch (const net::address_in_use&) {
     // In a hot restart the predecessor keeps its console until it ends.
     if (!retrying)
       telemetry::log("console", "%s:%u is in use by another process; retrying the bind until it is released",
@@ -163,7 +163,7 @@
   if (now >= next_bind_) try_listen(now);
   if (now < next_sweep_) return std::min(next_sweep_, next_bind_);
   if (listener_) listener_->resume();
-  next_sweep_ = now + bounds_.sweep_every;
+  next_sweep_ = now + bounds_.sweep_interval;
   connections_.each([&](connection& candidate) { close_if_due(candidate, now); });
   return std::min(next_sweep_, next_bind_);
 }
--- a/src/admin/statistics.cpp
+++ b/src/admin/statistics.cpp
@@ -24,7 +24,7 @@
     append_line(lines, "app.rejected." + name, count_at(counters.rejected_by_class, index));
     append_line(lines, "app.failed." + name, count_at(counters.failed_by_class, index));
   }
-  append_line(lines, "app.upstream_requests", counters.sent);
+  append_line(lines, "app.upstream_requests", counters.started_runs);
   append_line(lines, "app.pending", pending);
   return lines;
 }
--- a/src/cluster/agent.cpp
+++ b/src/cluster/agent.cpp
@@ -93,7 +93,7 @@
     transport_.send(outgoing.recipient, membership::encode(settings_.name, outgoing.content));
 }
 
-bool agent::routable(const std::string& place) const {
+bool agent::is_routable(const std::string& place) const {
   return !is_member_ || view_.is_routable(place);
 }
 
--- a/src/cluster/agent.hpp
+++ b/src/cluster/agent.hpp
@@ -44,10 +44,10 @@
   std::string show_statistics() const;
 
   // Whether calls may be routed to `place`, the name of a zone or the address of a member.
-  bool routable(const std::string& place) const;
+  bool is_routable(const std::string& place) const;
   bool is_alive(const std::string& member) const { return view_.is_alive(member); }
   // Incremented at each change that may alter the results of routable().
-  std::uint64_t changes() const { return changes_; }
+  std::uint64_t change_count() const { return changes_; }
 
   // Sets a filter that is called with each datagram before the membership protocol.
   void set_datagram_filter(datagram_filter filter) { filter_ = std::move(filter); }
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -20,8 +20,8 @@
   options.retransmit_multiplier = settings.retransmits;
   options.gossip_per_message = settings.gossip_per_message;
   options.refresh_per_message = settings.refresh_per_message;
-  options.max_local_health = settings.health_most;
-  options.reconnect_intervals = settings.reconnect_every;
+  options.max_local_health = settings.max_health_score;
+  options.reconnect_intervals = settings.dead_member_probe_interval;
   return options;
 }
 
--- a/src/cluster/quota_client.cpp
+++ b/src/cluster/quota_client.cpp
@@ -23,14 +23,14 @@
 
 std::vector<quota::quota_definition> quotas_of(const budgets_config& settings) {
   std::vector<quota::quota_definition> quotas;
-  for (const budget_config& budget : settings.all) {
+  for (const budget_config& budget : settings.budgets) {
     quota::quota_definition quota;
     quota.name = budget.name;
-    quota.global_limit = budget.whole;
-    quota.guaranteed_share = budget.safe;
+    quota.global_limit = budget.limit;
+    quota.guaranteed_share = budget.guaranteed_share;
     quota.weight = budget.weight;
     quota.limits_in_flight = budget.unit != budget_unit::requests;
-    quota.settling_time = budget.settle;
+    quota.settling_time = budget.settle_time;
     quotas.push_back(std::move(quota));
   }
   return quotas;
@@ -38,9 +38,9 @@
 
 quota::quota_coordinator_options options_of(const budgets_config& settings) {
   quota::quota_coordinator_options options;
-  options.lease = {settings.lease, settings.drift};
-  options.renew_interval = settings.renew;
-  options.joining_reserve = settings.reserve;
+  options.lease = {settings.lease_duration, settings.max_clock_drift};
+  options.renew_interval = settings.renew_interval;
+  options.joining_reserve = settings.join_reserve;
   return options;
 }
 
@@ -76,13 +76,13 @@
       coordinator_(options_of(settings_), quotas_of(settings_), configured_members(*settings.fleet),
                    address_of(settings.fleet->advertise), static_cast<std::uint64_t>(net::unix_ms()),
                    lease_clock()),
-      usage_(settings_.all.size()),
-      rate_demand_(settings_.all.size()),
-      in_flight_demand_(settings_.all.size()),
-      applied_shares_(settings_.all.size(), never_applied),
-      share_changes_(settings_.all.size()) {
+      usage_(settings_.budgets.size()),
+      rate_demand_(settings_.budgets.size()),
+      in_flight_demand_(settings_.budgets.size()),
+      applied_shares_(settings_.budgets.size(), never_applied),
+      share_changes_(settings_.budgets.size()) {
   agent_.set_datagram_filter([this](std::string_view datagram) { return on_datagram(datagram); });
-  requests_.watch_arrivals([this](const request& arrived) { count_arrival(arrived); });
+  requests_.set_arrival_observer([this](const request& arrived) { count_arrival(arrived); });
   update_membership(lease_clock());
   apply_shares(lease_clock());  // so that the shares apply from the first request on
 }
@@ -117,24 +117,24 @@
 }
 
 void quota_client::count_arrival(const request& arrived) {
-  for (std::size_t i = 0; i < settings_.all.size(); ++i)
-    if (counts_towards(arrived, settings_.all[i])) rate_demand_[i].count_arrival();
+  for (std::size_t i = 0; i < settings_.budgets.size(); ++i)
+    if (counts_towards(arrived, settings_.budgets[i])) rate_demand_[i].count_arrival();
 }
 
 quota::quota_usage quota_client::measure_calls(std::size_t index, std::size_t dependency, time_point now) {
-  const upstream_call_limiter::calls calls = calls_.use(dependency);
-  return in_flight_demand_[index].measure(now, calls.in_flight, calls.waiting, calls.turned_away);
+  const upstream_call_limiter::calls calls = calls_.current_calls(dependency);
+  return in_flight_demand_[index].measure(now, calls.in_flight, calls.waiting, calls.rejected);
 }
 
 void quota_client::measure_usage(time_point now) {
   if (now - last_measured_ < measure_interval) return;
   last_measured_ = now;
   const dispatcher::load load = requests_.current_load();
-  for (std::size_t i = 0; i < settings_.all.size(); ++i) {
-    const budget_config& quota = settings_.all[i];
+  for (std::size_t i = 0; i < settings_.budgets.size(); ++i) {
+    const budget_config& quota = settings_.budgets[i];
     switch (quota.unit) {
       case budget_unit::runs:
-        usage_[i] = in_flight_demand_[i].measure(now, load.running, load.waiting, counters_.refused);
+        usage_[i] = in_flight_demand_[i].measure(now, load.running, load.waiting, counters_.rejected);
         break;
       case budget_unit::requests: usage_[i] = rate_demand_[i].measure(now); break;
       case budget_unit::calls: usage_[i] = measure_calls(i, *quota.dependency, now); break;
@@ -165,22 +165,22 @@
 void quota_client::apply_shares(quota::time_point lease_now) {
   bool policy_changed = false;
   marblewharf::quota_update update;
-  update.next_quota_in = settings_.renew;
-  for (std::size_t i = 0; i < settings_.all.size(); ++i) {
-    const budget_config& quota = settings_.all[i];
+  update.next_quota_in = settings_.renew_interval;
+  for (std::size_t i = 0; i < settings_.budgets.size(); ++i) {
+    const budget_config& quota = settings_.budgets[i];
     const double share = enforceable(coordinator_.share(i, lease_now), quota.unit);
     if (quota.unit == budget_unit::runs) update.max_concurrent_runs = share;
     if (quota.unit == budget_unit::requests)
       update.rates.push_back({quota.tenant, quota.request_class, share});
     if (share == applied_shares_[i]) continue;
     if (quota.unit == budget_unit::calls) {
-      calls_.limit(*quota.dependency, share);
+      calls_.set_limit(*quota.dependency, share);
     } else {
       policy_changed = true;
     }
     applied_shares_[i] = share;
     ++share_changes_[i];
-    telemetry::log("share", "%s: %.6g of %.6g %s", quota.name.c_str(), share, quota.whole,
+    telemetry::log("share", "%s: %.6g of %.6g %s", quota.name.c_str(), share, quota.limit,
                    name_of(quota.unit));
   }
   if (policy_changed) requests_.on_quota_update(update);
@@ -212,11 +212,11 @@
   const auto lease_left_ms = std::max<std::int64_t>(0, lease_left / std::chrono::milliseconds(1));
   const std::string leader = coordinator_.leader(lease_now).value_or("none");
   std::ostringstream out;
-  for (std::size_t i = 0; i < settings_.all.size(); ++i) {
-    const budget_config& quota = settings_.all[i];
+  for (std::size_t i = 0; i < settings_.budgets.size(); ++i) {
+    const budget_config& quota = settings_.budgets[i];
     const bool is_rate = quota.unit == budget_unit::requests;
     const double in_use = is_rate ? rate_demand_[i].per_second() : usage_[i].in_flight;
-    out << quota.name << ' ' << name_of(quota.unit) << ' ' << quota.whole << ' '
+    out << quota.name << ' ' << name_of(quota.unit) << ' ' << quota.limit << ' '
         << coordinator_.share(i, lease_now) << ' ' << in_use << ' ' << usage_[i].demand << ' '
         << lease_left_ms << ' ' << leader << '\n';
   }
@@ -226,8 +226,8 @@
 std::string quota_client::show_statistics() const {
   const quota::time_point lease_now = lease_clock();
   std::ostringstream out;
-  for (std::size_t i = 0; i < settings_.all.size(); ++i) {
-    const std::string prefix = "budget." + settings_.all[i].name;
+  for (std::size_t i = 0; i < settings_.budgets.size(); ++i) {
+    const std::string prefix = "budget." + settings_.budgets[i].name;
     out << prefix << ".share=" << coordinator_.share(i, lease_now) << '\n';
     out << prefix << ".moved=" << share_changes_[i] << '\n';
     if (const auto committed = coordinator_.committed(i, lease_now))
--- a/src/cluster/quota_client.hpp
+++ b/src/cluster/quota_client.hpp
@@ -20,15 +20,15 @@
 
 namespace marblewharf::cluster {
 
-// Callbacks to the component that limits the calls to a dependency: `limit` sets the share of calls in
-// flight, `use` returns the current numbers.
+// Callbacks to the component that limits the calls to a dependency: `set_limit` sets the share of calls in
+// flight, `current_calls` returns the current numbers.
 struct upstream_call_limiter {
-  std::function<void(std::size_t dependency, double calls)> limit;
+  std::function<void(std::size_t dependency, double calls)> set_limit;
   struct calls {
     std::size_t in_flight = 0, waiting = 0;
-    std::uint64_t turned_away = 0;  // calls rejected since the start because the share was exhausted
+    std::uint64_t rejected = 0;  // calls rejected since the start because the share was exhausted
   };
-  std::function<calls(std::size_t dependency)> use;
+  std::function<calls(std::size_t dependency)> current_calls;
 };
 
 class quota_client {
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -24,14 +24,14 @@
 // Returns the member of an object, or nullptr if the member is absent or null.
 const json::value* member(const json::value& object, const std::string& key) {
   const json::value* found = object.find(key);
-  return found != nullptr && found->what != json::kind::null ? found : nullptr;
+  return found != nullptr && found->type != json::kind::null ? found : nullptr;
 }
 
 std::string text_of(const json::value& object, const std::string& key) {
   const json::value* found = member(object, key);
-  if (found == nullptr) throw bad_config(key + " is missing");
-  if (found->what != json::kind::string || found->text.empty())
-    throw bad_config(key + " is not a non-empty string");
+  if (found == nullptr) throw invalid_config(key + " is missing");
+  if (found->type != json::kind::string || found->text.empty())
+    throw invalid_config(key + " is not a non-empty string");
   return found->text;
 }
 
@@ -42,19 +42,19 @@
   if (found == nullptr) return absent;
   double parsed = 0;
   const char* end = found->text.data() + found->text.size();
-  if (found->what != json::kind::number || std::from_chars(found->text.data(), end, parsed).ptr != end)
-    throw bad_config(path + " is not a number");
+  if (found->type != json::kind::number || std::from_chars(found->text.data(), end, parsed).ptr != end)
+    throw invalid_config(path + " is not a number");
   if (!(parsed >= min && parsed <= max)) {
     std::ostringstream why;
     why << path << " is outside the range " << min << " to " << max;
-    throw bad_config(why.str());
+    throw invalid_config(why.str());
   }
   return parsed;
 }
 
 endpoint to_endpoint(const std::string& text, const std::string& key) {
   const std::optional<endpoint> parsed = parse_endpoint(text);
-  if (!parsed) throw bad_config(key + " is not an address host:port");
+  if (!parsed) throw invalid_config(key + " is not an address host:port");
   return *parsed;
 }
 
@@ -73,7 +73,7 @@
 void flatten_array(const json::value& array, const std::string& path,
                    admission_policy::setting_paths& paths) {
   const std::vector<json::value>& items = array.items;
-  if (!items.empty() && items.front().what == json::kind::object) {
+  if (!items.empty() && items.front().type == json::kind::object) {
     paths[path + ".count"] = std::to_string(items.size());
     for (std::size_t index = 0; index < items.size(); ++index)
       flatten(items[index], path + "." + std::to_string(index), paths);
@@ -89,7 +89,7 @@
 
 // Flattens nested settings to paths, the form in which the simulator passes them.
 void flatten(const json::value& value, const std::string& path, admission_policy::setting_paths& paths) {
-  switch (value.what) {
+  switch (value.type) {
     case json::kind::object:
       for (const auto& [key, item] : value.members) flatten(item, join_path(path, key), paths);
       break;
@@ -108,29 +108,29 @@
 // Names are sent to peers and logged unescaped, so control characters are not allowed. Each name must be
 // unique.
 void check_name(const std::string& name, const std::string& key, std::set<std::string>& taken) {
-  if (name.empty()) throw bad_config(key + " is missing");
+  if (name.empty()) throw invalid_config(key + " is missing");
   if (std::any_of(name.begin(), name.end(), is_control))
-    throw bad_config(key + " contains a control character");
-  if (!taken.insert(name).second) throw bad_config(key + " is used twice: " + name);
+    throw invalid_config(key + " contains a control character");
+  if (!taken.insert(name).second) throw invalid_config(key + " is used twice: " + name);
 }
 
 void check_classes(const std::vector<admission_policy::class_settings>& classes) {
-  if (classes.empty()) throw bad_config("settings.Classes contains no class");
+  if (classes.empty()) throw invalid_config("settings.Classes contains no class");
   std::set<std::string> names;
   for (std::size_t index = 0; index < classes.size(); ++index) {
     const admission_policy::class_settings& request_class = classes[index];
     const std::string path = "settings.Classes." + std::to_string(index) + ".";
     check_name(request_class.name, path + "Name", names);
-    if (request_class.deadline.count() <= 0) throw bad_config(path + "Deadline is missing or 0");
+    if (request_class.deadline.count() <= 0) throw invalid_config(path + "Deadline is missing or 0");
     if (request_class.deadline < request_class.latency_objective)
-      throw bad_config(path + "Deadline is shorter than Objective");
+      throw invalid_config(path + "Deadline is shorter than Objective");
   }
 }
 
 // Checks values that the admission policy needs or would misinterpret. Error messages name the platform's
 // keys.
 void check_settings(const admission_policy::settings& settings) {
-  if (settings.cores == 0) throw bad_config("settings.Extra.NCores is missing or 0");
+  if (settings.cores == 0) throw invalid_config("settings.Extra.NCores is missing or 0");
   check_classes(settings.classes);
   std::set<std::string> names;
   for (std::size_t index = 0; index < settings.tenants.size(); ++index)
@@ -139,15 +139,15 @@
 
 admission_policy::settings settings_of(const json::value& file) {
   const json::value* section = member(file, "settings");
-  if (section == nullptr || section->what != json::kind::object)
-    throw bad_config("settings is not an object");
+  if (section == nullptr || section->type != json::kind::object)
+    throw invalid_config("settings is not an object");
   admission_policy::setting_paths paths;
   flatten(*section, "", paths);
   admission_policy::settings settings;
   try {
     settings = admission_policy::settings_from(paths);
   } catch (const std::invalid_argument& error) {
-    throw bad_config(std::string("settings.") + error.what());
+    throw invalid_config(std::string("settings.") + error.what());
   }
   check_settings(settings);
   return settings;
@@ -159,9 +159,9 @@
   if (found == nullptr) return 0;
   std::uint64_t seed = 0;
   const char* end = found->text.data() + found->text.size();
-  if (found->what != json::kind::string ||
+  if (found->type != json::kind::string ||
       std::from_chars(found->text.data(), end, seed, hexadecimal).ptr != end)
-    throw bad_config("seed is not a hexadecimal string");
+    throw invalid_config("seed is not a hexadecimal string");
   return seed;
 }
 
@@ -171,18 +171,19 @@
   try {
     parsed = json::parse(text);
   } catch (const json::bad_json& error) {
-    throw bad_config(description + " is not valid JSON: " + error.what());
+    throw invalid_config(description + " is not valid JSON: " + error.what());
   }
-  if (parsed.what != json::kind::object) throw bad_config(description + " is not a JSON object");
+  if (parsed.type != json::kind::object) throw invalid_config(description + " is not a JSON object");
   return parsed;
 }
 
 void read_limits(const json::value& file, limits& bounds) {
   const json::value* section = member(file, "limits");
-  if (section == nullptr || section->what != json::kind::object) throw bad_config("limits is not an object");
+  if (section == nullptr || section->type != json::kind::object)
+    throw invalid_config("limits is not an object");
   const auto limit = [section](const char* key, double min, double max) {
     const std::string path = std::string("limits.") + key;
-    if (member(*section, key) == nullptr) throw bad_config(path + " is missing");
+    if (member(*section, key) == nullptr) throw invalid_config(path + " is missing");
     return number_of(*section, key, path, 0, min, max);
   };
   constexpr double min_cores = 0.001;
@@ -194,22 +195,22 @@
   // Validated but not used: the node has only one busy thread, which needs less than a core.
   limit("cores", min_cores, largest_limit);
   const double memory_bytes = limit("memory_mb", min_memory_mb, largest_limit) * bytes_per_mb;
-  bounds.buffered = static_cast<std::size_t>(buffers_share * memory_bytes);
-  bounds.kept_results = static_cast<std::size_t>(results_share * memory_bytes);
+  bounds.max_buffered_bytes = static_cast<std::size_t>(buffers_share * memory_bytes);
+  bounds.max_stored_result_bytes = static_cast<std::size_t>(results_share * memory_bytes);
   bounds.descriptors = static_cast<std::size_t>(limit("sockets", min_descriptors, largest_limit));
 }
 
-std::optional<repeats_config> memory_idempotency_of(const admission_policy::settings& settings,
-                                                    const limits& bounds) {
-  repeats_config repeats;
-  repeats.memory = bounds.kept_results;
+std::optional<memory_idempotency_config> memory_idempotency_of(const admission_policy::settings& settings,
+                                                               const limits& bounds) {
+  memory_idempotency_config repeats;
+  repeats.max_bytes = bounds.max_stored_result_bytes;
   bool any_keyed = false;
   for (const admission_policy::class_settings& request_class : settings.classes) {
     const bool keyed = request_class.effect == admission_policy::request_effect::keyed &&
                        request_class.idempotency_window.count() > 0;
     repeats.windows.push_back(keyed ? request_class.idempotency_window + bounds.rule_slack
                                     : std::chrono::nanoseconds{});
-    repeats.longest_wait = std::max(repeats.longest_wait, request_class.deadline);
+    repeats.longest_deadline = std::max(repeats.longest_deadline, request_class.deadline);
     any_keyed = any_keyed || keyed;
   }
   if (!any_keyed) return std::nullopt;
@@ -225,7 +226,7 @@
         std::min(bounds.console_connections, bounds.descriptors / bounds.console_share);
     console = bounds.console_connections;
   }
-  bounds.connections = bounds.descriptors - bounds.own_descriptors - console;
+  bounds.connections = bounds.descriptors - bounds.reserved_descriptors - console;
 }
 
 // Caps the number of descriptors at the process's limit, which can be lower than the platform's setting.
@@ -233,8 +234,8 @@
   rlimit granted{};
   if (::getrlimit(RLIMIT_NOFILE, &granted) != 0 || granted.rlim_cur >= bounds.descriptors) return;
   if (granted.rlim_cur < min_descriptors)
-    throw bad_config("limits.sockets: the process may open only " + std::to_string(granted.rlim_cur) +
-                     " files, but needs at least " + std::to_string(min_descriptors));
+    throw invalid_config("limits.sockets: the process may open only " + std::to_string(granted.rlim_cur) +
+                         " files, but needs at least " + std::to_string(min_descriptors));
   bounds.descriptors = granted.rlim_cur;
 }
 
@@ -253,18 +254,18 @@
   // The name is a word in reports to the registry and part of a file name.
   const auto allowed = [](char character) { return character > ' ' && character <= '~' && character != '/'; };
   if (!std::all_of(settings.name.begin(), settings.name.end(), allowed))
-    throw bad_config("name contains a space, a slash or a character that is not printable ASCII");
+    throw invalid_config("name contains a space, a slash or a character that is not printable ASCII");
   settings.listen = endpoint_of(file, "listen");
   settings.runtime = endpoint_of(file, "runtime");
-  settings.directory = endpoint_of(file, "directory");
+  settings.registry = endpoint_of(file, "directory");
   if (member(file, "console") != nullptr) settings.console = endpoint_of(file, "console");
   settings.seed = seed_of(file);
   const double stop_ms = number_of(file, "stop_ms", "stop_ms", default_stop_ms, 1, max_stop_ms);
-  settings.bounds.stop = std::chrono::milliseconds(std::lround(stop_ms));
+  settings.bounds.shutdown_duration = std::chrono::milliseconds(std::lround(stop_ms));
   read_limits(file, settings.bounds);
   divide_descriptors(settings);
-  settings.settings = settings_of(file);
-  settings.repeats = memory_idempotency_of(settings.settings, settings.bounds);
+  settings.policy_settings = settings_of(file);
+  settings.memory_idempotency = memory_idempotency_of(settings.policy_settings, settings.bounds);
   return settings;
 }
 
@@ -281,23 +282,23 @@
 void enable_durable_idempotency(config& settings, keyed_config keyed) {
   for (std::size_t index = 0; index < keyed.windows.size(); ++index) {
     if (keyed.windows[index].count() == 0) continue;
-    admission_policy::class_settings& request_class = settings.settings.classes[index];
+    admission_policy::class_settings& request_class = settings.policy_settings.classes[index];
     request_class.effect = admission_policy::request_effect::keyed;
     // The policy tracks a key until the deadline of its request; the stored results cover the rest of the
     // window.
     request_class.idempotency_window = request_class.deadline;
   }
   settings.keyed = std::move(keyed);
-  settings.repeats.reset();
+  settings.memory_idempotency.reset();
 }
 
 void enable_dependencies(config& settings, dependencies_config dependencies) {
-  if (!settings.uwsgi) throw bad_config("section dependency needs section uwsgi, which is missing");
+  if (!settings.uwsgi) throw invalid_config("section dependency needs section uwsgi, which is missing");
   for (const upstream::request_plan& plan : dependencies.plans) {
-    for (admission_policy::class_settings& request_class : settings.settings.classes)
+    for (admission_policy::class_settings& request_class : settings.policy_settings.classes)
       if (request_class.name == plan.request_class) request_class.calls_dependency = true;
   }
-  settings.uwsgi->hash_content = true;
+  settings.uwsgi->compute_fingerprint = true;
   settings.dependencies = std::move(dependencies);
 }
 
@@ -305,13 +306,13 @@
   std::ifstream file(path);
   std::ostringstream text;
   text << file.rdbuf();
-  if (!file) throw bad_config(std::string(description) + " cannot be read: " + path);
+  if (!file) throw invalid_config(std::string(description) + " cannot be read: " + path);
   return text.str();
 }
 
 config load_config() {
   const char* path = std::getenv("PROXY_CONFIG");
-  if (path == nullptr) throw bad_config("PROXY_CONFIG is not set");
+  if (path == nullptr) throw invalid_config("PROXY_CONFIG is not set");
   config settings = read_config(read_file(path, "PROXY_CONFIG"));
   const char* console = std::getenv("PROXY_CONSOLE");
   if (!settings.console && console != nullptr && *console != '\0')
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -31,7 +31,7 @@
 // keyed classes, and budgets refer to all of these.
 void apply_operator_file(config& settings, const std::string& path) {
   const sections::parsed_file file(path, all_schemas());
-  sections::class_mappings mappings = sections::read_class_mappings(file, settings.settings);
+  sections::class_mappings mappings = sections::read_class_mappings(file, settings.policy_settings);
   sections::read_fleet(file, settings);
   if (file.has("uwsgi")) enable_uwsgi(settings, sections::read_uwsgi(file, std::move(mappings.uwsgi)));
   if (file.has("dependency")) enable_dependencies(settings, sections::read_dependencies(file, settings));
--- a/src/config/operator_file_error.cpp
+++ b/src/config/operator_file_error.cpp
@@ -19,6 +19,6 @@
 }  // namespace
 
 operator_file_error::operator_file_error(operator_file_fault fault)
-    : bad_config(describe(fault)), fault_(std::move(fault)) {}
+    : invalid_config(describe(fault)), fault_(std::move(fault)) {}
 
 }  // namespace marblewharf
--- a/src/config/operator_file_error.hpp
+++ b/src/config/operator_file_error.hpp
@@ -20,7 +20,7 @@
 };
 
 // The text contains file, line, key, problem and value, in this order.
-class operator_file_error : public bad_config {
+class operator_file_error : public invalid_config {
  public:
   explicit operator_file_error(operator_file_fault fault);
   const operator_file_fault& fault() const { return fault_; }
--- a/src/config/sections/background.cpp
+++ b/src/config/sections/background.cpp
@@ -22,14 +22,15 @@
   const section background = file.get_section("background");
   background_config& background_settings = settings.background;
   background_settings.workers = background.small_count("workers", 1, 16);
-  background_settings.cpu = background.number("cpu", 0.001, 16);
-  background_settings.read = background.bytes("read", std::uint64_t{1} << 10, std::uint64_t{1} << 40);
-  background_settings.quiet = background.number("quiet", 0, 1);
-  background_settings.busy = background.number("busy", 0, 1);
-  if (background_settings.busy < background_settings.quiet)
+  background_settings.cpu_cores = background.number("cpu", 0.001, 16);
+  background_settings.read_bytes_per_s =
+      background.bytes("read", std::uint64_t{1} << 10, std::uint64_t{1} << 40);
+  background_settings.full_headroom_load = background.number("quiet", 0, 1);
+  background_settings.no_headroom_load = background.number("busy", 0, 1);
+  if (background_settings.no_headroom_load < background_settings.full_headroom_load)
     background.fail("busy", "is less than quiet", background.text("busy"));
-  background_settings.calm = background.duration("calm", 0s, 60s);
-  background_settings.deadline = background.duration("deadline", 0s, longest_background_period);
+  background_settings.queue_cooldown = background.duration("calm", 0s, 60s);
+  background_settings.max_overdue = background.duration("deadline", 0s, longest_background_period);
 }
 
 }  // namespace marblewharf::sections
--- a/src/config/sections/budgets.cpp
+++ b/src/config/sections/budgets.cpp
@@ -22,11 +22,11 @@
 constexpr double largest_limit = 1e9;
 
 void read_common_settings(const section& common, budgets_config& budgets) {
-  budgets.lease = common.duration("lease", 200ms, 600s);
-  budgets.renew = common.duration("renew", 10ms, budgets.lease / renewals_per_lease);
-  if (!common.text("settle").empty()) budgets.settle = common.duration("settle", 0s, one_hour);
-  budgets.drift = common.number("drift", 0, 0.2);
-  budgets.reserve = common.number("reserve", 0, 0.5);
+  budgets.lease_duration = common.duration("lease", 200ms, 600s);
+  budgets.renew_interval = common.duration("renew", 10ms, budgets.lease_duration / renewals_per_lease);
+  if (!common.text("settle").empty()) budgets.settle_time = common.duration("settle", 0s, one_hour);
+  budgets.max_clock_drift = common.number("drift", 0, 0.2);
+  budgets.join_reserve = common.number("reserve", 0, 0.5);
   budgets.clock_rate = common.number("clock_rate", 0.5, 2);
   budgets.audit = common.flag("audit");
 }
@@ -38,11 +38,11 @@
 }
 
 void read_amounts(const section& budget_section, std::size_t members, budget_config& budget) {
-  budget.whole = budget_section.number("whole", 0, largest_limit);
-  budget.safe = budget_section.number("safe", 0, largest_limit);
+  budget.limit = budget_section.number("whole", 0, largest_limit);
+  budget.guaranteed_share = budget_section.number("safe", 0, largest_limit);
   budget.weight = budget_section.number("weight", 0.001, 1000);
-  if (budget.whole <= 0) budget_section.fail("whole", "is not greater than 0", budget_section.text("whole"));
-  if (budget.safe * static_cast<double>(members) > budget.whole)
+  if (budget.limit <= 0) budget_section.fail("whole", "is not greater than 0", budget_section.text("whole"));
+  if (budget.guaranteed_share * static_cast<double>(members) > budget.limit)
     budget_section.fail("safe", "times " + std::to_string(members) + " members exceeds whole",
                         budget_section.text("safe"));
 }
@@ -58,7 +58,7 @@
 
 void read_runs(const section& budget_section, const budgets_config& budgets, budget_config& budget) {
   budget.unit = budget_unit::runs;
-  for (const budget_config& other : budgets.all)
+  for (const budget_config& other : budgets.budgets)
     if (other.unit == budget_unit::runs)
       budget_section.fail("unit", "= runs is already the unit of another budget", other.name);
 }
@@ -87,7 +87,7 @@
   if (unit == "runs") {
     read_runs(budget_section, budgets, budget);
   } else if (unit == "requests") {
-    read_requests(budget_section, configuration.settings, budget);
+    read_requests(budget_section, configuration.policy_settings, budget);
   } else if (unit == "calls") {
     read_calls(budget_section, configuration, budget);
   } else {
@@ -98,10 +98,10 @@
 // A budget of requests is a rate: nothing of it stays in flight, so it has no settle time.
 void read_settle(const section& budget_section, const budgets_config& budgets, budget_config& budget) {
   const bool stays_in_flight = budget.unit != budget_unit::requests;
-  if (stays_in_flight) budget.settle = budgets.settle;
+  if (stays_in_flight) budget.settle_time = budgets.settle_time;
   if (budget_section.text("settle").empty()) return;
   if (!stays_in_flight) budget_section.fail("settle", "is only allowed with unit = runs or calls");
-  budget.settle = budget_section.duration("settle", 0s, one_hour);
+  budget.settle_time = budget_section.duration("settle", 0s, one_hour);
 }
 
 void read_budget(const section& budget_section, const std::string& title, const config& configuration,
@@ -113,8 +113,8 @@
   read_amounts(budget_section, count_members(configuration), budget);
   read_unit(budget_section, unit, configuration, budgets, budget);
   read_settle(budget_section, budgets, budget);
-  budgets.all.push_back(std::move(budget));
-  if (budgets.all.size() > max_budgets)
+  budgets.budgets.push_back(std::move(budget));
+  if (budgets.budgets.size() > max_budgets)
     budget_section.fail(nullptr, "exceeds the maximum of " + std::to_string(max_budgets) + " budgets");
 }
 
@@ -148,8 +148,8 @@
     return;
   }
   budgets_config budgets;
-  for (const auto& request_class : settings.settings.classes)
-    budgets.settle = std::max(budgets.settle, request_class.deadline);
+  for (const auto& request_class : settings.policy_settings.classes)
+    budgets.settle_time = std::max(budgets.settle_time, request_class.deadline);
   if (file.has("budgets")) read_common_settings(file.get_section("budgets"), budgets);
   file.for_each("budget", [&](const section& budget_section, const std::string& title) {
     read_budget(budget_section, title, settings, budgets);
--- a/src/config/sections/dependencies.cpp
+++ b/src/config/sections/dependencies.cpp
@@ -36,21 +36,22 @@
   settings.places = dependency_section.texts("places");
   rules.near.rules.overprovisioning = dependency_section.number("overprovisioning", 1, 10);
   rules.near.rules.panic_threshold = dependency_section.number("panic", 0, 1);
-  rules.near.rules.most_each = dependency_section.small_count("most_each", 0, 4096);
+  rules.near.rules.max_calls_per_endpoint = dependency_section.small_count("most_each", 0, 4096);
   if (settings.places.empty()) {
-    if (rules.near.rules.most_each > 0) dependency_section.fail("most_each", "is set, but places is missing");
+    if (rules.near.rules.max_calls_per_endpoint > 0)
+      dependency_section.fail("most_each", "is set, but places is missing");
     return;
   }
   if (!configuration.fleet) dependency_section.fail("places", "is set, but section fleet is missing");
   const fleet_config& fleet = *configuration.fleet;
-  if (settings.places.size() != settings.at.size())
+  if (settings.places.size() != settings.endpoints.size())
     dependency_section.fail("places", "does not have as many entries as endpoints");
   const failover::place own{fleet.zone, fleet.region_of(fleet.zone)};
   for (const std::string& place : settings.places) {
     const std::string zone = zone_of_place(fleet, place);
     if (zone.empty())
       dependency_section.fail("places", "lists neither a zone nor a member of the fleet", place);
-    rules.near.where.push_back(failover::level_of(own, {zone, fleet.region_of(zone)}));
+    rules.near.levels.push_back(failover::level_of(own, {zone, fleet.region_of(zone)}));
   }
 }
 
@@ -77,16 +78,16 @@
   dependency_config settings;
   settings.name = title;
   settings.path = dependency_section.text("path");
-  settings.at = dependency_section.addresses("endpoints");
-  if (settings.at.empty()) dependency_section.fail("endpoints", "lists no endpoint");
+  settings.endpoints = dependency_section.addresses("endpoints");
+  if (settings.endpoints.empty()) dependency_section.fail("endpoints", "lists no endpoint");
   upstream::dependency_rules rules;
   rules.name = title;
-  rules.endpoints = settings.at.size();
+  rules.endpoints = settings.endpoints.size();
   read_retries_and_hedges(dependency_section, rules);
   settings.one_phase = dependency_section.flag("one_phase");
   read_places(dependency_section, configuration, settings, rules);
   read_outlier_ejection(dependency_section, rules);
-  dependencies.endpoints.push_back(std::move(settings));
+  dependencies.upstreams.push_back(std::move(settings));
   dependencies.rules.push_back(std::move(rules));
 }
 
@@ -127,12 +128,12 @@
   if (file.has("dependencies")) {
     const section common = file.get_section("dependencies");
     dependencies.budget_var = common.text("budget_var");
-    dependencies.cache = common.bytes("cache", 0, std::uint64_t{1} << 32);
+    dependencies.cache_bytes = common.bytes("cache", 0, std::uint64_t{1} << 32);
   }
   file.for_each("dependency", [&](const section& dependency_section, const std::string& title) {
     read_dependency(dependency_section, title, settings, dependencies);
   });
-  read_parts(file, settings.settings, dependencies);
+  read_parts(file, settings.policy_settings, dependencies);
   return dependencies;
 }
 
--- a/src/config/sections/fleet.cpp
+++ b/src/config/sections/fleet.cpp
@@ -25,8 +25,8 @@
   settings.retransmits = fleet.small_count("retransmits", 1, 32);
   settings.gossip_per_message = fleet.small_count("gossip_per_message", 1, 32);
   settings.refresh_per_message = fleet.small_count("refresh_per_message", 0, 32);
-  settings.health_most = fleet.small_count("health_most", 0, 64);
-  settings.reconnect_every = fleet.small_count("reconnect_every", 0, 1000);
+  settings.max_health_score = fleet.small_count("health_most", 0, 64);
+  settings.dead_member_probe_interval = fleet.small_count("reconnect_every", 0, 1000);
 }
 
 void read_votes(const section& fleet, fleet_config& settings) {
--- a/src/config/sections/keyed.cpp
+++ b/src/config/sections/keyed.cpp
@@ -27,13 +27,14 @@
     keyed.fail("uwsgi_var", "and thrift_field are both missing");
   if (configuration.uwsgi && settings.uwsgi_var.empty())
     keyed.fail("uwsgi_var", "is missing, but section uwsgi is set");
-  settings.longest_key = keyed.count("longest_key", 8, 1024);
+  settings.max_key_bytes = keyed.count("longest_key", 8, 1024);
 }
 
 void read_folder_bounds(const section& keyed, keyed_config& settings) {
-  settings.segment = keyed.bytes("segment", std::uint64_t{64} << 10, std::uint64_t{1} << 30);
-  settings.space = keyed.bytes("space", min_segments * settings.segment, std::uint64_t{1} << 50);
-  settings.entries = keyed.count("entries", 16, 100'000'000);
+  settings.segment_bytes = keyed.bytes("segment", std::uint64_t{64} << 10, std::uint64_t{1} << 30);
+  settings.max_folder_bytes =
+      keyed.bytes("space", min_segments * settings.segment_bytes, std::uint64_t{1} << 50);
+  settings.max_keys = keyed.count("entries", 16, 100'000'000);
 }
 
 void read_inquiries(const section& keyed, const config& configuration, keyed_config& settings) {
@@ -44,7 +45,7 @@
   if (!settings.inquiry_var.empty() && !configuration.uwsgi)
     keyed.fail("inquiry_var", "is set, but section uwsgi is missing");
   settings.inquiry_tries = keyed.small_count("inquiry_tries", 1, 100);
-  settings.inquiry_pause = keyed.duration("inquiry_pause", 1ms, 60s);
+  settings.inquiry_retry_delay = keyed.duration("inquiry_pause", 1ms, 60s);
 }
 
 }  // namespace
@@ -79,10 +80,10 @@
   keyed_settings.folder = keyed.required_text("folder");
   read_key_sources(keyed, settings, keyed_settings);
   read_folder_bounds(keyed, keyed_settings);
-  keyed_settings.finish_within = keyed.duration("finish_within", 0s, one_hour);
-  keyed_settings.retry_disk = keyed.duration("retry_disk", 10ms, one_hour);
+  keyed_settings.max_overrun = keyed.duration("finish_within", 0s, one_hour);
+  keyed_settings.disk_retry_interval = keyed.duration("retry_disk", 10ms, one_hour);
   read_inquiries(keyed, settings, keyed_settings);
-  keyed_settings.scrub = keyed.duration("scrub", 0s, longest_background_period);
+  keyed_settings.scrub_interval = keyed.duration("scrub", 0s, longest_background_period);
   if (!any_keyed(keyed_settings.windows)) keyed.fail(nullptr, "is set, but no class has keyed = yes");
   enable_durable_idempotency(settings, std::move(keyed_settings));
 }
--- a/src/config/sections/parts.cpp
+++ b/src/config/sections/parts.cpp
@@ -50,7 +50,7 @@
                                      const dependencies_config& dependencies) {
   upstream::sub_request_plan plan;
   plan.name = title;
-  plan.from = index_of_dependency(part, "from", part.required_text("from"), dependencies);
+  plan.dependency = index_of_dependency(part, "from", part.required_text("from"), dependencies);
   plan.required = part.flag("required");
   for (const std::string& text : part.texts("fallback"))
     plan.fallbacks.push_back(parse_fallback(part, text, dependencies));
--- a/src/config/sections/references.hpp
+++ b/src/config/sections/references.hpp
@@ -44,8 +44,8 @@
 // it is unknown.
 inline std::size_t index_of_dependency(const section& referring_section, const char* key,
                                        const std::string& name, const dependencies_config& dependencies) {
-  const std::size_t index = index_of_name(dependencies.endpoints, name);
-  if (index == dependencies.endpoints.size())
+  const std::size_t index = index_of_name(dependencies.upstreams, name);
+  if (index == dependencies.upstreams.size())
     referring_section.fail(key, "names an unknown dependency", name);
   return index;
 }
--- a/src/config/sections/writes.cpp
+++ b/src/config/sections/writes.cpp
@@ -31,16 +31,17 @@
     if (std::find(participants.begin(), participants.end(), index) != participants.end())
       class_section.fail("participants", "lists a dependency twice", name);
     participants.push_back(index);
-    if (dependencies.endpoints[index].one_phase) ++one_phase;
+    if (dependencies.upstreams[index].one_phase) ++one_phase;
   }
   if (one_phase > 1)
     class_section.fail("participants", "lists more than one dependency with one_phase = yes");
   return participants;
 }
 
-write_plan read_plan(const section& class_section, const std::string& title, const config& configuration) {
-  write_plan plan;
-  plan.request_class = index_of_title(class_section, configuration.settings.classes, title);
+transaction_plan read_plan(const section& class_section, const std::string& title,
+                           const config& configuration) {
+  transaction_plan plan;
+  plan.request_class = index_of_title(class_section, configuration.policy_settings.classes, title);
   if (!configuration.keyed || configuration.keyed->windows[plan.request_class].count() == 0)
     class_section.fail("participants", "needs keyed = yes, because a transaction is identified by its key");
   if (!configuration.dependencies)
@@ -51,8 +52,8 @@
   return plan;
 }
 
-std::vector<write_plan> read_plans(const parsed_file& file, const config& configuration) {
-  std::vector<write_plan> plans;
+std::vector<transaction_plan> read_plans(const parsed_file& file, const config& configuration) {
+  std::vector<transaction_plan> plans;
   file.for_each("class", [&](const section& class_section, const std::string& title) {
     if (class_section.has("participants")) plans.push_back(read_plan(class_section, title, configuration));
   });
@@ -61,13 +62,14 @@
 
 // Rejects a segment size for which the outcome of a transaction might not fit in a batch; the transaction
 // could then never end.
-void check_segment(const section& writes, const writes_config& settings, const config& configuration) {
-  for (const write_plan& plan : settings.plans) {
-    const std::uint64_t results =
-        plan.participants.size() * (configuration.bounds.result + configuration.bounds.response_head);
-    const std::uint64_t largest_batch = std::max<std::uint64_t>(results, configuration.bounds.write_buffer) +
-                                        configuration.keyed->longest_key + batch_overhead_bytes;
-    if (largest_batch > settings.segment / batches_per_segment)
+void check_segment(const section& writes, const transactions_config& settings, const config& configuration) {
+  for (const transaction_plan& plan : settings.plans) {
+    const std::uint64_t results = plan.participants.size() * (configuration.bounds.max_result_bytes +
+                                                              configuration.bounds.max_response_head_bytes);
+    const std::uint64_t largest_batch =
+        std::max<std::uint64_t>(results, configuration.bounds.max_write_buffer_bytes) +
+        configuration.keyed->max_key_bytes + batch_overhead_bytes;
+    if (largest_batch > settings.segment_bytes / batches_per_segment)
       writes.fail("segment", "is too small for the results of all participants of a class",
                   writes.text("segment"));
   }
@@ -86,7 +88,7 @@
 }
 
 void read_writes(const parsed_file& file, config& settings) {
-  writes_config writes_settings;
+  transactions_config writes_settings;
   writes_settings.plans = read_plans(file, settings);
   if (writes_settings.plans.empty()) return;
   if (!file.has("writes")) file.fail("writes", "is missing, but a class has participants");
@@ -94,16 +96,16 @@
   writes_settings.folder = writes.required_text("folder");
   writes_settings.step_var = writes.required_text("step_var");
   writes_settings.id_var = writes.required_text("id_var");
-  writes_settings.segment = writes.bytes("segment", std::uint64_t{1} << 20, std::uint64_t{1} << 30);
+  writes_settings.segment_bytes = writes.bytes("segment", std::uint64_t{1} << 20, std::uint64_t{1} << 30);
   check_segment(writes, writes_settings, settings);
   // Compaction needs free segments to copy live records to.
-  writes_settings.space =
-      writes.bytes("space", store::least_segments * writes_settings.segment, std::uint64_t{1} << 50);
-  writes_settings.retry = writes.duration("retry", 10ms, 60s);
-  writes_settings.longest_retry = writes.duration("longest_retry", writes_settings.retry, one_hour);
-  writes_settings.outcomes = writes.count("outcomes", 1, 100'000'000);
-  writes_settings.scrub = writes.duration("scrub", 0s, longest_background_period);
-  settings.writes = std::move(writes_settings);
+  writes_settings.max_folder_bytes =
+      writes.bytes("space", store::min_segments * writes_settings.segment_bytes, std::uint64_t{1} << 50);
+  writes_settings.retry_delay = writes.duration("retry", 10ms, 60s);
+  writes_settings.max_retry_delay = writes.duration("longest_retry", writes_settings.retry_delay, one_hour);
+  writes_settings.max_outcomes = writes.count("outcomes", 1, 100'000'000);
+  writes_settings.scrub_interval = writes.duration("scrub", 0s, longest_background_period);
+  settings.transactions = std::move(writes_settings);
 }
 
 }  // namespace marblewharf::sections
--- a/src/core/admission.cpp
+++ b/src/core/admission.cpp
@@ -45,7 +45,7 @@
   admission_policy::arrival event;
   event.id = fact.id;
   event.duplicate_of = fact.duplicate_of;
-  event.key = details.subject;
+  event.key = details.resource_id;
   event.reserved_kb = details.reserved_kb;
   event.expected_work = details.expected_work;
   event.read_delay = details.read_delay;
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -27,7 +27,7 @@
       coalescer_(requests_, admission_, settings_, counters, now),
       now_(now) {}
 
-void dispatcher::use(idempotency_store& store, duration finish_within) {
+void dispatcher::enable_idempotency(idempotency_store& store, duration finish_within) {
   coalescer_.set_store(store, finish_within);
 }
 
@@ -43,10 +43,10 @@
 
 request_id dispatcher::on_arrival(front& receiving_front, backend& target_backend, request details) {
   any_request_arrived_ = true;
-  ++counters_.taken_in;
+  ++counters_.received_requests;
   request_entry& entry = requests_.add(receiving_front, target_backend, std::move(details));
   const request_id id = entry.id;
-  entry.details.arrived = now_ - entry.details.read_delay;
+  entry.details.arrival_time = now_ - entry.details.read_delay;
   if (arrival_observer_) arrival_observer_(entry.details);
   if (coalescer_.handles(entry.details)) {
     coalescer_.on_arrival(entry);
@@ -69,7 +69,7 @@
   if (entry->stage == request_stage::queued) requests_.remove(id);
 }
 
-void dispatcher::on_end(request_id id, run_end end, std::string_view result, duration elapsed) {
+void dispatcher::on_run_ended(request_id id, run_end end, std::string_view result, duration elapsed) {
   request_entry* entry = find_started(id);
   if (entry == nullptr) return;
   if (entry->role == request_role::primary) {
@@ -103,15 +103,15 @@
   requests_.remove(id);
 }
 
-void dispatcher::on_call_needed(request_id id) {
+void dispatcher::on_dependency_call_needed(request_id id) {
   if (find_started(id) != nullptr) admission_.report(call_needed{id});
 }
 
-void dispatcher::on_call_ended(request_id id, duration elapsed) {
+void dispatcher::on_dependency_call_ended(request_id id, duration elapsed) {
   if (find_started(id) != nullptr) admission_.report(call_completed{id, elapsed});
 }
 
-void dispatcher::on_inquired(request_id id, inquiry_end end, std::string_view result) {
+void dispatcher::on_inquiry_reply(request_id id, inquiry_outcome end, std::string_view result) {
   coalescer_.on_inquired(id, end, result);
 }
 
@@ -171,7 +171,7 @@
   }
   if (entry->answered) return;
   entry->stage = request_stage::started;
-  ++counters_.sent;
+  ++counters_.started_runs;
   entry->target_backend.run(decision.id, entry->details);
 }
 
--- a/src/core/dispatcher.hpp
+++ b/src/core/dispatcher.hpp
@@ -31,12 +31,12 @@
   dispatcher& operator=(const dispatcher&) = delete;
 
   // Adds a front that is to receive close_idle() calls. The front outlives this object.
-  void add(front& idle_closing_front) { fronts_.push_back(&idle_closing_front); }
+  void add_front(front& idle_closing_front) { fronts_.push_back(&idle_closing_front); }
 
   // Enables idempotency: from now on duplicates of keyed requests are coalesced and results are stored. A
   // keyed run whose request was answered as failed continues for `finish_within` before a stop decision takes
   // effect, because stopping the run would make its outcome unknown.
-  void use(idempotency_store& store, duration finish_within);
+  void enable_idempotency(idempotency_store& store, duration finish_within);
 
   // The server behind this node reports that it is up, since when, and whether its start was cold. Before
   // this report the dispatcher assumes a cold start.
@@ -46,14 +46,14 @@
   request_id on_arrival(front& receiving_front, backend& target_backend, request details);
   void on_client_cancelled(request_id id);
   // A run ended. `result`: the result of a run that succeeded. Ignored for a request that was not started.
-  void on_end(request_id id, run_end end, std::string_view result, duration elapsed);
+  void on_run_ended(request_id id, run_end end, std::string_view result, duration elapsed);
   // The backend did not begin a run because it lacks capacity: the request is answered as rejected.
   void on_backend_rejected(request_id id, duration retry_after);
   // A run has to make its dependency call before it can continue; that call ended, successfully or not.
-  void on_call_needed(request_id id);
-  void on_call_ended(request_id id, duration elapsed);
+  void on_dependency_call_needed(request_id id);
+  void on_dependency_call_ended(request_id id, duration elapsed);
   // The backend's reply to backend::inquire().
-  void on_inquired(request_id id, inquiry_end end, std::string_view result);
+  void on_inquiry_reply(request_id id, inquiry_outcome end, std::string_view result);
 
   // ---- Events of the node ---------------------------------------------------------------------------------
   // The process is killed after `time_left`.
@@ -61,7 +61,7 @@
   // Sets the limits of this node's share of the cluster's quotas. They apply from the next step on.
   void on_quota_update(const quota_update& update);
   // Calls `observer` for each request that arrives.
-  void watch_arrivals(std::function<void(const request&)> observer) {
+  void set_arrival_observer(std::function<void(const request&)> observer) {
     arrival_observer_ = std::move(observer);
   }
 
@@ -78,7 +78,7 @@
 
   bool healthy() const { return healthy_; }
   bool draining() const { return draining_; }
-  std::size_t open() const { return requests_.size(); }
+  std::size_t open_requests() const { return requests_.size(); }
   // The number of open requests that were neither answered nor cancelled. Iterates over all open requests.
   std::size_t count_unanswered() const { return requests_.count_unanswered(); }
 
--- a/src/core/duplicate_coalescer.cpp
+++ b/src/core/duplicate_coalescer.cpp
@@ -100,7 +100,7 @@
     return;
   }
   primary->group->stage = group_stage::running;
-  ++counters_.sent;
+  ++counters_.started_runs;
   primary->target_backend.run(primary_id, primary->details);
 }
 
@@ -280,16 +280,16 @@
   close_group(primary, answer_outcome_unknown, run_end::failed);
 }
 
-void duplicate_coalescer::on_inquired(request_id primary_id, inquiry_end end, std::string_view result) {
+void duplicate_coalescer::on_inquired(request_id primary_id, inquiry_outcome end, std::string_view result) {
   request_entry* primary = find_primary(primary_id, group_stage::inquiring);
   if (primary == nullptr) return;
   switch (end) {
-    case inquiry_end::result: record_result(*primary, true, result); return;
-    case inquiry_end::never_ran:
+    case inquiry_outcome::completed: record_result(*primary, true, result); return;
+    case inquiry_outcome::never_ran:
       store_->release_key(primary_id);
       close_group(*primary, answer_retry_soon, run_end::never_started);
       return;
-    case inquiry_end::unknown: break;
+    case inquiry_outcome::unknown: break;
   }
   const duration delay = store_->schedule_inquiry_retry(primary_id);
   if (delay.count() > 0) {
--- a/src/core/duplicate_coalescer.hpp
+++ b/src/core/duplicate_coalescer.hpp
@@ -40,7 +40,7 @@
   void on_client_cancelled(request_entry& entry);
   void on_run_ended(request_entry& primary, run_end end, std::string_view result, duration elapsed);
   void on_backend_rejected(request_entry& primary, const answer& final_answer);
-  void on_inquired(request_id primary_id, inquiry_end end, std::string_view result);
+  void on_inquired(request_id primary_id, inquiry_outcome end, std::string_view result);
 
   // ---- Decisions of the policy ----------------------------------------------------------------------------
   void start_primary(request_entry& primary);
--- a/src/core/idempotency_store.hpp
+++ b/src/core/idempotency_store.hpp
@@ -5,7 +5,7 @@
 
 #include <string_view>
 
-#include "core/key_claim.hpp"
+#include "core/claim_status.hpp"
 #include "core/request.hpp"
 
 namespace marblewharf {
--- a/src/core/request.hpp
+++ b/src/core/request.hpp
@@ -14,16 +14,16 @@
 using admission_policy::time_point;
 
 struct request {
-  std::string label;    // operation name that the backend expects
-  std::string payload;  // passed to the backend unchanged
+  std::string operation;  // operation name that the backend expects
+  std::string payload;    // passed to the backend unchanged
   unsigned request_class = 0;
   unsigned tenant = 0;
   unsigned caller = 0;
-  std::uint64_t subject = 0;      // identifies the object that the request reads; 0 = not stated
+  std::uint64_t resource_id = 0;  // identifies the object that the request reads; 0 = not stated
   double reserved_kb = 0;         // memory that the request occupies while it is queued, KB
   duration expected_work{};       // estimated work on one core; 0 = not stated
   duration read_delay{};          // from arrival at the host until the process reads the request
-  time_point arrived{};           // at the host, on the dispatcher's clock
+  time_point arrival_time{};      // at the host, on the dispatcher's clock
   double rank = 0;                // position among requests of the same class, 0 to 1
   std::string key;                // idempotency key of the client; empty: the request has none
   std::uint64_t fingerprint = 0;  // hash of the request's content; equal for all duplicates of a request
--- a/src/core/vocabulary.hpp
+++ b/src/core/request_name_index.hpp
@@ -10,13 +10,13 @@
 
 namespace marblewharf {
 
-class vocabulary {
+class request_name_index {
  public:
   // Starts without names and adds each name that is looked up.
-  vocabulary() = default;
+  request_name_index() = default;
 
   // Has exactly the names that the settings list.
-  explicit vocabulary(const admission_policy::settings& settings) : adds_names_(false) {
+  explicit request_name_index(const admission_policy::settings& settings) : adds_names_(false) {
     for (const auto& request_class : settings.classes) classes.push_back(request_class.name);
     for (const auto& tenant : settings.tenants) tenants.push_back(tenant.name);
   }
--- a/src/core/request_table.cpp
+++ b/src/core/request_table.cpp
@@ -20,7 +20,7 @@
 std::uint64_t& counter_of(telemetry::counters& counters, response_status status) {
   switch (status) {
     case response_status::served: return counters.served;
-    case response_status::rejected: return counters.refused;
+    case response_status::rejected: return counters.rejected;
     case response_status::failed: break;
   }
   return counters.failed;
--- a/src/failover/locality.hpp
+++ b/src/failover/locality.hpp
@@ -18,7 +18,7 @@
 
 // The locality of an endpoint relative to the caller: same zone, same region or elsewhere.
 enum class level : std::uint8_t { zone = 0, region = 1, rest = 2 };
-inline constexpr std::size_t levels = 3;
+inline constexpr std::size_t level_count = 3;
 
 struct locality_options {
   // A level keeps all its calls if at least 1/overprovisioning of its endpoints are available.
@@ -26,7 +26,7 @@
   // If a smaller fraction of all endpoints is available, panic is possible; see shares_of().
   double panic_threshold = 0.5;
   // An endpoint with this many calls in flight counts as unavailable; 0: no limit.
-  unsigned most_each = 0;
+  unsigned max_calls_per_endpoint = 0;
 };
 
 struct place {
@@ -34,14 +34,14 @@
   std::string region;
 };
 
-struct endpoint_state {
+struct endpoint_availability {
   level where = level::rest;
-  bool able = true;  // whether the endpoint is available, that is, can accept a call
+  bool available = true;  // whether the endpoint is available, that is, can accept a call
 };
 
 struct level_shares {
-  std::array<double, levels> share{};  // by level; the sum is 1, or 0 if there are no endpoints
-  bool panic = false;                  // calls are spread equally over all endpoints, available or not
+  std::array<double, level_count> share{};  // by level; the sum is 1, or 0 if there are no endpoints
+  bool panic = false;                       // calls are spread equally over all endpoints, available or not
 };
 
 level level_of(const place& caller, const place& endpoint);
@@ -52,9 +52,10 @@
 // add up to less than 1 and a smaller fraction than panic_threshold of all endpoints is available; the share
 // of a level is then its fraction of all endpoints. A zone that is cut off while its own endpoints are
 // healthy covers all calls and therefore does not panic.
-level_shares shares_of(std::span<const endpoint_state> endpoints, const locality_options& options = {});
+level_shares shares_of(std::span<const endpoint_availability> endpoints,
+                       const locality_options& options = {});
 
 // Selects the level for one call; `uniform` is in [0, 1). Returns nullopt if all shares are 0.
-std::optional<level> draw(const level_shares& shares, double uniform);
+std::optional<level> draw_level(const level_shares& shares, double uniform);
 
 }  // namespace marblewharf::failover
--- a/src/fan_out/client.cpp
+++ b/src/fan_out/client.cpp
@@ -19,7 +19,7 @@
 constexpr const char* path_var = "PATH_INFO";
 
 std::vector<std::optional<std::size_t>> plans_by_class(const config& settings) {
-  const auto& classes = settings.settings.classes;
+  const auto& classes = settings.policy_settings.classes;
   const std::vector<upstream::request_plan>& plans = settings.dependencies->plans;
   std::vector<std::optional<std::size_t>> by_class(classes.size());
   for (std::size_t plan = 0; plan < plans.size(); ++plan) {
@@ -45,7 +45,7 @@
   constexpr unsigned last_success_status = 299;
   constexpr unsigned too_many_requests_status = 429;
   constexpr unsigned unavailable_status = 503;
-  if (end != uwsgi::exchange_end::whole) return {};
+  if (end != uwsgi::exchange_end::complete) return {};
   if (head->status >= first_success_status && head->status <= last_success_status)
     return {call_result::succeeded, {}, std::string(response.substr(head->size))};
   if (head->status == unavailable_status || head->status == too_many_requests_status)
@@ -62,8 +62,8 @@
       config_(settings),
       dispatcher_(request_dispatcher),
       next_backend_(next_backend),
-      state_machine_(settings.dependencies->plans, settings.dependencies->rules, settings.dependencies->cache,
-                     settings.seed),
+      state_machine_(settings.dependencies->plans, settings.dependencies->rules,
+                     settings.dependencies->cache_bytes, settings.seed),
       plan_of_class_(plans_by_class(settings)) {}
 
 client::~client() = default;
@@ -77,7 +77,7 @@
     return;
   }
   runs_[id] = {client_request, *plan, net::steady_now(), {}, false};
-  dispatcher_.on_call_needed(id);
+  dispatcher_.on_dependency_call_needed(id);
   reactor_.wake();
 }
 
@@ -87,7 +87,7 @@
   const run_state& run = found->second;
   const time_point now = net::steady_now();
   const time_point deadline = upstream::response_deadline(
-      run.client_request, config_.settings.classes[run.client_request.request_class],
+      run.client_request, config_.policy_settings.classes[run.client_request.request_class],
       state_machine_.plan_at(run.plan).reserve);
   begin_fan_out(id, std::min(now + limit, std::max(now, deadline)));
 }
@@ -119,7 +119,7 @@
   runs_.erase(found);
   apply_actions();
   reactor_.wake();
-  dispatcher_.on_end(id, run_end::aborted, {}, elapsed);
+  dispatcher_.on_run_ended(id, run_end::aborted, {}, elapsed);
 }
 
 void client::resume(request_id id) {
@@ -127,9 +127,9 @@
 }
 
 time_point client::step(time_point now) {
-  if (state_machine_.due() <= now) state_machine_.step(now);
+  if (state_machine_.next_timer_at() <= now) state_machine_.step(now);
   apply_actions();
-  return state_machine_.due();
+  return state_machine_.next_timer_at();
 }
 
 // ---- Actions ----------------------------------------------------------------------------------------------
@@ -156,7 +156,7 @@
   const std::string& budget_var = config_.dependencies->budget_var;
   if (!budget_var.empty())
     replace_var(budget_var, std::to_string(start.budget / std::chrono::milliseconds(1)));
-  const std::string& path = config_.dependencies->endpoints[start.dependency].path;
+  const std::string& path = config_.dependencies->upstreams[start.dependency].path;
   if (!path.empty()) replace_var(path_var, path);
   return uwsgi::encode_packet(vars, packet->body);
 }
@@ -164,14 +164,14 @@
 void client::apply(const start_call& start) {
   const auto found = runs_.find(start.request);
   if (found == runs_.end()) return;
-  const dependency_config& dependency = config_.dependencies->endpoints[start.dependency];
+  const dependency_config& dependency = config_.dependencies->upstreams[start.dependency];
   const call_id id = start.id;
   const auto on_end = [this, id](uwsgi::exchange_end end, const uwsgi::response_head* head,
                                  std::string_view response) { on_exchange_ended(id, end, head, response); };
   std::string bytes = encode_call(found->second.client_request, start);
   try {
-    calls_[id] = std::make_shared<uwsgi::exchange>(reactor_, config_.bounds, dependency.at[start.endpoint],
-                                                   std::move(bytes), on_end);
+    calls_[id] = std::make_shared<uwsgi::exchange>(
+        reactor_, config_.bounds, dependency.endpoints[start.endpoint], std::move(bytes), on_end);
   } catch (const Poco::Exception& e) {
     log("dependency", "%s: connecting to an endpoint failed: %s; the call counts as failed",
         dependency.name.c_str(), e.displayText().c_str());
@@ -194,19 +194,19 @@
   const run_state run = std::move(found->second);
   runs_.erase(found);
   const time_point now = net::steady_now();
-  dispatcher_.on_call_ended(finished.id, now - run.fan_out_begun_at);
+  dispatcher_.on_dependency_call_ended(finished.id, now - run.fan_out_begun_at);
   reactor_.wake();
   const duration elapsed = now - run.begun_at;
   if (finished.missing_required) {
-    dispatcher_.on_end(finished.id, run_end::failed, {}, elapsed);
+    dispatcher_.on_run_ended(finished.id, run_end::failed, {}, elapsed);
     return;
   }
   const std::string response = assemble_response(state_machine_.plan_at(run.plan), finished.parts);
-  dispatcher_.on_end(finished.id, run_end::succeeded, response, elapsed);
+  dispatcher_.on_run_ended(finished.id, run_end::succeeded, response, elapsed);
 }
 
 void client::apply(const endpoint_changed& change) {
-  log("dependency", "%s: endpoint %zu %s", config_.dependencies->endpoints[change.dependency].name.c_str(),
+  log("dependency", "%s: endpoint %zu %s", config_.dependencies->upstreams[change.dependency].name.c_str(),
       change.endpoint, change.reason.c_str());
 }
 
@@ -226,19 +226,19 @@
 
 // ---- Reachability and statistics --------------------------------------------------------------------------
 
-void client::routes_changed(const std::function<bool(const std::string&)>& routable) {
-  for (std::size_t dependency = 0; dependency < config_.dependencies->endpoints.size(); ++dependency) {
-    const std::vector<std::string>& places = config_.dependencies->endpoints[dependency].places;
+void client::update_reachability(const std::function<bool(const std::string&)>& routable) {
+  for (std::size_t dependency = 0; dependency < config_.dependencies->upstreams.size(); ++dependency) {
+    const std::vector<std::string>& places = config_.dependencies->upstreams[dependency].places;
     for (std::size_t i = 0; i < places.size(); ++i)
       state_machine_.set_reachable(dependency, i, routable(places[i]));
   }
 }
 
-std::string client::figures() const {
-  constexpr std::array<const char*, failover::levels> level_names = {"zone", "region", "rest"};
+std::string client::statistics() const {
+  constexpr std::array<const char*, failover::level_count> level_names = {"zone", "region", "rest"};
   std::string lines;
-  for (std::size_t i = 0; i < config_.dependencies->endpoints.size(); ++i) {
-    const dependency_config& dependency = config_.dependencies->endpoints[i];
+  for (std::size_t i = 0; i < config_.dependencies->upstreams.size(); ++i) {
+    const dependency_config& dependency = config_.dependencies->upstreams[i];
     if (dependency.places.empty()) continue;
     const auto& calls_by_level = state_machine_.counts(i).calls_by_level;
     for (std::size_t level = 0; level < calls_by_level.size(); ++level)
@@ -248,10 +248,10 @@
   return lines;
 }
 
-void client::print() const {
-  for (std::size_t i = 0; i < config_.dependencies->endpoints.size(); ++i) {
+void client::log_counters() const {
+  for (std::size_t i = 0; i < config_.dependencies->upstreams.size(); ++i) {
     const dependency_counts& counts = state_machine_.counts(i);
-    std::string line = config_.dependencies->endpoints[i].name;
+    std::string line = config_.dependencies->upstreams[i].name;
     const auto add = [&line](const char* name, std::uint64_t value) {
       line += std::string(" ") + name + "=" + std::to_string(value);
     };
--- a/src/fan_out/client.hpp
+++ b/src/fan_out/client.hpp
@@ -49,24 +49,24 @@
   std::size_t running() const { return runs_.size(); }
   const state_machine& machine() const { return state_machine_; }
   // Logs a line of counters for each dependency.
-  void print() const;
+  void log_counters() const;
   // Updates the reachability of the endpoints after a change in the cluster. `routable`: returns whether
   // calls may go to a place (a zone or a member).
-  void routes_changed(const std::function<bool(const std::string&)>& routable);
+  void update_reachability(const std::function<bool(const std::string&)>& routable);
   // Sets this node's quota share of calls in flight at a dependency.
   void set_share(std::size_t dependency, double share) { state_machine_.set_share(dependency, share); }
   // The current use of a dependency's calls, and the demand for more.
-  struct calls {
+  struct call_load {
     std::size_t in_flight = 0;
     std::size_t waiting = 0;
-    std::uint64_t turned_away = 0;  // rejected for lack of capacity since the start of the process
+    std::uint64_t rejected = 0;  // rejected for lack of capacity since the start of the process
   };
-  calls calls_at(std::size_t dependency) const {
+  call_load calls_at(std::size_t dependency) const {
     return {state_machine_.in_flight(dependency), state_machine_.waiting(dependency),
             state_machine_.counts(dependency).without_capacity};
   }
   // Lines for the console command show-stat: calls by locality level, for dependencies with known places.
-  std::string figures() const;
+  std::string statistics() const;
 
  private:
   struct run_state {
--- a/src/fan_out/dependency_state.cpp
+++ b/src/fan_out/dependency_state.cpp
@@ -41,8 +41,8 @@
   endpoints_.on_start(endpoint);
   ++in_flight_;
   ++counts_.calls;
-  if (!rules_.near.where.empty())
-    ++counts_.calls_by_level[static_cast<std::size_t>(rules_.near.where[endpoint])];
+  if (!rules_.near.levels.empty())
+    ++counts_.calls_by_level[static_cast<std::size_t>(rules_.near.levels[endpoint])];
 }
 
 void dependency_state::on_call_ended(std::size_t endpoint, time_point now, duration elapsed,
--- a/src/fan_out/messages.hpp
+++ b/src/fan_out/messages.hpp
@@ -90,7 +90,7 @@
   std::chrono::nanoseconds stale_age{};      // sum over all stale sub-responses
   std::chrono::nanoseconds time_in_calls{};  // sum over all calls
   // Calls by locality level, if the places are known.
-  std::array<std::uint64_t, failover::levels> calls_by_level{};
+  std::array<std::uint64_t, failover::level_count> calls_by_level{};
 };
 
 }  // namespace marblewharf::fan_out
--- a/src/fan_out/state_machine.cpp
+++ b/src/fan_out/state_machine.cpp
@@ -54,7 +54,7 @@
   const std::size_t source = sub_request_of(id, part).source;
   const upstream::sub_request_plan& plan = plans_[find(id)->plan].parts[part];
   if (source == 0) {
-    try_dependency(id, part, plan.from, now);
+    try_dependency(id, part, plan.dependency, now);
     return;
   }
   if (source > plan.fallbacks.size()) {
@@ -62,11 +62,11 @@
     return;
   }
   const upstream::fallback& fallback = plan.fallbacks[source - 1];
-  switch (fallback.what) {
-    case upstream::fallback::kind::dependency: try_dependency(id, part, fallback.from, now); break;
-    case upstream::fallback::kind::stale: try_stale(id, part, fallback.oldest, now); break;
+  switch (fallback.type) {
+    case upstream::fallback::kind::dependency: try_dependency(id, part, fallback.dependency, now); break;
+    case upstream::fallback::kind::stale: try_stale(id, part, fallback.max_age, now); break;
     case upstream::fallback::kind::fixed:
-      complete(id, part, {sub_response_state::fallback, {}, fallback.bytes}, now);
+      complete(id, part, {sub_response_state::fallback, {}, fallback.fixed_response}, now);
       break;
   }
 }
@@ -83,7 +83,7 @@
 
 void state_machine::try_stale(fan_out_id id, std::size_t part, duration max_age, time_point now) {
   const open_request& request = *find(id);
-  const std::size_t dependency = plans_[request.plan].parts[part].from;
+  const std::size_t dependency = plans_[request.plan].parts[part].dependency;
   if (const auto cached = cache_.get(dependency, request.subject, max_age, now)) {
     complete(id, part, {sub_response_state::stale, cached->age, *cached->bytes}, now);
   } else {
@@ -105,7 +105,7 @@
   cancel_calls(sub, now);
   sub.done = true;
   sub.response = std::move(response);
-  count_response(plan.from, sub.response);
+  count_response(plan.dependency, sub.response);
   --request.open_sub_requests;
   if (sub.response.state == sub_response_state::missing && plan.required) {
     finish(id, part, now);
--- a/src/fan_out/state_machine.hpp
+++ b/src/fan_out/state_machine.hpp
@@ -65,7 +65,7 @@
   // Runs the timers that are due.
   void step(time_point now);
   // The time of the next timer; time_point::max() if there is none.
-  time_point due() const { return timers_.empty() ? time_point::max() : timers_.begin()->first; }
+  time_point next_timer_at() const { return timers_.empty() ? time_point::max() : timers_.begin()->first; }
 
   // Returns the next action to carry out. None: there is nothing to do until the next event.
   std::optional<action> next_action();
--- a/src/fronts/end_connections.hpp
+++ b/src/fronts/end_connections.hpp
@@ -7,13 +7,13 @@
 
 // Ends each connection on which no answer is pending; the front discards bytes that arrive on an ended
 // connection. Returns whether all connections are ended. `Connection` has the members ended(), end() and
-// owes_answer(); the latter is also true if a request has not been read yet.
+// has_pending_answer(); the latter is also true if a request has not been read yet.
 template <typename Connection>
 bool end_connections(net::connections<Connection>& connections) {
   bool all_ended = true;
   connections.each([&](Connection& connection) {
     if (connection.ended()) return;
-    if (connection.owes_answer()) {
+    if (connection.has_pending_answer()) {
       all_ended = false;
     } else {
       connection.end();
--- a/src/idempotency/deferred_service.hpp
+++ b/src/idempotency/deferred_service.hpp
@@ -15,12 +15,12 @@
       : retry_after_(retry_after), counters_(counters) {}
 
   // Forwards all calls to `store` from now on. `store` must outlive this object.
-  void take(idempotency_store& store) { store_ = &store; }
-  bool open() const { return store_ != nullptr; }
+  void open_with(idempotency_store& store) { store_ = &store; }
+  bool is_open() const { return store_ != nullptr; }
 
   claim_result claim(request_id id, const request& claimant) override {
     if (store_ != nullptr) return store_->claim(id, claimant);
-    ++counters_.no_room;
+    ++counters_.rejected_for_key_capacity;
     return {.status = claim_status::no_capacity, .retry_after = retry_after_};
   }
 
--- a/src/idempotency/durable_service.cpp
+++ b/src/idempotency/durable_service.cpp
@@ -17,11 +17,11 @@
 
 key_table_options table_options_of(const durable_service_options& options) {
   key_table_options table;
-  table.entries = options.entries;
-  table.open = options.open;
-  table.max_intent_bytes = max_intent_bytes(options.longest_key, longest_name_bytes(options.tenants),
+  table.max_keys = options.max_keys;
+  table.max_open_keys = options.max_open_keys;
+  table.max_intent_bytes = max_intent_bytes(options.max_key_bytes, longest_name_bytes(options.tenants),
                                             longest_name_bytes(options.classes));
-  table.max_result_bytes = max_result_bytes(options.largest_result);
+  table.max_result_bytes = max_result_bytes(options.max_result_bytes);
   table.retry_disk = options.retry_disk;
   table.inquiry_tries = options.inquiry_tries;
   table.inquiry_pause = options.inquiry_pause;
@@ -94,8 +94,9 @@
 
 void durable_service::start_committer(std::unique_ptr<store::log> log, std::function<void()> notify) {
   store::committer_options committer_options;
-  committer_options.queue = 2 * options_.open + options_.reads;  // an intent and a result for each open key
-  committer_options.batch = options_.commit_records;
+  committer_options.queue =
+      2 * options_.max_open_keys + options_.max_concurrent_reads;  // an intent and a result for each open key
+  committer_options.max_batch_records = options_.commit_records;
   committer_options.retry = options_.retry_disk;
   const auto clock_now = [clock = clock_] {
     return clock.at(std::chrono::steady_clock::now().time_since_epoch());
@@ -111,8 +112,8 @@
   std::vector<store::committer::done> completed;
   const store::committer::disk_status status = committer_->collect(completed);
   table_.set_disk({status.writable, status.free_bytes, status.next_expiry});
-  counters_.results_bytes = status.used_bytes;
-  counters_.results_commits = status.commits;
+  counters_.stored_bytes = status.used_bytes;
+  counters_.store_commits = status.commits;
   for (const store::committer::done& done : completed) {
     if (done.operation == store::committer::kind::write) {
       on_written(done.ticket, done);
@@ -212,7 +213,8 @@
   if (reader == readers_.end()) return;
   const std::uint64_t ticket = ++last_ticket_;
   reads_.emplace(ticket, id);
-  const bool accepted = reads_.size() <= options_.reads && committer_->read(ticket, reader->second.result_at);
+  const bool accepted =
+      reads_.size() <= options_.max_concurrent_reads && committer_->read(ticket, reader->second.result_at);
   if (accepted) return;
   reads_.erase(ticket);
   readers_.erase(reader);
--- a/src/idempotency/durable_service.hpp
+++ b/src/idempotency/durable_service.hpp
@@ -24,12 +24,12 @@
   // Names by number. Keys are scoped by names, so that numbers may change between restarts.
   std::vector<std::string> classes;
   std::vector<std::string> tenants;
-  std::size_t longest_key = 255;      // bytes
-  std::size_t largest_result = 4096;  // bytes
-  std::size_t entries = 1'000'000;    // maximum number of known keys
+  std::size_t max_key_bytes = 255;      // bytes
+  std::size_t max_result_bytes = 4096;  // bytes
+  std::size_t max_keys = 1'000'000;     // maximum number of known keys
   // Maximum number of open keys. A key is open from the arrival of its request to the result.
-  std::size_t open = 1024;
-  std::size_t reads = 1024;                        // maximum number of concurrent reads of results
+  std::size_t max_open_keys = 1024;
+  std::size_t max_concurrent_reads = 1024;         // maximum number of concurrent reads of results
   std::uint64_t segment = std::uint64_t{8} << 20;  // bytes of a segment file
   std::uint64_t space = std::uint64_t{1} << 30;    // bytes of the folder
   std::chrono::nanoseconds retry_disk = std::chrono::milliseconds(500);  // delay after a failed write
--- a/src/idempotency/fingerprint.cpp
+++ b/src/idempotency/fingerprint.cpp
@@ -11,7 +11,7 @@
   return hash;
 }
 
-const char* fault_of_key(std::string_view key, std::size_t max_bytes) {
+const char* key_error(std::string_view key, std::size_t max_bytes) {
   if (key.empty()) return "no key";
   return key.size() > max_bytes ? "a key that is too long" : nullptr;
 }
--- a/src/idempotency/fingerprint.hpp
+++ b/src/idempotency/fingerprint.hpp
@@ -13,6 +13,6 @@
 
 // Returns why a client's key is invalid, as a text for the client, or null if it is valid. A key may contain
 // any bytes.
-const char* fault_of_key(std::string_view key, std::size_t max_bytes);
+const char* key_error(std::string_view key, std::size_t max_bytes);
 
 }  // namespace marblewharf::idempotency
--- a/src/idempotency/key_table.cpp
+++ b/src/idempotency/key_table.cpp
@@ -75,7 +75,7 @@
   if (known.state == key_state::completed)
     return {.status = claim_status::completed, .result_at = known.result_at};
   const bool may_inquire = options_.inquiry_tries > 0 && now >= known.inquire_after;
-  const bool can_record_result = can_reserve(options_.max_result_bytes) && open_ < options_.open;
+  const bool can_record_result = can_reserve(options_.max_result_bytes) && open_ < options_.max_open_keys;
   if (!may_inquire || !can_record_result) return {.status = claim_status::outcome_unknown};
   enter(known, key_state::inquiring);
   known.primary = id;
@@ -85,7 +85,7 @@
 key_claim key_table::claim_new(const key_id& key, std::uint64_t fingerprint, request_id id,
                                std::chrono::nanoseconds window, aging_time now) {
   const bool has_capacity = can_reserve(bytes_to_reserve(key_state::queued)) &&
-                            entries_.size() < options_.entries && open_ < options_.open;
+                            entries_.size() < options_.max_keys && open_ < options_.max_open_keys;
   if (!has_capacity) return no_capacity(now);
   entry added;
   added.fingerprint = fingerprint;
@@ -109,7 +109,7 @@
   std::chrono::nanoseconds wait = min_retry_after;
   if (!disk_.writable) {
     wait = std::max(wait, options_.retry_disk);
-  } else if (open_ < options_.open && disk_.next_segment_expiry > now) {
+  } else if (open_ < options_.max_open_keys && disk_.next_segment_expiry > now) {
     wait = std::max(wait, std::chrono::nanoseconds(disk_.next_segment_expiry - now));
   }
   return {.status = claim_status::no_capacity, .retry_after = wait};
--- a/src/idempotency/key_table.hpp
+++ b/src/idempotency/key_table.hpp
@@ -8,7 +8,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/key_claim.hpp"
+#include "core/claim_status.hpp"
 #include "core/request.hpp"
 #include "store/position.hpp"
 
@@ -64,8 +64,8 @@
 };
 
 struct key_table_options {
-  std::size_t entries = 1'000'000;  // maximum number of known keys
-  std::size_t open = 2048;          // maximum number of open keys: neither completed nor of unknown outcome
+  std::size_t max_keys = 1'000'000;  // maximum number of known keys
+  std::size_t max_open_keys = 2048;  // maximum number of open keys: neither completed nor of unknown outcome
   std::uint64_t max_intent_bytes = 0;                                    // size of the largest intent on disk
   std::uint64_t max_result_bytes = 0;                                    // size of the largest result on disk
   std::chrono::nanoseconds retry_disk = std::chrono::milliseconds(500);  // delay after a failed write
--- a/src/idempotency/key_table_service.cpp
+++ b/src/idempotency/key_table_service.cpp
@@ -28,11 +28,11 @@
   switch (status) {
     case claim_status::primary:
     case claim_status::inquiry_primary: break;
-    case claim_status::coalesced: ++counters_.repeats_joined; break;
-    case claim_status::completed: ++counters_.repeats_answered; break;
-    case claim_status::outcome_unknown: ++counters_.repeats_in_doubt; break;
+    case claim_status::coalesced: ++counters_.coalesced_duplicates; break;
+    case claim_status::completed: ++counters_.answered_duplicates; break;
+    case claim_status::outcome_unknown: ++counters_.duplicates_of_unknown_outcome; break;
     case claim_status::key_conflict: ++counters_.key_conflicts; break;
-    case claim_status::no_capacity: ++counters_.no_room; break;
+    case claim_status::no_capacity: ++counters_.rejected_for_key_capacity; break;
   }
 }
 
@@ -43,8 +43,8 @@
 }
 
 void key_table_service::publish_key_counts() {
-  counters_.results_known = table_.size();
-  counters_.results_in_doubt = table_.outcomes_unknown();
+  counters_.stored_keys = table_.size();
+  counters_.keys_with_unknown_outcome = table_.outcomes_unknown();
 }
 
 }  // namespace marblewharf::idempotency
--- a/src/idempotency/key_table_service.hpp
+++ b/src/idempotency/key_table_service.hpp
@@ -21,7 +21,7 @@
   void mark_outcome_unknown(request_id primary) override;
   void close_primary(request_id primary) override { primaries_.erase(primary); }
 
-  const key_table& known() const { return table_; }
+  const key_table& table() const { return table_; }
 
  protected:
   // The key of a primary, which runs the request or inquires about its outcome.
--- a/src/idempotency/memory_service.cpp
+++ b/src/idempotency/memory_service.cpp
@@ -13,8 +13,8 @@
 
 key_table_options table_options_of(const memory_service_options& options) {
   key_table_options table;
-  table.entries = options.memory / table_bytes_per_entry;
-  table.open = options.open;
+  table.max_keys = options.memory / table_bytes_per_entry;
+  table.max_open_keys = options.max_open_keys;
   table.max_result_bytes = options.largest_result + table_bytes_per_entry;
   return table;
 }
@@ -45,8 +45,8 @@
   const std::string request_class = std::to_string(claimant.request_class);
   const std::string client_key = claimant.key + std::to_string(claimant.fingerprint);
   const key_id key = key_id_of(tenant, request_class, client_key, options_.salt);
-  const key_claim claim = claim_key(id, key, no_fingerprint, window, claimant.arrived.count());
-  if (claim.status == claim_status::completed) readers_[id] = {key, claimant.arrived};
+  const key_claim claim = claim_key(id, key, no_fingerprint, window, claimant.arrival_time.count());
+  if (claim.status == claim_status::completed) readers_[id] = {key, claimant.arrival_time};
   return to_result(claim);
 }
 
@@ -89,7 +89,7 @@
   if (expiry_is_due(now_)) remove_expired();
   publish_free_memory();
   publish_key_counts();
-  counters_.results_bytes = bytes_;
+  counters_.stored_bytes = bytes_;
 }
 
 void memory_service::reply_to_reader(request_id id) {
--- a/src/idempotency/memory_service.hpp
+++ b/src/idempotency/memory_service.hpp
@@ -25,7 +25,7 @@
   std::size_t memory = 0;             // bytes of all entries and results together
   std::size_t largest_result = 4096;  // bytes
   // Maximum number of open keys. A key is open from the arrival of its request to the result.
-  std::size_t open = 1024;
+  std::size_t max_open_keys = 1024;
   std::uint64_t salt = 0;  // random, so that clients cannot choose keys that collide
 };
 
--- a/src/idempotency/records.cpp
+++ b/src/idempotency/records.cpp
@@ -99,12 +99,12 @@
 
 std::uint64_t max_intent_bytes(std::size_t longest_key, std::size_t longest_tenant,
                                std::size_t longest_class) {
-  return store::room_for(fixed_size + texts_per_intent * sizeof(text_size) + longest_key + longest_tenant +
-                         longest_class);
+  return store::max_bytes_on_disk(fixed_size + texts_per_intent * sizeof(text_size) + longest_key +
+                                  longest_tenant + longest_class);
 }
 
 std::uint64_t max_result_bytes(std::size_t largest_result) {
-  return store::room_for(fixed_size + largest_result);
+  return store::max_bytes_on_disk(fixed_size + largest_result);
 }
 
 }  // namespace marblewharf::idempotency
--- a/src/json/json.cpp
+++ b/src/json/json.cpp
@@ -47,7 +47,7 @@
       case '{': read_object(parsed, depth); break;
       case '[': read_array(parsed, depth); break;
       case '"':
-        parsed.what = kind::string;
+        parsed.type = kind::string;
         parsed.text = read_string();
         break;
       case 't': read_literal(parsed, kind::boolean, "true"); break;
@@ -59,7 +59,7 @@
   }
 
   void read_object(value& parsed, unsigned depth) {
-    parsed.what = kind::object;
+    parsed.type = kind::object;
     ++position_;
     if (accept('}')) return;
     do {
@@ -73,7 +73,7 @@
   }
 
   void read_array(value& parsed, unsigned depth) {
-    parsed.what = kind::array;
+    parsed.type = kind::array;
     ++position_;
     if (accept(']')) return;
     do {
@@ -84,7 +84,7 @@
 
   void read_literal(value& parsed, kind literal_kind, std::string_view literal) {
     if (text_.substr(position_, literal.size()) != literal) fail("unknown literal");
-    parsed.what = literal_kind;
+    parsed.type = literal_kind;
     parsed.text = literal;
     position_ += literal.size();
   }
@@ -110,7 +110,7 @@
       if (peek() == '+' || peek() == '-') ++position_;
       if (digits() == 0) fail("expected a digit in the exponent");
     }
-    parsed.what = kind::number;
+    parsed.type = kind::number;
     parsed.text = text_.substr(start, position_ - start);
   }
 
--- a/src/json/json.hpp
+++ b/src/json/json.hpp
@@ -20,7 +20,7 @@
 struct member;
 
 struct value {
-  kind what = kind::null;
+  kind type = kind::null;
   std::string text;  // of a string: decoded; of a number, boolean or null: as written
   std::vector<value> items;
   std::vector<member> members;
--- a/src/lifecycle/graceful_shutdown.hpp
+++ b/src/lifecycle/graceful_shutdown.hpp
@@ -1,8 +1,8 @@
 // Schedule of the shutdown phases from the shutdown notice (SIGTERM) to the end of the process.
 //
 // Performs no I/O; the caller passes the current time and carries out the phases. Not thread-safe: owned by
-// the reactor's thread. The process is killed `limits::stop` after the notice. The other times are counted
-// back from the kill:
+// the reactor's thread. The process is killed `limits::shutdown_duration` after the notice. The other times
+// are counted back from the kill:
 //
 //   phase     begins                                          what happens
 //   serving   at the notice                                   the node serves as before the notice
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -29,8 +29,8 @@
   config settings = load_config();
   if (!operator_file.empty()) apply_operator_file(settings, operator_file);
   std::optional<pcap::recorder> recorder;
-  if (!capture_file.empty()) recorder.emplace(capture_file.c_str(), settings.bounds.record);
-  telemetry::limit_lines(settings.bounds.log_lines);
+  if (!capture_file.empty()) recorder.emplace(capture_file.c_str(), settings.bounds.max_capture_file_bytes);
+  telemetry::set_log_rate_limit(settings.bounds.log_lines_per_s);
   server::serve(settings, recorder ? &*recorder : nullptr);
 }
 
@@ -75,7 +75,7 @@
   CLI::App* backup = add("backup", "copy the folder into an empty folder", store::backup_store);
   CLI::App* restore =
       add("restore", "verify a backup, then copy the backup into an empty folder", store::restore_store);
-  for (CLI::App* command : {backup, restore}) command->add_option("TO", query.to)->required();
+  for (CLI::App* command : {backup, restore}) command->add_option("TO", query.target)->required();
   for (CLI::App* command : {compact, backup}) {
     command->add_option("--segment", query.segment, "segment size in bytes, as in the node's settings")
         ->capture_default_str();
--- a/src/middleware/gate.cpp
+++ b/src/middleware/gate.cpp
@@ -47,9 +47,9 @@
   options.windows.resize(settings.classes.size());
   for (const auto& request_class : settings.classes) options.classes.push_back(request_class.name);
   for (const auto& tenant : settings.tenants) options.tenants.push_back(tenant.name);
-  options.longest_key = keys.longest_key;
-  options.largest_result = keys.largest_response;
-  options.entries = keys.entries;
+  options.max_key_bytes = keys.longest_key;
+  options.max_result_bytes = keys.largest_response;
+  options.max_keys = keys.entries;
   options.space = keys.space;
   options.segment = std::clamp<std::uint64_t>(results_per_segment * keys.largest_response, min_segment_bytes,
                                               keys.space / min_segments);
@@ -74,7 +74,7 @@
       keys_(std::move(keys)),
       dispatcher_(policy_settings_of(settings, keys_), seed, steady_now(), counters_),
       measured_at_(steady_now()) {
-  dispatcher_.add(*this);
+  dispatcher_.add_front(*this);
   if (keys_) open_store(settings);
   dispatcher_.on_server_up(settings.cold_start, steady_now());
   timer_thread_ = std::thread([this] { drive_timers(); });
@@ -97,7 +97,7 @@
   store_ = std::make_unique<idempotency::durable_service>(files_, store_options_of(*keys_, settings),
                                                           counters_, notify);
   store_->set_observer(dispatcher_);
-  dispatcher_.use(*store_, {});
+  dispatcher_.enable_idempotency(*store_, {});
 }
 
 const keyed_settings* gate_impl::keys_of(unsigned request_class) const {
@@ -129,8 +129,8 @@
 bool gate_impl::finish(const attempt& running, bool succeeded) {
   const std::lock_guard lock(mutex_);
   const bool failed_before = take_failed_while_running(running.id);
-  dispatcher_.on_end(running.id, succeeded ? run_end::succeeded : run_end::failed, {},
-                     steady_now() - running.started_at);
+  dispatcher_.on_run_ended(running.id, succeeded ? run_end::succeeded : run_end::failed, {},
+                           steady_now() - running.started_at);
   step_and_notify();
   return !failed_before;
 }
@@ -142,8 +142,9 @@
   const bool failed_before = take_failed_while_running(running.id);
   if (!failed_before) waiting_.emplace(finished.id, &finished);
   const run_end run_result = response ? run_end::succeeded : run_end::lost;
-  dispatcher_.on_end(running.id, run_result, response ? std::string_view(*response) : std::string_view(),
-                     steady_now() - running.started_at);
+  dispatcher_.on_run_ended(running.id, run_result,
+                           response ? std::string_view(*response) : std::string_view(),
+                           steady_now() - running.started_at);
   step_and_notify();
   if (failed_before) {
     finished.state = attempt_state::failed;
@@ -172,7 +173,8 @@
 
 tally gate_impl::counts() {
   const std::lock_guard lock(mutex_);
-  return {counters_.taken_in, counters_.sent, counters_.served, counters_.refused, counters_.failed};
+  return {counters_.received_requests, counters_.started_runs, counters_.served, counters_.rejected,
+          counters_.failed};
 }
 
 // ---- The dispatcher's front and backend -------------------------------------------------------------------
--- a/src/middleware/gathering.cpp
+++ b/src/middleware/gathering.cpp
@@ -194,12 +194,12 @@
     std::unique_lock lock(mutex_);
     while (!stopping_) {
       const time_point now = steady_now();
-      if (state_machine_.due() <= now) {
+      if (state_machine_.next_timer_at() <= now) {
         state_machine_.step(now);
         apply_actions();
         changed_.notify_all();
       }
-      const duration until_due = state_machine_.due() - steady_now();
+      const duration until_due = state_machine_.next_timer_at() - steady_now();
       changed_.wait_for(lock, std::clamp<duration>(until_due, min_timer_wait, max_timer_wait));
     }
   }
--- a/src/middleware/gathering_plan.cpp
+++ b/src/middleware/gathering_plan.cpp
@@ -27,7 +27,7 @@
   rules.most_in_flight = described.threads;
   static_assert(static_cast<int>(nearness::elsewhere) == static_cast<int>(failover::level::rest));
   for (const nearness level : described.where)
-    rules.near.where.push_back(static_cast<failover::level>(level));
+    rules.near.levels.push_back(static_cast<failover::level>(level));
   const near_rules& near = described.near;
   rules.near.rules = {near.overprovisioning, near.panic_threshold, near.most_each};
   return rules;
--- a/src/middleware/middleware.cpp
+++ b/src/middleware/middleware.cpp
@@ -129,7 +129,7 @@
   // The handler runs at most once per key. Its response is sent only after it is stored.
   void handle_keyed(const keyed_settings& keys, HTTPServerRequest& request, HTTPServerResponse& response) {
     const std::string key = key_of(keys, request);
-    if (idempotency::fault_of_key(key, keys.longest_key) != nullptr) {
+    if (idempotency::key_error(key, keys.longest_key) != nullptr) {
       send_status(response, HTTPResponse::HTTP_BAD_REQUEST);
       return;
     }
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -18,11 +18,11 @@
     // SO_REUSEADDR in both cases: a restart must not wait for the previous process's connections in
     // TIME_WAIT.
     socket_.bind(Poco::Net::SocketAddress(host, port), true, sharing == port_sharing::shared);
-    socket_.listen(bounds.backlog);
+    socket_.listen(bounds.listen_backlog);
   } catch (const Poco::Exception& error) {
     const std::string address = host + ":" + std::to_string(port);
-    if (sharing == port_sharing::alone && error.code() == EADDRINUSE)
-      throw address_held("listen: " + address + ": address already in use");
+    if (sharing == port_sharing::exclusive && error.code() == EADDRINUSE)
+      throw address_in_use("listen: " + address + ": address already in use");
     throw std::runtime_error("listen: " + host + ":" + std::to_string(port) + ": " + error.displayText());
   }
   resume();
@@ -78,7 +78,7 @@
     unsigned accepted = 0;
     do {
       on_accept_(socket_.acceptConnection());
-    } while (open_ && ++accepted < bounds_.accepts && connection_waiting());
+    } while (open_ && ++accepted < bounds_.accepts_per_round && connection_waiting());
   } catch (const Poco::Exception& error) {
     // The connection remains in the backlog and would end every poll at once, so the reactor would spin.
     pause();
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -17,10 +17,10 @@
 // Whether a second process may bind the same address. The fronts' addresses are shared with the successor of
 // a hot restart (SO_REUSEPORT: the kernel distributes new connections over both processes). A console's
 // address is not shared.
-enum class port_sharing { shared, alone };
+enum class port_sharing { shared, exclusive };
 
-// The address of a listener with port_sharing::alone is in use by another socket (EADDRINUSE).
-struct address_held : std::runtime_error {
+// The address of a listener with port_sharing::exclusive is in use by another socket (EADDRINUSE).
+struct address_in_use : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -29,8 +29,8 @@
   using handler = std::function<void(const Poco::Net::StreamSocket&)>;
 
   // Calls `on_accept` for each accepted connection. `event_loop` and `bounds` outlive the listener. Throws
-  // address_held if the address is in use and `sharing` is `alone`, and otherwise std::runtime_error with the
-  // address on which it cannot listen.
+  // address_held if the address is in use and `sharing` is `exclusive`, and otherwise std::runtime_error with
+  // the address on which it cannot listen.
   listener(reactor& event_loop, const limits& bounds, const std::string& host, std::uint16_t port,
            handler on_accept, port_sharing sharing = port_sharing::shared);
   ~listener();
--- a/src/net/reactor.cpp
+++ b/src/net/reactor.cpp
@@ -25,11 +25,11 @@
   return unix_us() / us_per_ms;
 }
 
-Poco::Net::SocketAddress address_of(const endpoint& configured, const char* key) {
+Poco::Net::SocketAddress resolve_address(const endpoint& configured, const char* key) {
   try {
     return {configured.host, configured.port};
   } catch (const Poco::Exception&) {
-    throw bad_config(std::string(key) + ": cannot resolve the host " + configured.host);
+    throw invalid_config(std::string(key) + ": cannot resolve the host " + configured.host);
   }
 }
 
@@ -47,7 +47,7 @@
 }  // namespace
 
 reactor::reactor(const limits& bounds)
-    : bounds_(bounds), read_buffer_(std::max(bounds.read_chunk, bounds.discard_chunk), '\0') {}
+    : bounds_(bounds), read_buffer_(std::max(bounds.read_chunk_bytes, bounds.discard_chunk_bytes), '\0') {}
 
 void reactor::serve(std::function<time_point()> step) {
   step_ = std::move(step);
@@ -67,7 +67,7 @@
 void reactor::advance() {
   retired_.clear();
   const time_point due = step_();
-  const auto wait = std::clamp(due - steady_now(), limits::duration::zero(), bounds_.longest_poll);
+  const auto wait = std::clamp(due - steady_now(), limits::duration::zero(), bounds_.max_poll_wait);
   // POCO's poll truncates the time-out to whole milliseconds; rounding up avoids spinning during the last
   // one.
   const auto ms = std::chrono::ceil<std::chrono::milliseconds>(wait).count();
--- a/src/net/reactor.hpp
+++ b/src/net/reactor.hpp
@@ -24,8 +24,8 @@
 std::int64_t unix_ms();
 std::int64_t unix_us();
 
-// Resolves the host name of an endpoint. Throws bad_config with the settings key `key` if that fails.
-Poco::Net::SocketAddress address_of(const endpoint& configured, const char* key);
+// Resolves the host name of an endpoint. Throws invalid_config with the settings key `key` if that fails.
+Poco::Net::SocketAddress resolve_address(const endpoint& configured, const char* key);
 
 class reactor : public Poco::Net::SocketReactor {
  public:
@@ -39,7 +39,7 @@
   void retire(std::shared_ptr<void> handler) { retired_.push_back(std::move(handler)); }
 
   // Sets the observer of the bytes on accepted connections; null: none.
-  void listen_in(traffic_observer* observer) { traffic_observer_ = observer; }
+  void set_traffic_observer(traffic_observer* observer) { traffic_observer_ = observer; }
   traffic_observer* observer() const { return traffic_observer_; }
 
   // Read buffer shared by all connections: each read is processed before the next one begins.
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -9,7 +9,7 @@
 
 namespace marblewharf::net {
 
-stream::stream(reactor& event_loop, const limits& bounds, owner& callbacks,
+stream::stream(reactor& event_loop, const limits& bounds, observer& callbacks,
                const Poco::Net::StreamSocket& socket)
     : reactor_(event_loop), bounds_(bounds), owner_(callbacks), socket_(socket) {
   socket_.setBlocking(false);
@@ -24,7 +24,7 @@
   }
 }
 
-stream::stream(reactor& event_loop, const limits& bounds, owner& callbacks,
+stream::stream(reactor& event_loop, const limits& bounds, observer& callbacks,
                const Poco::Net::SocketAddress& peer)
     : reactor_(event_loop), bounds_(bounds), owner_(callbacks), connecting_(true) {
   socket_.connectNB(peer);
@@ -50,11 +50,12 @@
 void stream::watch_writable(bool enabled) {
   if (enabled == watching_writable_) return;
   watching_writable_ = enabled;
-  const Poco::NObserver<stream, Poco::Net::WritableNotification> observer(*this, &stream::on_writable);
+  const Poco::NObserver<stream, Poco::Net::WritableNotification> writable_observer(*this,
+                                                                                   &stream::on_writable);
   if (enabled) {
-    reactor_.addEventHandler(socket_, observer);
+    reactor_.addEventHandler(socket_, writable_observer);
   } else {
-    reactor_.removeEventHandler(socket_, observer);
+    reactor_.removeEventHandler(socket_, writable_observer);
     if (!open_) return;
     const Poco::NObserver<stream, Poco::Net::ErrorNotification> other(*this, &stream::on_error);
     reactor_.removeEventHandler(socket_, other);
@@ -87,7 +88,7 @@
   }
 }
 
-void stream::finish() {
+void stream::shutdown_output() {
   if (!open_ || discarding_) return;
   finishing_ = true;
   discarding_ = true;
@@ -112,7 +113,7 @@
 void stream::on_readable(const readable&) {
   if (!open_) return;
   reactor_.wake();
-  const std::size_t max_size = discarding_ ? bounds_.discard_chunk : bounds_.read_chunk;
+  const std::size_t max_size = discarding_ ? bounds_.discard_chunk_bytes : bounds_.read_chunk_bytes;
   int size = 0;
   try {
     size = socket_.receiveBytes(reactor_.read_buffer().data(), static_cast<int>(max_size));
@@ -179,7 +180,8 @@
   output_.append(bytes);
   if (idle && !connecting_) flush();
   // Bounds the memory used for peers that do not read their responses, for each connection and in total.
-  const bool over_limit = output_.size() > bounds_.write_buffer || reactor_.buffered() > bounds_.buffered;
+  const bool over_limit =
+      output_.size() > bounds_.max_write_buffer_bytes || reactor_.buffered() > bounds_.max_buffered_bytes;
   if (open_ && !output_.empty() && over_limit) fail("peer reads too slowly");
 }
 
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -15,9 +15,9 @@
 
 class stream {
  public:
-  class owner {
+  class observer {
    public:
-    virtual ~owner() = default;
+    virtual ~observer() = default;
     // `bytes` are all unconsumed input bytes. Returns the number of bytes consumed; 0 if the message is
     // incomplete. May close the stream.
     virtual std::size_t on_bytes(std::string_view bytes) = 0;
@@ -28,10 +28,12 @@
   };
 
   // An accepted connection. The references outlive the stream.
-  stream(reactor& event_loop, const limits& bounds, owner& callbacks, const Poco::Net::StreamSocket& socket);
+  stream(reactor& event_loop, const limits& bounds, observer& callbacks,
+         const Poco::Net::StreamSocket& socket);
   // Starts a new connection; on_open() reports that it is established. Throws Poco::Exception if connecting
   // fails at once.
-  stream(reactor& event_loop, const limits& bounds, owner& callbacks, const Poco::Net::SocketAddress& peer);
+  stream(reactor& event_loop, const limits& bounds, observer& callbacks,
+         const Poco::Net::SocketAddress& peer);
   ~stream();
   stream(const stream&) = delete;
   stream& operator=(const stream&) = delete;
@@ -44,7 +46,7 @@
   // Ends the output: the peer sees the end of the stream after all buffered output. Further input is read and
   // discarded, because closing with unread input would reset the connection and the last answer could be
   // lost.
-  void finish();
+  void shutdown_output();
   bool is_open() const { return open_; }
   // Whether an incomplete message is buffered.
   bool has_incomplete_message() const { return !input_.empty(); }
@@ -74,7 +76,7 @@
 
   reactor& reactor_;
   const limits& bounds_;
-  owner& owner_;
+  observer& owner_;
   Poco::Net::StreamSocket socket_;
   std::string input_;
   std::string output_;
--- a/src/pcap/main.cpp
+++ b/src/pcap/main.cpp
@@ -88,7 +88,8 @@
   return protocol == pcap::protocol::thrift ? "thrift" : "uwsgi";
 }
 
-bool is_selected(const selection& filter, const pcap::captured_request& found, const vocabulary& names) {
+bool is_selected(const selection& filter, const pcap::captured_request& found,
+                 const request_name_index& names) {
   const double unix_s = static_cast<double>(found.unix_us) / us_per_s;
   return (!filter.request_class || names.classes[found.decoded.request_class] == *filter.request_class) &&
          (!filter.tenant || (found.decoded.tenant < names.tenants.size() &&
@@ -97,7 +98,7 @@
          unix_s <= filter.to_s;
 }
 
-std::string tenant_name(const pcap::captured_request& found, const vocabulary& names) {
+std::string tenant_name(const pcap::captured_request& found, const request_name_index& names) {
   return found.decoded.tenant < names.tenants.size() ? names.tenants[found.decoded.tenant] : "-";
 }
 
@@ -105,13 +106,13 @@
   return std::chrono::duration<double, std::milli>(decoded.expected_work).count();
 }
 
-void print_request(const pcap::captured_request& found, const vocabulary& names) {
+void print_request(const pcap::captured_request& found, const request_name_index& names) {
   std::printf("%" PRIu64 " %" PRId64 ".%06d %s %s %s %s work_ms=%.2f held_kb=%.1f bytes=%zu %s\n",
               found.packet, found.unix_us / 1000000, static_cast<int>(found.unix_us % 1000000),
               name_of(found.wire_protocol), found.caller.c_str(),
               names.classes[found.decoded.request_class].c_str(), tenant_name(found, names).c_str(),
               work_ms(found.decoded), found.decoded.reserved_kb, found.bytes.size(),
-              found.decoded.label.empty() ? "-" : found.decoded.label.c_str());
+              found.decoded.operation.empty() ? "-" : found.decoded.operation.c_str());
 }
 
 struct totals {
@@ -124,7 +125,7 @@
 // connection, and each uwsgi request is written to a connection of its own.
 class filter_output {
  public:
-  filter_output(const std::string& path, const limits& bounds) : out_(path, bounds.record) {}
+  filter_output(const std::string& path, const limits& bounds) : out_(path, bounds.max_capture_file_bytes) {}
   void add(const pcap::captured_request& found) {
     const auto [entry, inserted] = open_.try_emplace(found.caller + ">" + found.server);
     if (inserted)
@@ -151,10 +152,10 @@
 };
 
 int run(command arguments) {
-  vocabulary names;
+  request_name_index names;
   if (arguments.platform_file) {
     config settings = read_config(read_file(arguments.platform_file->c_str(), "--config"));
-    names = vocabulary(settings.settings);
+    names = request_name_index(settings.policy_settings);
     if (arguments.operator_file) apply_operator_file(settings, *arguments.operator_file);
     if (settings.uwsgi) arguments.read.mapping = *settings.uwsgi;
   }
--- a/src/pcap/reader.cpp
+++ b/src/pcap/reader.cpp
@@ -137,7 +137,7 @@
 
 // The bytes that one caller sends on one connection.
 struct flow {
-  explicit flow(const limits& bounds) : stream(bounds.capture_waiting) {}
+  explicit flow(const limits& bounds) : stream(bounds.max_capture_gap_bytes) {}
   reassembly stream;
   std::string bytes;      // of the incomplete last message
   bool finished = false;  // the rest of the connection is ignored
@@ -146,7 +146,7 @@
 
 class capture_reader {
  public:
-  capture_reader(const read_options& options, vocabulary& names,
+  capture_reader(const read_options& options, request_name_index& names,
                  const std::function<void(const captured_request&)>& on_request,
                  const std::function<void(const std::string&)>& on_skipped)
       : options_(options), names_(names), on_request_(on_request), on_skipped_(on_skipped) {}
@@ -217,7 +217,7 @@
   }
 
   flow_map::iterator open(const std::string& key) {
-    if (flows_.size() >= options_.bounds.capture_flows) {
+    if (flows_.size() >= options_.bounds.max_capture_flows) {
       auto oldest = flows_.begin();
       for (auto entry = flows_.begin(); entry != flows_.end(); ++entry) {
         if (entry->second.last_packet < oldest->second.last_packet) oldest = entry;
@@ -278,9 +278,9 @@
     const auto packet = uwsgi::next_packet(current.bytes, options_.bounds);
     if (!packet) return 0;
     deliver(protocol::uwsgi, last, uwsgi::to_request(*packet, options_.mapping, names_),
-            std::string(packet->whole));
+            std::string(packet->bytes));
     current.finished = true;  // a uwsgi connection carries one request
-    return packet->whole.size();
+    return packet->bytes.size();
   }
 
   void deliver(protocol wire_protocol, const segment& last, request decoded, std::string bytes) {
@@ -289,7 +289,7 @@
   }
 
   const read_options& options_;
-  vocabulary& names_;
+  request_name_index& names_;
   const std::function<void(const captured_request&)>& on_request_;
   const std::function<void(const std::string&)>& on_skipped_;
   flow_map flows_;
@@ -302,7 +302,7 @@
 
 }  // namespace
 
-read_counts read_capture(const std::string& path, const read_options& options, vocabulary& names,
+read_counts read_capture(const std::string& path, const read_options& options, request_name_index& names,
                          const std::function<void(const captured_request&)>& on_request,
                          const std::function<void(const std::string&)>& on_skipped) {
   char error[PCAP_ERRBUF_SIZE] = "";
--- a/src/pcap/reader.hpp
+++ b/src/pcap/reader.hpp
@@ -9,7 +9,7 @@
 
 #include "config/config.hpp"
 #include "core/request.hpp"
-#include "core/vocabulary.hpp"
+#include "core/request_name_index.hpp"
 
 namespace marblewharf::pcap {
 
@@ -48,7 +48,7 @@
 
 // Calls `on_request` with each request, in the order of the capture, and `on_skipped` with a description of
 // each skipped packet or message, which contains the packet number. Throws invalid_capture.
-read_counts read_capture(const std::string& path, const read_options& options, vocabulary& names,
+read_counts read_capture(const std::string& path, const read_options& options, request_name_index& names,
                          const std::function<void(const captured_request&)>& on_request,
                          const std::function<void(const std::string&)>& on_skipped);
 
--- a/src/registry/registry_client.cpp
+++ b/src/registry/registry_client.cpp
@@ -11,12 +11,12 @@
 
 registry_client::registry_client(const config& settings)
     : config_(settings),
-      address_(net::address_of(settings.directory, "directory")),
+      address_(net::resolve_address(settings.registry, "directory")),
       socket_(address_.family()) {
   socket_.setBlocking(false);
 }
 
-void registry_client::move(const Poco::Net::SocketAddress& address) {
+void registry_client::set_address(const Poco::Net::SocketAddress& address) {
   if (address.family() != address_.family()) {
     socket_ = Poco::Net::DatagramSocket(address.family());
     socket_.setBlocking(false);
@@ -28,7 +28,7 @@
 time_point registry_client::step(time_point now, bool passing) {
   if (now < next_report_at_ && passing == passing_) return next_report_at_;
   passing_ = passing;
-  next_report_at_ = now + config_.bounds.report_every;
+  next_report_at_ = now + config_.bounds.report_interval;
   const std::string report = "alive " + config_.name + (passing ? " passing" : " critical");
   try {
     socket_.sendTo(report.data(), static_cast<int>(report.size()), address_);
--- a/src/registry/registry_client.hpp
+++ b/src/registry/registry_client.hpp
@@ -11,11 +11,11 @@
 
 class registry_client {
  public:
-  // `settings` outlives the client. Throws bad_config if the registry's host name cannot be resolved.
+  // `settings` outlives the client. Throws invalid_config if the registry's host name cannot be resolved.
   explicit registry_client(const config& settings);
 
   // Changes the registry's address. The next step() sends a report to the new address.
-  void move(const Poco::Net::SocketAddress& address);
+  void set_address(const Poco::Net::SocketAddress& address);
 
   // Sends a report when one is due or `passing` has changed. Returns the time of the next call.
   time_point step(time_point now, bool passing);
--- a/src/runtime/gauge_queries.cpp
+++ b/src/runtime/gauge_queries.cpp
@@ -8,7 +8,7 @@
 gauge_queries::gauge_queries(const limits& bounds) : bounds_(bounds) {}
 
 gauges_command gauge_queries::next_query(time_point now) {
-  next_due_ = now + bounds_.gauges_every;
+  next_due_ = now + bounds_.gauge_interval;
   ++last_number_;
   return {std::to_string(last_number_)};
 }
@@ -23,7 +23,7 @@
 }
 
 std::vector<double> gauge_queries::gauges(time_point now) const {
-  if (now - answered_at_ > bounds_.gauges_stale) return {};
+  if (now - answered_at_ > bounds_.gauge_max_age) return {};
   return gauges_;
 }
 
--- a/src/runtime/link.cpp
+++ b/src/runtime/link.cpp
@@ -15,10 +15,10 @@
       config_(settings),
       dispatcher_(requests),
       counters_(counters),
-      address_(net::address_of(settings.runtime, "runtime")),
+      address_(net::resolve_address(settings.runtime, "runtime")),
       transport_(reactor, settings.bounds, *this),
-      commands_(transport_, settings.bounds, settings.settings.classes),
-      runtime_start_(settings.bounds.same_start) {}
+      commands_(transport_, settings.bounds, settings.policy_settings.classes),
+      runtime_start_(settings.bounds.start_estimate_tolerance) {}
 
 link::~link() = default;
 
@@ -28,17 +28,17 @@
 // start of the first has already been delivered. A request with an invented label can therefore not displace
 // the genuine one by arriving first.
 void link::run(request_id id, const request& details) {
-  const auto [position, inserted] = runs_.try_emplace(details.label);
+  const auto [position, inserted] = runs_.try_emplace(details.operation);
   tracked_run& tracked = position->second;
-  labels_.emplace(id, details.label);
+  labels_.emplace(id, details.operation);
   if (!inserted) {
-    log("bad-request", "label %s is already used by an open request", details.label.c_str());
+    log("bad-request", "label %s is already used by an open request", details.operation.c_str());
     tracked.conflicting_requests.push_back({id, details});
     if (tracked.start == start_progress::delivered) reject_conflicting_request(tracked, id);
     return;
   }
   tracked.id = id;
-  tracked.label = details.label;
+  tracked.label = details.operation;
   tracked.request_class = details.request_class;
   tracked.payload = details.payload;
   if (state_ == state::up) commands_.start(tracked);
@@ -75,7 +75,7 @@
                 [&](const conflicting_request& candidate) { return candidate.id == id; });
   labels_.erase(id);
   reactor_.wake();
-  dispatcher_.on_end(id, run_end::unknown_request, {}, {});
+  dispatcher_.on_run_ended(id, run_end::unknown_request, {}, {});
 }
 
 // If the runtime did not know the finished run, one of the conflicting requests may be the genuine one, so
@@ -85,13 +85,13 @@
   labels_.erase(finished.id);
   runs_.erase(position);
   reactor_.wake();
-  dispatcher_.on_end(finished.id, end, result, elapsed);
+  dispatcher_.on_run_ended(finished.id, end, result, elapsed);
   for (const auto& [id, details] : finished.conflicting_requests) {
     labels_.erase(id);
     if (end == run_end::unknown_request) {
       run(id, details);
     } else {
-      dispatcher_.on_end(id, run_end::unknown_request, {}, {});
+      dispatcher_.on_run_ended(id, run_end::unknown_request, {}, {});
     }
   }
 }
@@ -126,18 +126,18 @@
 time_point link::step(time_point now) {
   const limits& bounds = config_.bounds;
   if (state_ == state::down && now >= next_attempt_at_) connect(now);
-  if (state_ == state::connecting && now > attempt_started_at_ + bounds.connect)
+  if (state_ == state::connecting && now > attempt_started_at_ + bounds.connect_timeout)
     on_connection_lost("connect timed out");
-  if (state_ == state::handing_over && now > attempt_started_at_ + bounds.hand_over)
+  if (state_ == state::handing_over && now > attempt_started_at_ + bounds.runtime_address_timeout)
     keep_current_connection(now);
   if (state_ == state::up && address_changed_ && now >= next_attempt_at_) begin_hand_over(now);
   if (state_ == state::up && now >= commands_.queries().next_due()) commands_.query_gauges(now);
   if (state_ == state::down) return next_attempt_at_;
-  return state_ == state::up ? commands_.queries().next_due() : now + bounds.longest_poll;
+  return state_ == state::up ? commands_.queries().next_due() : now + bounds.max_poll_wait;
 }
 
 void link::connect(time_point now) {
-  next_attempt_at_ = now + config_.bounds.reconnect_every;
+  next_attempt_at_ = now + config_.bounds.reconnect_interval;
   state_ = state::connecting;
   attempt_started_at_ = now;
   try {
@@ -148,11 +148,11 @@
   }
 }
 
-void link::move(const Poco::Net::SocketAddress& address) {
+void link::set_address(const Poco::Net::SocketAddress& address) {
   if (address == address_) return;
   address_ = address;
   transport_.close_successor();  // left over from an unfinished earlier move
-  address_changed_ = up();
+  address_changed_ = connected();
   if (state_ == state::handing_over) keep_current_connection(net::steady_now());
   next_attempt_at_ = {};
   // While the link is not up, the connection has carried only sync and gauge queries, which the next
@@ -182,7 +182,7 @@
 // stays in use until it is lost or an attempt succeeds.
 void link::keep_current_connection(time_point now) {
   transport_.close_successor();
-  next_attempt_at_ = now + config_.bounds.reconnect_every;
+  next_attempt_at_ = now + config_.bounds.reconnect_interval;
   send_deferred_commands();
 }
 
@@ -199,7 +199,7 @@
 
 void link::on_connection_lost(const char* reason) {
   if (state_ != state::connecting) {
-    ++counters_.links_lost;
+    ++counters_.lost_runtime_connections;
     log("link-lost", "runtime: %s; %zu runs open", reason, runs_.size());
   }
   state_ = state::down;
@@ -212,7 +212,7 @@
     if (const auto decoded = decode(line))
       std::visit([this](const auto& notice) { on_notice(notice); }, *decoded);
   } catch (const bad_line& error) {
-    ++counters_.bad_frames;
+    ++counters_.invalid_frames;
     log("bad-line", "runtime: %s", error.what());
   }
 }
@@ -242,7 +242,7 @@
   if (!is_new(notice.serial)) return;
   const auto position = runs_.find(notice.label);
   if (position == runs_.end()) return;
-  if (notice.result.size() > config_.bounds.result) {
+  if (notice.result.size() > config_.bounds.max_result_bytes) {
     log("bad-line", "runtime: result of %zu bytes exceeds the limit; run reported as lost",
         notice.result.size());
     finish(position, run_end::lost, {}, notice.elapsed);
@@ -319,11 +319,11 @@
 
 // Returns the labels of the runs to report as lost.
 std::vector<std::string> link::recover_runs() {
-  const bool stops_pause = config_.settings.halt == admission_policy::halt_mode::pause;
+  const bool stops_pause = config_.policy_settings.halt == admission_policy::halt_mode::pause;
   std::vector<std::string> lost_labels;
   for (auto& [label, run] : runs_) {
     if (state_ != state::up) return lost_labels;
-    const auto effect = config_.settings.classes[run.request_class].effect;
+    const auto effect = config_.policy_settings.classes[run.request_class].effect;
     const bool may_run_twice = effect == admission_policy::request_effect::safe;
     const recovery action = recovery_action_for(run, stops_pause, may_run_twice);
     if (action == recovery::report_lost) lost_labels.push_back(label);
@@ -345,7 +345,7 @@
 }
 
 void link::on_notice(const nack_notice& notice) {
-  ++counters_.nacks;
+  ++counters_.rejected_runtime_commands;
   log("nack", "runtime rejected %s of %s", notice.command.c_str(), notice.label.c_str());
   const auto position = runs_.find(notice.label);
   if (notice.command == start_command_name && position != runs_.end())
--- a/src/runtime/link.hpp
+++ b/src/runtime/link.hpp
@@ -47,7 +47,7 @@
 // Used only on the reactor's thread.
 class link : public backend, private transport_observer {
  public:
-  // All arguments outlive the link. Throws bad_config if the runtime's host name cannot be resolved.
+  // All arguments outlive the link. Throws invalid_config if the runtime's host name cannot be resolved.
   link(net::reactor& reactor, const config& settings, dispatcher& requests, telemetry::counters& counters);
   ~link() override;
 
@@ -57,13 +57,13 @@
   void resume(request_id id) override;
 
   // Switches to a new address of the runtime. Keeps the runs and the serial number of the last notice.
-  void move(const Poco::Net::SocketAddress& address);
+  void set_address(const Poco::Net::SocketAddress& address);
 
   // Connects, switches to a new address and queries the gauges when due. Returns the time of the next call.
   time_point step(time_point now);
 
   // Whether the runtime is connected and executes requests.
-  bool up() const { return state_ == state::up || state_ == state::handing_over; }
+  bool connected() const { return state_ == state::up || state_ == state::handing_over; }
 
   // The latest gauges; empty if they are older than `gauges_stale`.
   std::vector<double> gauges(time_point now) const { return commands_.queries().gauges(now); }
--- a/src/runtime/messages.cpp
+++ b/src/runtime/messages.cpp
@@ -13,7 +13,7 @@
 
 const json::value& member(const json::value& message, const char* name, json::kind kind) {
   const json::value* found = message.find(name);
-  if (found == nullptr || found->what != kind)
+  if (found == nullptr || found->type != kind)
     throw bad_line(std::string("the field ") + name + " is missing or has the wrong type");
   return *found;
 }
@@ -65,7 +65,7 @@
   end_notice decoded{
       serial(message), text(message, "call"), run_end_of(text(message, "how")), elapsed(message), {}};
   const json::value* blob = message.find("blob");
-  if (blob != nullptr && blob->what == json::kind::string) decoded.result = decode_blob(blob->text);
+  if (blob != nullptr && blob->type == json::kind::string) decoded.result = decode_blob(blob->text);
   return decoded;
 }
 
--- a/src/runtime/transport.cpp
+++ b/src/runtime/transport.cpp
@@ -7,7 +7,7 @@
 
 namespace marblewharf::runtime {
 
-class transport::connection : public net::stream::owner {
+class transport::connection : public net::stream::observer {
  public:
   connection(transport& transport, const Poco::Net::SocketAddress& address)
       : transport_(transport), stream_(transport.reactor_, transport.bounds_, *this, address) {}
@@ -70,7 +70,7 @@
 std::size_t transport::on_bytes(std::string_view bytes) {
   const std::size_t newline = bytes.find('\n');
   if (newline == std::string_view::npos) {
-    if (bytes.size() <= bounds_.runtime_line) return 0;
+    if (bytes.size() <= bounds_.max_runtime_line_bytes) return 0;
     telemetry::log("bad-line", "runtime: line too long; closing the connection");
     observer_.on_connection_lost("line too long");
     return 0;
--- a/src/scheduler/pool.hpp
+++ b/src/scheduler/pool.hpp
@@ -48,7 +48,7 @@
   // Processes the slices that have ended and starts those that may run. `headroom`: as in
   // scheduler::set_headroom(). Returns the time of the next call.
   time_point step(time_point now, double headroom);
-  std::vector<job_statistics> figures(time_point now) const { return scheduler_.statistics(now); }
+  std::vector<job_statistics> statistics(time_point now) const { return scheduler_.statistics(now); }
 
  private:
   struct shared_state;
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -28,7 +28,7 @@
   if (name == target) return true;
   for (const auto& [id, scheduled] : jobs_) {
     if (scheduled.rules.name != name || scheduled.state == job_state::cancelling) continue;
-    for (const std::string& predecessor : scheduled.rules.after)
+    for (const std::string& predecessor : scheduled.rules.runs_after)
       if (waits_for(predecessor, target)) return true;
   }
   return false;
@@ -39,7 +39,7 @@
     if (existing.rules.name == rules.name && existing.state != job_state::cancelling)
       throw std::invalid_argument("scheduler: there is already a job named " + rules.name);
   // The existing jobs have no cycle, so a new job creates a cycle only if it waits for itself.
-  for (const std::string& predecessor : rules.after)
+  for (const std::string& predecessor : rules.runs_after)
     if (waits_for(predecessor, rules.name))
       throw std::invalid_argument("scheduler: the jobs " + rules.name + " and " + predecessor +
                                   " wait for each other");
@@ -49,7 +49,7 @@
   new_job.waiting_since = first_due;
   new_job.statistics.name = rules.name;
   ++last_id_;
-  if (!rules.after.empty()) dependent_jobs_.insert(last_id_);
+  if (!rules.runs_after.empty()) dependent_jobs_.insert(last_id_);
   new_job.rules = std::move(rules);
   jobs_.emplace(last_id_, std::move(new_job));
   return last_id_;
@@ -103,7 +103,7 @@
   for (const job_id id : dependent_jobs_) {
     const job& dependent = jobs_.at(id);
     const bool dependent_is_due = dependent.state != job_state::cancelling && now >= dependent.due_at;
-    if (dependent_is_due && dependent.rules.after.contains(candidate.rules.name)) visit(dependent);
+    if (dependent_is_due && dependent.rules.runs_after.contains(candidate.rules.name)) visit(dependent);
   }
 }
 
@@ -116,10 +116,11 @@
 }
 
 bool scheduler::is_blocked(const job& candidate, time_point now) const {
-  if (candidate.rules.after.empty()) return false;
+  if (candidate.rules.runs_after.empty()) return false;
   const auto blocks = [&](const auto& entry) {
     const job& predecessor = entry.second;
-    if (predecessor.state == job_state::cancelling || !candidate.rules.after.contains(predecessor.rules.name))
+    if (predecessor.state == job_state::cancelling ||
+        !candidate.rules.runs_after.contains(predecessor.rules.name))
       return false;
     return predecessor.state == job_state::running || now >= predecessor.due_at;
   };
@@ -184,7 +185,7 @@
   ended_job.statistics.used.read += used.read;
   ended_job.statistics.used.written += used.written;
   ended_job.waiting_since = now;
-  const bool runs_once = ended_job.rules.every.count() == 0;
+  const bool runs_once = ended_job.rules.interval.count() == 0;
   if (was_cancelled || (end == slice_end::done && runs_once)) {
     erase(position);
     return;
@@ -195,7 +196,7 @@
   } else {
     ended_job.retry_delay = {};
     ended_job.due_at =
-        now + ended_job.rules.every;  // counted from the end, so that missed rounds are skipped
+        now + ended_job.rules.interval;  // counted from the end, so that missed rounds are skipped
   }
   ended_job.in_round = false;
   ended_job.waiting_since = ended_job.due_at;
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -29,11 +29,11 @@
 
 struct job_rules {
   std::string name;
-  int priority = 0;             // the lowest value runs first
-  duration every{};             // time from the end of a round until the next round is due; 0: runs once
-  duration deadline{};          // time from being due until the job becomes urgent; 0: never urgent
-  std::set<std::string> after;  // names of jobs to wait for while they are due or running
-  rates budget;                 // limits this job, in addition to the budget of all jobs together
+  int priority = 0;                  // the lowest value runs first
+  duration interval{};               // time from the end of a round until the next round is due; 0: runs once
+  duration deadline{};               // time from being due until the job becomes urgent; 0: never urgent
+  std::set<std::string> runs_after;  // names of jobs to wait for while they are due or running
+  rates budget;                      // limits this job, in addition to the budget of all jobs together
 };
 
 struct options {
@@ -136,7 +136,7 @@
   double headroom_ = 1;
   time_point last_refill_;
   std::map<job_id, job> jobs_;
-  std::set<job_id> dependent_jobs_;  // jobs whose rules have a non-empty `after`
+  std::set<job_id> dependent_jobs_;  // jobs whose rules have a non-empty `runs_after`
   job_id last_id_ = 0;
   std::size_t running_ = 0;
 };
--- a/src/server/background_jobs.cpp
+++ b/src/server/background_jobs.cpp
@@ -32,19 +32,19 @@
 scheduler::options scheduler_options(const background_config& settings) {
   scheduler::options options;
   options.workers = settings.workers;
-  options.budget = {settings.cpu, static_cast<double>(settings.read), 0};
+  options.budget = {settings.cpu_cores, static_cast<double>(settings.read_bytes_per_s), 0};
   return options;
 }
 
 scheduler::slice_result scrub_slice(store::scrubber& scrubber) {
   const store::scrubber::step_result result = scrubber.step();
-  const auto end = result.more ? scheduler::slice_end::more : scheduler::slice_end::done;
+  const auto end = result.has_more ? scheduler::slice_end::more : scheduler::slice_end::done;
   return {end, result.read, 0, result.fault};
 }
 
 scheduler::slice_end slice_end_of(const store::table_service::slice& slice) {
   if (!slice.fault.empty()) return scheduler::slice_end::failed;
-  return slice.more ? scheduler::slice_end::more : scheduler::slice_end::done;
+  return slice.has_more ? scheduler::slice_end::more : scheduler::slice_end::done;
 }
 
 // Does nothing if the tables have been destroyed.
@@ -59,14 +59,15 @@
 }  // namespace
 
 bool background_jobs::configured(const config& settings) {
-  return (settings.keyed && settings.keyed->scrub.count() > 0) || settings.writes;
+  return (settings.keyed && settings.keyed->scrub_interval.count() > 0) || settings.transactions;
 }
 
 background_jobs::background_jobs(const config& settings, telemetry::counters& counters,
                                  std::function<void()> notify, time_point now)
     : counters_(counters),
-      deadline_(settings.background.deadline),
-      headroom_meter_({settings.background.quiet, settings.background.busy, settings.background.calm}),
+      deadline_(settings.background.max_overdue),
+      headroom_meter_({settings.background.full_headroom_load, settings.background.no_headroom_load,
+                       settings.background.queue_cooldown}),
       pool_(
           scheduler_options(settings.background),
           [this, notify = std::move(notify)] {
@@ -78,8 +79,10 @@
             telemetry::log("background", "%s: %s", job.c_str(), fault.c_str());
           },
           now) {
-  if (settings.keyed) schedule_scrub("scrub-results", settings.keyed->folder, settings.keyed->scrub, now);
-  if (settings.writes) schedule_scrub("scrub-writes", settings.writes->folder, settings.writes->scrub, now);
+  if (settings.keyed)
+    schedule_scrub("scrub-results", settings.keyed->folder, settings.keyed->scrub_interval, now);
+  if (settings.transactions)
+    schedule_scrub("scrub-writes", settings.transactions->folder, settings.transactions->scrub_interval, now);
 }
 
 // Each slice scrubs one segment. Scrubbing only reads, and is therefore safe in a folder that another process
@@ -90,7 +93,7 @@
   const auto scrubber =
       std::make_shared<store::scrubber>(std::make_shared<store::posix_file_system>(), folder);
   pool_.add(
-      {.name = job_name, .every = period, .deadline = deadline_, .after = {}, .budget = {}},
+      {.name = job_name, .interval = period, .deadline = deadline_, .runs_after = {}, .budget = {}},
       [scrubber](const std::atomic<bool>&) { return scrub_slice(*scrubber); },
       now + std::min(period, first_scrub_delay));
 }
@@ -102,14 +105,14 @@
     pool_.add(
         {.name = prefix + ("-" + store_name),
          .priority = priority,
-         .every = period,
+         .interval = period,
          .deadline = deadline,
-         .after = {},
+         .runs_after = {},
          .budget = {}},
         [tables, kind](const std::atomic<bool>&) { return maintenance_slice(tables, kind); }, now + period);
   };
   schedule("clean", work::clean, compaction_period, compaction_deadline, compaction_priority);
-  schedule("age", work::age, ageing_period, ageing_deadline, maintenance_priority);
+  schedule("age", work::expire, ageing_period, ageing_deadline, maintenance_priority);
   schedule("checkpoint", work::checkpoint, checkpoint_period, deadline_, maintenance_priority);
 }
 
@@ -127,7 +130,7 @@
   std::ostringstream out;
   out << "background.room=" << headroom_ << '\n';
   out << "background.faults=" << counters_.background_faults << '\n';
-  for (const scheduler::job_statistics& job : pool_.figures(now)) {
+  for (const scheduler::job_statistics& job : pool_.statistics(now)) {
     const std::string name = "background." + job.name;
     out << name << ".rounds=" << job.rounds << '\n'
         << name << ".slices=" << job.slices << '\n'
--- a/src/server/durable_idempotency.cpp
+++ b/src/server/durable_idempotency.cpp
@@ -17,21 +17,22 @@
   idempotency::durable_service_options options;
   options.folder = keyed.folder;
   options.windows = keyed.windows;
-  for (const auto& request_class : settings.settings.classes) options.classes.push_back(request_class.name);
-  for (const auto& tenant : settings.settings.tenants) options.tenants.push_back(tenant.name);
-  options.longest_key = keyed.longest_key;
-  options.largest_result = settings.bounds.result + settings.bounds.response_head;
-  options.entries = keyed.entries;
-  options.open = settings.bounds.keyed_open;
-  options.reads = settings.bounds.keyed_reads;
-  options.commit_records = settings.bounds.commit_records;
-  options.segment = keyed.segment;
-  options.space = keyed.space;
-  options.retry_disk = keyed.retry_disk;
+  for (const auto& request_class : settings.policy_settings.classes)
+    options.classes.push_back(request_class.name);
+  for (const auto& tenant : settings.policy_settings.tenants) options.tenants.push_back(tenant.name);
+  options.max_key_bytes = keyed.max_key_bytes;
+  options.max_result_bytes = settings.bounds.max_result_bytes + settings.bounds.max_response_head_bytes;
+  options.max_keys = keyed.max_keys;
+  options.max_open_keys = settings.bounds.max_open_keyed_requests;
+  options.max_concurrent_reads = settings.bounds.max_stored_result_reads;
+  options.commit_records = settings.bounds.max_records_per_sync;
+  options.segment = keyed.segment_bytes;
+  options.space = keyed.max_folder_bytes;
+  options.retry_disk = keyed.disk_retry_interval;
   // An inquiry about a transaction reads this node's own folder and needs no inquiry variable.
-  const bool can_inquire = !keyed.inquiry_var.empty() || settings.writes.has_value();
+  const bool can_inquire = !keyed.inquiry_var.empty() || settings.transactions.has_value();
   options.inquiry_tries = can_inquire ? keyed.inquiry_tries : 0;
-  options.inquiry_pause = keyed.inquiry_pause;
+  options.inquiry_pause = keyed.inquiry_retry_delay;
   options.salt = random_seed();
   options.unix_now = std::chrono::system_clock::now().time_since_epoch();
   options.steady_now = net::steady_now();
@@ -48,13 +49,13 @@
       dispatcher_(requests),
       counters_(counters),
       notify_(std::move(notify)),
-      deferred_service_(settings.keyed->retry_disk, counters) {
-  dispatcher_.use(deferred_service_, settings.keyed->finish_within);
+      deferred_service_(settings.keyed->disk_retry_interval, counters) {
+  dispatcher_.enable_idempotency(deferred_service_, settings.keyed->max_overrun);
   try {
     open();
-  } catch (const store::held& error) {  // the predecessor in a hot restart has locked the folder
+  } catch (const store::folder_locked& error) {  // the predecessor in a hot restart has locked the folder
     telemetry::log("handover", "%s; keyed requests are rejected until the folder is released", error.what());
-    next_open_attempt_ = net::steady_now() + settings.keyed->retry_disk;
+    next_open_attempt_ = net::steady_now() + settings.keyed->disk_retry_interval;
   }
 }
 
@@ -63,18 +64,18 @@
   durable_service_ =
       std::make_unique<idempotency::durable_service>(file_system_, options_of(config_), counters_, notify_);
   durable_service_->set_observer(dispatcher_);
-  deferred_service_.take(*durable_service_);
+  deferred_service_.open_with(*durable_service_);
 }
 
 void durable_idempotency::retry_open(time_point now) {
-  next_open_attempt_ = now + config_.keyed->retry_disk;
+  next_open_attempt_ = now + config_.keyed->disk_retry_interval;
   const char* folder = config_.keyed->folder.c_str();
   try {
     open();
     next_open_attempt_ = time_point::max();
     telemetry::log("handover", "%s opened after its release: %" PRIu64 " keys recovered", folder,
-                   static_cast<std::uint64_t>(durable_service_->known().size()));
-  } catch (const store::held&) {
+                   static_cast<std::uint64_t>(durable_service_->table().size()));
+  } catch (const store::folder_locked&) {
     durable_service_.reset();
   } catch (const std::exception& error) {  // the folder is unusable: keyed requests are still rejected
     durable_service_.reset();
@@ -88,7 +89,7 @@
 }
 
 std::size_t durable_idempotency::open_requests() const {
-  return durable_service_ ? durable_service_->known().open() : 0;
+  return durable_service_ ? durable_service_->table().open() : 0;
 }
 
 }  // namespace marblewharf::server
--- a/src/server/price_node.cpp
+++ b/src/server/price_node.cpp
@@ -15,7 +15,7 @@
 constexpr const char* cores_busy_gauge_name = "cpu_busy";
 
 std::optional<std::size_t> find_cores_busy_gauge(const config& settings) {
-  const auto& names = settings.settings.gauges;
+  const auto& names = settings.policy_settings.gauges;
   const auto found = std::find(names.begin(), names.end(), cores_busy_gauge_name);
   if (found == names.end()) return std::nullopt;
   return static_cast<std::size_t>(found - names.begin());
@@ -37,7 +37,7 @@
 price_node::price_node(const config& settings, net::traffic_observer* traffic_observer)
     : config_(settings),
       reactor_(settings.bounds),
-      dispatcher_(settings.settings, settings.seed, net::steady_now(), counters_),
+      dispatcher_(settings.policy_settings, settings.seed, net::steady_now(), counters_),
       wakeup_(settings.keyed ? std::make_unique<net::event_loop_wakeup>(reactor_) : nullptr),
       file_system_(std::make_shared<store::posix_file_system>()),
       durable_idempotency_(settings.keyed
@@ -64,7 +64,7 @@
                                   .uwsgi_server = uwsgi_server_,
                                   .durable = durable_idempotency_.get()}) {
   // The observer sees all traffic, because connections are accepted only in run().
-  reactor_.listen_in(traffic_observer);
+  reactor_.set_traffic_observer(traffic_observer);
   thrift_server_.set_health_check([this] { return operator_drain_.healthy(dispatcher_.healthy()); });
   start_cluster_agent();
   start_console();
@@ -99,7 +99,7 @@
   backend* outermost = &*uwsgi_client_;
   if (config_.dependencies)
     outermost = &fan_out_client_.emplace(reactor_, config_, dispatcher_, *uwsgi_client_);
-  if (config_.writes)
+  if (config_.transactions)
     outermost = &transaction_coordinator_.emplace(reactor_, config_, dispatcher_, *fan_out_client_,
                                                   file_system_, random_seed(), wake_reactor());
   return *outermost;
@@ -110,18 +110,18 @@
 void price_node::start_quota_client() {
   if (!config_.budgets) return;
   cluster::upstream_call_limiter calls;
-  calls.limit = [this](std::size_t upstream, double limit) {
+  calls.set_limit = [this](std::size_t upstream, double limit) {
     if (transaction_coordinator_) {
       transaction_coordinator_->set_share(upstream, limit);
     } else {
       fan_out_client_->set_share(upstream, limit);
     }
   };
-  calls.use = [this](std::size_t upstream) {
-    const fan_out::client::calls current = transaction_coordinator_
-                                               ? transaction_coordinator_->calls_at(upstream)
-                                               : fan_out_client_->calls_at(upstream);
-    return cluster::upstream_call_limiter::calls{current.in_flight, current.waiting, current.turned_away};
+  calls.current_calls = [this](std::size_t upstream) {
+    const fan_out::client::call_load current = transaction_coordinator_
+                                                   ? transaction_coordinator_->calls_at(upstream)
+                                                   : fan_out_client_->calls_at(upstream);
+    return cluster::upstream_call_limiter::calls{current.in_flight, current.waiting, current.rejected};
   };
   quota_client_.emplace(*cluster_agent_, config_, dispatcher_, counters_, std::move(calls));
 }
@@ -138,7 +138,7 @@
 
 void price_node::run() {
   reactor_.serve([this] { return step(); });
-  telemetry::log("stop", "price node stops with %zu open requests", dispatcher_.open());
+  telemetry::log("stop", "price node stops with %zu open requests", dispatcher_.open_requests());
   telemetry::log_counters(counters_);
 }
 
@@ -165,7 +165,7 @@
 void price_node::handle_signals(time_point now) {
   if (consume_counters_request()) {
     telemetry::log_counters(counters_);
-    if (fan_out_client_) fan_out_client_->print();
+    if (fan_out_client_) fan_out_client_->log_counters();
   }
   if (consume_reload_request()) reload_addresses(config_, runtime_link_, registry_client_);
   if (admin_handler_.ready()) hot_restart_file_->write_once();
@@ -179,7 +179,8 @@
   std::vector<double> gauges = runtime_link_.gauges(now);
   if (cores_busy_gauge_ && *cores_busy_gauge_ < gauges.size() && uwsgi_client_) {
     double& cores_busy = gauges[*cores_busy_gauge_];
-    const double uwsgi_utilization = static_cast<double>(uwsgi_client_->running()) / config_.settings.cores;
+    const double uwsgi_utilization =
+        static_cast<double>(uwsgi_client_->running()) / config_.policy_settings.cores;
     cores_busy = std::min(1.0, cores_busy + uwsgi_utilization);
   }
   return gauges;
@@ -192,17 +193,17 @@
 
 time_point price_node::step_cluster(time_point now) {
   const time_point due = step_if_present(cluster_agent_, now);
-  if (cluster_agent_ && cluster_agent_->changes() != routed_view_version_) update_routes();
+  if (cluster_agent_ && cluster_agent_->change_count() != routed_view_version_) update_routes();
   return due;
 }
 
 void price_node::update_routes() {
-  routed_view_version_ = cluster_agent_->changes();
+  routed_view_version_ = cluster_agent_->change_count();
   const auto routable = [this](const std::string& zone_or_member) {
-    return cluster_agent_->routable(zone_or_member);
+    return cluster_agent_->is_routable(zone_or_member);
   };
-  if (fan_out_client_) fan_out_client_->routes_changed(routable);
-  if (transaction_coordinator_) transaction_coordinator_->routes_changed(routable);
+  if (fan_out_client_) fan_out_client_->update_reachability(routable);
+  if (transaction_coordinator_) transaction_coordinator_->update_reachability(routable);
 }
 
 // The tables exist once the coordinator has opened its folder, which a predecessor may still have locked when
--- a/src/server/shutdown_sequence.cpp
+++ b/src/server/shutdown_sequence.cpp
@@ -8,10 +8,11 @@
     : bounds_(bounds), targets_(targets) {}
 
 void shutdown_sequence::start(time_point now, bool successor_took_over) {
-  telemetry::log("drain", "shutdown notice received with %zu open requests%s", targets_.requests.open(),
+  telemetry::log("drain", "shutdown notice received with %zu open requests%s",
+                 targets_.requests.open_requests(),
                  successor_took_over ? "; a successor accepts new connections" : "");
   shutdown_.emplace(now, successor_took_over, bounds_);
-  targets_.requests.on_shutdown_notice(bounds_.stop);
+  targets_.requests.on_shutdown_notice(bounds_.shutdown_duration);
 }
 
 bool shutdown_sequence::step(time_point now) {
--- a/src/store/cleaning.cpp
+++ b/src/store/cleaning.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 cleaning::cleaning(cleaning_rules rules) : rules_(rules) {
-  if (rules_.space < least_segments * rules_.segment)
+  if (rules_.space < min_segments * rules_.segment)
     throw std::invalid_argument("space: must be at least twelve segments");
   if (!(rules_.amplification > 1)) throw std::invalid_argument("amplification: must be above 1");
 }
@@ -30,15 +30,16 @@
 }
 
 bool cleaning::is_needed(const disk_sizes& disk) const {
-  const auto allowed = static_cast<std::uint64_t>(rules_.amplification * static_cast<double>(disk.live));
-  return disk.used > allowed + slack_segments * rules_.segment;
+  const auto allowed =
+      static_cast<std::uint64_t>(rules_.amplification * static_cast<double>(disk.live_bytes));
+  return disk.used_bytes > allowed + slack_segments * rules_.segment;
 }
 
-verdict cleaning::of(const disk_sizes& disk, std::uint64_t bytes, std::int64_t growth) const {
-  if (growth > 0 && disk.live + static_cast<std::uint64_t>(growth) > max_live_bytes())
+verdict cleaning::admit(const disk_sizes& disk, std::uint64_t bytes, std::int64_t growth) const {
+  if (growth > 0 && disk.live_bytes + static_cast<std::uint64_t>(growth) > max_live_bytes())
     return {false, std::nullopt};
-  if (disk.room >= reserve() + bytes) return {true, std::nullopt};
-  const double needed = static_cast<double>(reserve() + bytes - disk.room);
+  if (disk.free_bytes >= reserve() + bytes) return {true, std::nullopt};
+  const double needed = static_cast<double>(reserve() + bytes - disk.free_bytes);
   if (bytes_per_second_ <= 0) return {false, min_retry_after};
   const auto wait = std::chrono::duration<double>(std::min(needed / bytes_per_second_, 1e6));
   return {false, std::clamp(std::chrono::duration_cast<std::chrono::nanoseconds>(wait), min_retry_after,
--- a/src/store/cleaning.hpp
+++ b/src/store/cleaning.hpp
@@ -15,7 +15,7 @@
 
 namespace marblewharf::store {
 
-constexpr std::uint64_t least_segments = 12;  // `space` must have room for this many segments
+constexpr std::uint64_t min_segments = 12;  // `space` must have room for this many segments
 
 struct cleaning_rules {
   std::uint64_t segment = std::uint64_t{8} << 20;  // bytes
@@ -30,16 +30,16 @@
 
 // The current sizes on disk, in bytes.
 struct disk_sizes {
-  std::uint64_t used = 0;  // all segments
-  std::uint64_t live = 0;  // records that are the current value of a key
-  std::uint64_t room = 0;  // frames that can certainly still be written
+  std::uint64_t used_bytes = 0;  // all segments
+  std::uint64_t live_bytes = 0;  // records that are the current value of a key
+  std::uint64_t free_bytes = 0;  // frames that can certainly still be written
 };
 
 // Whether a batch is accepted.
 struct verdict {
-  bool may = false;
+  bool accepted = false;
   // For a rejected batch: when to retry. Nothing: a retry is useless until keys are erased.
-  std::optional<std::chrono::nanoseconds> come_back;
+  std::optional<std::chrono::nanoseconds> retry_after;
 };
 
 class cleaning {
@@ -55,7 +55,7 @@
   // Whether a segment should be cleaned now.
   bool is_needed(const disk_sizes& disk) const;
   // Decides on a batch of this many bytes that changes the live bytes by `growth` (negative if it erases).
-  verdict of(const disk_sizes& disk, std::uint64_t bytes, std::int64_t growth) const;
+  verdict admit(const disk_sizes& disk, std::uint64_t bytes, std::int64_t growth) const;
 
   // A segment of `freed` bytes was cleaned, of which `copied` bytes were written again; it took this long.
   void on_cleaned(std::uint64_t freed, std::uint64_t copied, std::chrono::nanoseconds took);
--- a/src/store/committer.cpp
+++ b/src/store/committer.cpp
@@ -40,8 +40,8 @@
   std::vector<task> batch;
   std::uint64_t bytes = 0;
   const auto fits = [&](const task& t, std::size_t taken) {
-    bytes = (taken == 0 ? 0 : bytes) + room_for(t.to_write.content.body.size());
-    return taken == 0 || (taken < options_.batch && bytes <= log_->max_frame_bytes());
+    bytes = (taken == 0 ? 0 : bytes) + max_bytes_on_disk(t.to_write.content.body.size());
+    return taken == 0 || (taken < options_.max_batch_records && bytes <= log_->max_frame_bytes());
   };
   while (queue_.pop_batch(batch, log_->is_open() ? options_.reclaim_interval : options_.retry, fits)) {
     const bool reclaim_due = std::chrono::steady_clock::now() >= next_reclaim;
--- a/src/store/committer.hpp
+++ b/src/store/committer.hpp
@@ -17,8 +17,8 @@
 namespace marblewharf::store {
 
 struct committer_options {
-  std::size_t queue = 4096;  // maximum number of queued requests
-  std::size_t batch = 1024;  // maximum number of records in one commit; 1: one sync per record
+  std::size_t queue = 4096;              // maximum number of queued requests
+  std::size_t max_batch_records = 1024;  // maximum number of records in one commit; 1: one sync per record
   std::chrono::nanoseconds retry = std::chrono::milliseconds(500);      // delay after a failure
   std::chrono::nanoseconds reclaim_interval = std::chrono::seconds(1);  // between checks for expired segments
 };
--- a/src/store/file_system.cpp
+++ b/src/store/file_system.cpp
@@ -132,7 +132,8 @@
 
 std::shared_ptr<void> posix_file_system::lock(const std::string& path) {
   const auto fd = std::make_shared<descriptor>(path, O_CREAT | O_RDWR);
-  if (::flock(fd->get(), LOCK_EX | LOCK_NB) != 0) throw held(path + ": another process holds this folder");
+  if (::flock(fd->get(), LOCK_EX | LOCK_NB) != 0)
+    throw folder_locked(path + ": another process holds this folder");
   return fd;
 }
 
--- a/src/store/file_system.hpp
+++ b/src/store/file_system.hpp
@@ -17,7 +17,7 @@
 };
 // Thrown by lock(): another process has locked the folder, and may unlock it later. Nothing in the folder was
 // read or written.
-struct held : io_error {
+struct folder_locked : io_error {
   using io_error::io_error;
 };
 
@@ -47,8 +47,8 @@
   virtual void truncate(const std::string& path, std::uint64_t size) = 0;
   virtual void make_folder(const std::string& path) = 0;  // no effect if it exists
   virtual void sync_folder(const std::string& path) = 0;
-  // Locks the folder for this process until the returned handle is destroyed. Throws `held` if another
-  // process has locked it.
+  // Locks the folder for this process until the returned handle is destroyed. Throws `folder_locked` if
+  // another process has locked it.
   virtual std::shared_ptr<void> lock(const std::string& path) = 0;
 };
 
--- a/src/store/log.cpp
+++ b/src/store/log.cpp
@@ -126,7 +126,7 @@
   const auto first = sealed_.begin();
   if (first == sealed_.end() || first->first != number) return;
   if (!retired_.contains(number)) {
-    retire(number, never);
+    retire(number, no_expiry);
   } else {  // renamed by an earlier call that failed
     fs_.sync_folder(options_.folder);
     fs_.truncate(marker_path_of(number), 0);
@@ -198,7 +198,7 @@
   std::vector<position> positions;
   for (std::size_t i = 0; i < offsets.size(); ++i)
     positions.push_back({number_, static_cast<std::uint32_t>(end_ + offsets[i]),
-                         static_cast<std::uint32_t>(record_head + padded(records[i].body.size()))});
+                         static_cast<std::uint32_t>(record_header_size + padded(records[i].body.size()))});
   end_ += frame.size();
   expiry_ = std::max(expiry_, batch_expiry);
   return positions;
--- a/src/store/log.hpp
+++ b/src/store/log.hpp
@@ -44,7 +44,7 @@
 };
 
 // The expiry of records that are removed by drop() only.
-constexpr std::int64_t never = std::numeric_limits<std::int64_t>::max();
+constexpr std::int64_t no_expiry = std::numeric_limits<std::int64_t>::max();
 
 struct recovered_counts {
   std::uint64_t segments = 0, records = 0, frames = 0, torn_bytes = 0;
--- a/src/store/scrub.cpp
+++ b/src/store/scrub.cpp
@@ -22,8 +22,8 @@
     return result;
   }
   last_ = *next;
-  result.more = std::next(next, 2) != numbers.end();
-  if (!result.more) last_ = 0;
+  result.has_more = std::next(next, 2) != numbers.end();
+  if (!result.has_more) last_ = 0;
   const std::uint64_t number = *next, successor = *std::next(next);
   const std::string path = folder_ + "/" + log::file_name(number);
   const std::string successor_path = folder_ + "/" + log::file_name(successor);
--- a/src/store/scrub.hpp
+++ b/src/store/scrub.hpp
@@ -19,7 +19,7 @@
       : fs_(std::move(fs)), folder_(std::move(folder)) {}
 
   struct step_result {
-    bool more = false;       // the round is not finished
+    bool has_more = false;   // the round is not finished
     std::uint64_t read = 0;  // bytes
     std::string fault;       // file and byte of the damage; empty = none
   };
--- a/src/store/segment.hpp
+++ b/src/store/segment.hpp
@@ -24,9 +24,9 @@
     2;  // rows of tables; segments of version 1 in the same folder keep their records
 constexpr std::uint32_t newest = tables;
 }  // namespace format
-constexpr std::size_t header_size = 80;  // bytes
-constexpr std::size_t frame_head = 32;   // bytes of a frame's header
-constexpr std::size_t record_head = 16;  // bytes of a record's header
+constexpr std::size_t header_size = 80;         // bytes
+constexpr std::size_t frame_header_size = 32;   // bytes of a frame's header
+constexpr std::size_t record_header_size = 16;  // bytes of a record's header
 
 // Data on disk is not as it was written. The text names file and offset.
 struct damaged : std::runtime_error {
@@ -53,8 +53,8 @@
 }
 // The bytes that a record with a body of `body` bytes takes on disk if it has a frame of its own. A record
 // never takes more.
-constexpr std::uint64_t room_for(std::uint64_t body) {
-  return frame_head + record_head + padded(body);
+constexpr std::uint64_t max_bytes_on_disk(std::uint64_t body) {
+  return frame_header_size + record_header_size + padded(body);
 }
 
 std::string encode_header(const segment_header& header);
--- a/src/store/store_command.cpp
+++ b/src/store/store_command.cpp
@@ -20,7 +20,7 @@
   tables_options o;
   o.folder = q.folder;
   o.disk = {q.segment, q.space, q.amplification};
-  o.most_keys = SIZE_MAX;
+  o.max_keys = SIZE_MAX;
   return o;
 }
 
@@ -34,7 +34,7 @@
 void print(const store_content& content) {
   std::printf("segments=%" PRIu64 " commits=%" PRIu64 " records=%" PRIu64 " torn_bytes=%" PRIu64 "\n",
               content.log.segments, content.log.frames, content.log.records, content.log.torn_bytes);
-  if (content.older > 0) std::printf("older_records=%" PRIu64 "\n", content.older);
+  if (content.legacy_records > 0) std::printf("older_records=%" PRIu64 "\n", content.legacy_records);
   for (const auto& [table, keys] : content.keys)
     std::printf("table=%s keys=%zu\n", printable(table).c_str(), keys);
   if (!content.checkpoint) {
@@ -80,31 +80,31 @@
   posix_file_system fs;
   expect_store(fs, q.folder);
   tables t(fs, options_of(q), now());
-  const std::uint64_t used_before = t.show().disk.used;
-  while (t.clean_step(now())) std::fprintf(stderr, "\r%" PRIu64 " bytes used", t.show().disk.used);
+  const std::uint64_t used_before = t.show().disk.used_bytes;
+  while (t.clean_step(now())) std::fprintf(stderr, "\r%" PRIu64 " bytes used", t.show().disk.used_bytes);
   while (t.checkpoint_step(now())) {
   }
   const tables::figures f = t.show();
   std::fprintf(stderr, "\n");
   std::printf("used_before=%" PRIu64 " used=%" PRIu64 " live=%" PRIu64 " copied=%" PRIu64 "\n", used_before,
-              f.disk.used, f.disk.live, f.copied);
+              f.disk.used_bytes, f.disk.live_bytes, f.copied);
 }
 
 void backup_store(const store_query& q) {
   posix_file_system fs;
   expect_store(fs, q.folder);
   tables t(fs, options_of(q), now());
-  t.begin_backup(q.to);
+  t.begin_backup(q.target);
   std::uint64_t segments = 1;
   while (t.backup_step(now())) std::fprintf(stderr, "\r%" PRIu64 " segments", ++segments);
   std::fprintf(stderr, "\n");
-  print(inspect_tables(fs, q.to, now()));
+  print(inspect_tables(fs, q.target, now()));
 }
 
 void restore_store(const store_query& q) {
   posix_file_system fs;
-  restore_tables(fs, q.folder, q.to, now());
-  print(inspect_tables(fs, q.to, now()));
+  restore_tables(fs, q.folder, q.target, now());
+  print(inspect_tables(fs, q.target, now()));
 }
 
 }  // namespace marblewharf::store
--- a/src/store/store_command.hpp
+++ b/src/store/store_command.hpp
@@ -7,7 +7,7 @@
 namespace marblewharf::store {
 
 struct store_query {
-  std::string folder, to;                          // `to`: the target of backup and restore
+  std::string folder, target;                      // `target`: the target of backup and restore
   std::string table;                               // for dump; empty = all tables
   std::uint64_t segment = std::uint64_t{8} << 20;  // bytes; for compact and backup: the same as in the
                                                    // settings of the store's owner
@@ -20,7 +20,7 @@
 void verify_store(const store_query& q);   // verifies all checksums, and the checkpoint against the log
 void dump_store(const store_query& q);     // one line per key
 void compact_store(const store_query& q);  // cleans until cleaning is not needed, then writes a checkpoint
-void backup_store(const store_query& q);   // to the empty folder `to`
-void restore_store(const store_query& q);  // from the backup in `folder` to the empty folder `to`
+void backup_store(const store_query& q);   // to the empty folder `target`
+void restore_store(const store_query& q);  // from the backup in `folder` to the empty folder `target`
 
 }  // namespace marblewharf::store
--- a/src/store/table_records.cpp
+++ b/src/store/table_records.cpp
@@ -6,7 +6,7 @@
 
 std::string encode_row(const row& r) {
   std::string out;
-  out.reserve(row_head + r.table.size() + r.key.size() + r.value.size());
+  out.reserve(row_header_size + r.table.size() + r.key.size() + r.value.size());
   put(out, static_cast<std::uint16_t>(r.table.size()));
   put(out, static_cast<std::uint32_t>(r.key.size()));
   put(out, r.expiry);
@@ -15,11 +15,11 @@
 }
 
 std::optional<row> decode_row(std::string_view body) {
-  if (body.size() < row_head) return std::nullopt;
+  if (body.size() < row_header_size) return std::nullopt;
   const std::size_t table = get<std::uint16_t>(body, 0), key = get<std::uint32_t>(body, 2);
-  if (table + key > body.size() - row_head) return std::nullopt;
-  return row{body.substr(row_head, table), body.substr(row_head + table, key),
-             body.substr(row_head + table + key), get<std::int64_t>(body, 6)};
+  if (table + key > body.size() - row_header_size) return std::nullopt;
+  return row{body.substr(row_header_size, table), body.substr(row_header_size + table, key),
+             body.substr(row_header_size + table + key), get<std::int64_t>(body, 6)};
 }
 
 std::string encode_position(const position& p) {
--- a/src/store/table_records.hpp
+++ b/src/store/table_records.hpp
@@ -26,7 +26,7 @@
   std::int64_t expiry = 0;  // ns; 0 = never
 };
 
-constexpr std::size_t row_head = 2 + 4 + 8;  // bytes before the name
+constexpr std::size_t row_header_size = 2 + 4 + 8;  // bytes before the name
 std::string encode_row(const row& r);
 // Returns nothing if the bytes are not a row.
 std::optional<row> decode_row(std::string_view body);
@@ -35,6 +35,6 @@
 std::string encode_position(const position& p);
 std::optional<position> decode_position(std::string_view bytes);
 
-constexpr std::size_t longest_table_name = 255;  // bytes
+constexpr std::size_t max_table_name_bytes = 255;  // bytes
 
 }  // namespace marblewharf::store
--- a/src/store/table_service.cpp
+++ b/src/store/table_service.cpp
@@ -91,9 +91,9 @@
   const std::uint64_t copied_before = tables_->show().copied;
   try {
     switch (work_kind) {
-      case work::clean: s.more = tables_->clean_step(now_()); break;
-      case work::checkpoint: s.more = tables_->checkpoint_step(now_()); break;
-      case work::age: s.more = tables_->expire_step(now_()); break;
+      case work::clean: s.has_more = tables_->clean_step(now_()); break;
+      case work::checkpoint: s.has_more = tables_->checkpoint_step(now_()); break;
+      case work::expire: s.has_more = tables_->expire_step(now_()); break;
     }
   } catch (const std::runtime_error& e) {  // io_error or damaged: the caller reports it, as no request failed
     s.fault = e.what();
@@ -164,14 +164,14 @@
       const std::vector<tables::committed> results = tables_->commit_all(group, now);
       for (const tables::committed& c : results) {
         if (!c.fault.empty()) fault_ = c.fault;
-        completed.push_back({tasks[i++].ticket, kind::commit, c.v, {}, c.fault});
+        completed.push_back({tasks[i++].ticket, kind::commit, c.admission, {}, c.fault});
       }
       continue;
     }
     done d{t.ticket, t.operation, {}, {}, {}};
     try {
       if (t.operation == kind::commit) {
-        d.v = tables_->commit(t.changes, t.mode, now);
+        d.admission = tables_->commit(t.changes, t.mode, now);
       } else {
         d.value = tables_->get(t.table, t.key, now);
       }
--- a/src/store/table_service.hpp
+++ b/src/store/table_service.hpp
@@ -31,8 +31,8 @@
   enum class kind { commit, get };
   struct done {
     std::uint64_t ticket = 0;
-    kind what = kind::commit;
-    verdict v;                         // after a commit
+    kind operation = kind::commit;
+    verdict admission;                 // after a commit
     std::optional<std::string> value;  // after a get; nothing: no such key
     std::string fault;                 // not empty: the commit is in doubt, or the read failed
   };
@@ -43,9 +43,9 @@
     disk_sizes disk;
     cleaning rules;  // rules.of(disk, ...) decides whether a batch is accepted
   };
-  enum class work { clean, checkpoint, age };
+  enum class work { clean, checkpoint, expire };
   struct slice {
-    bool more = false;
+    bool has_more = false;
     std::uint64_t read = 0, written = 0;  // bytes read from the segment being cleaned; bytes copied
     std::string fault;                    // not empty: the slice failed and is repeated later
   };
--- a/src/store/tables.cpp
+++ b/src/store/tables.cpp
@@ -14,10 +14,10 @@
 constexpr std::chrono::nanoseconds retry_after = std::chrono::milliseconds(500);
 
 std::uint64_t record_bytes(std::size_t body) {
-  return record_head + padded(body);
+  return record_header_size + padded(body);
 }
 std::uint64_t record_bytes(const std::string& table, const std::string& key, std::size_t value) {
-  return record_bytes(row_head + table.size() + key.size() + value);
+  return record_bytes(row_header_size + table.size() + key.size() + value);
 }
 
 constexpr std::int64_t expiry_passes_per_lifetime = 16;
@@ -95,12 +95,12 @@
     return recovered_->replay_from;
   };
   log_ = std::make_unique<log>(
-      fs_, std::move(l), [](std::uint32_t, std::string_view) { return never; },
+      fs_, std::move(l), [](std::uint32_t, std::string_view) { return no_expiry; },
       [this](std::uint32_t type, std::string_view body, const position& location) {
         if (is_table_record(type)) {
           replay(index_, type, body, location, ++last_commit_);
-        } else if (options_.older) {
-          options_.older(type, body);
+        } else if (options_.on_legacy_record) {
+          options_.on_legacy_record(type, body);
         } else {
           throw damaged(text_of(location) + ": the record is not a table row");
         }
@@ -140,7 +140,7 @@
 // ---- Writing ----------------------------------------------------------------------------------------------
 
 std::uint64_t tables::buffer_limit() const {
-  return std::min(options_.max_buffered_bytes, log_->max_frame_bytes() - frame_head);
+  return std::min(options_.max_buffered_bytes, log_->max_frame_bytes() - frame_header_size);
 }
 
 disk_sizes tables::disk() const {
@@ -150,15 +150,15 @@
 
 std::uint64_t tables::bytes_of(const batch& changes) const {
   std::uint64_t bytes = 0;
-  for (const auto& [row_key, value] : changes.all()) {
+  for (const auto& [row_key, value] : changes.changes()) {
     const auto& [table, key] = row_key;
-    if (table.empty() || table.size() > longest_table_name)
+    if (table.empty() || table.size() > max_table_name_bytes)
       throw std::invalid_argument("table name: must have 1 to 255 bytes");
     if (key.size() > options_.max_key_bytes)
       throw std::invalid_argument("key too long: " + std::to_string(key.size()) + " bytes");
     bytes += record_bytes(table, key, value ? value->size() : 0);
   }
-  if (frame_head + bytes > options_.disk.segment / 4)  // log::max_frame_bytes()
+  if (frame_header_size + bytes > options_.disk.segment / 4)  // log::max_frame_bytes()
     throw std::invalid_argument("batch too large: " + std::to_string(bytes) +
                                 " bytes, the limit is a quarter of a segment");
   return bytes;
@@ -166,7 +166,7 @@
 
 tables::growth tables::growth_of(const batch& changes) const {
   growth g;
-  for (const auto& [row_key, value] : changes.all()) {
+  for (const auto& [row_key, value] : changes.changes()) {
     const value_ref* p = index_.find(row_key.first, row_key.second);
     if (p != nullptr) g.bytes -= static_cast<std::int64_t>(p->record_bytes);
     if (!value) continue;
@@ -181,12 +181,12 @@
 verdict tables::verdict_of(const batch& changes, std::uint64_t group_bytes, std::int64_t group_growth,
                            std::size_t group_keys) const {
   const growth g = growth_of(changes);
-  if (g.keys > 0 && index_.keys() + group_keys + g.keys > options_.most_keys) return {false, std::nullopt};
+  if (g.keys > 0 && index_.keys() + group_keys + g.keys > options_.max_keys) return {false, std::nullopt};
   if (!log_->is_open()) return {false, retry_after};
   disk_sizes s = disk();
-  s.room = s.room > group_bytes ? s.room - group_bytes : 0;
-  return cleaning_.of(s, frame_head + bytes_of(changes),
-                      g.bytes > 0 ? g.bytes + std::max<std::int64_t>(group_growth, 0) : g.bytes);
+  s.free_bytes = s.free_bytes > group_bytes ? s.free_bytes - group_bytes : 0;
+  return cleaning_.admit(s, frame_header_size + bytes_of(changes),
+                         g.bytes > 0 ? g.bytes + std::max<std::int64_t>(group_growth, 0) : g.bytes);
 }
 
 verdict tables::check_admission(const batch& changes) const {
@@ -195,14 +195,14 @@
 
 std::vector<tables::pending> tables::records_of(const batch& changes, sequence commit) const {
   std::vector<pending> out;
-  for (const auto& [row_key, value] : changes.all()) {
+  for (const auto& [row_key, value] : changes.changes()) {
     pending p{row_key.first, row_key.second, {}, commit, 0, !value};
-    const auto life = options_.life.find(p.table);
-    if (value && life != options_.life.end()) p.expiry = latest_time_ + life->second.count();
+    const auto life = options_.lifetimes.find(p.table);
+    if (value && life != options_.lifetimes.end()) p.expiry = latest_time_ + life->second.count();
     const table_record type = value ? table_record::put : table_record::erase;
     p.logged = {{static_cast<std::uint32_t>(type),
                  encode_row({p.table, p.key, value ? *value : std::string(), p.expiry})},
-                never};
+                no_expiry};
     out.push_back(std::move(p));
   }
   return out;
@@ -212,7 +212,7 @@
   if (mode == durability::now || bytes_of(changes) > buffer_limit()) {
     const committed c = commit_all({&changes}, now).front();
     if (!c.fault.empty()) throw io_error(c.fault);
-    return c.v;
+    return c.admission;
   }
   if (changes.empty()) return {true, std::nullopt};
   const std::uint64_t bytes = bytes_of(changes);
@@ -222,7 +222,7 @@
   } catch (const io_error&) {
     return {false, retry_after};
   }
-  if (const verdict v = check_admission(changes); !v.may) return v;
+  if (const verdict v = check_admission(changes); !v.accepted) return v;
   if (buffered_.empty()) buffered_since_ = latest_time_;
   for (pending& p : records_of(changes, ++last_commit_)) {
     if (p.erased) {
@@ -251,7 +251,7 @@
     try {
       reopen(now);
     } catch (const io_error&) {
-      for (; done < group.size(); ++done) out[done].v = {false, retry_after};
+      for (; done < group.size(); ++done) out[done].admission = {false, retry_after};
       return out;
     }
     sequence commit = last_commit_;
@@ -260,10 +260,12 @@
       const batch& changes = *group[next];
       const std::uint64_t batch_bytes = bytes_of(changes);
       const std::uint64_t buffered = included.empty() ? 0 : buffered_bytes_;
-      if (!included.empty() && frame_head + buffered + bytes + batch_bytes > log_->max_frame_bytes()) break;
-      out[next].v = changes.empty() ? verdict{true, std::nullopt}
-                                    : verdict_of(changes, bytes, frame_growth.bytes, frame_growth.keys);
-      if (!out[next].v.may || changes.empty()) continue;
+      if (!included.empty() && frame_header_size + buffered + bytes + batch_bytes > log_->max_frame_bytes())
+        break;
+      out[next].admission = changes.empty()
+                                ? verdict{true, std::nullopt}
+                                : verdict_of(changes, bytes, frame_growth.bytes, frame_growth.keys);
+      if (!out[next].admission.accepted || changes.empty()) continue;
       const growth g = growth_of(changes);
       frame_growth = {frame_growth.bytes + g.bytes, frame_growth.keys + g.keys};
       for (pending& p : records_of(changes, ++commit)) frame.push_back(std::move(p));
@@ -273,7 +275,7 @@
     done = next;
     if (included.empty()) continue;
     try {
-      if (frame_head + buffered_bytes_ + bytes > log_->max_frame_bytes()) flush(now);
+      if (frame_header_size + buffered_bytes_ + bytes > log_->max_frame_bytes()) flush(now);
       const std::size_t old_size = buffered_.size();
       buffered_.insert(buffered_.end(), std::make_move_iterator(frame.begin()),
                        std::make_move_iterator(frame.end()));
@@ -360,8 +362,8 @@
   });
 }
 
-void tables::each_key(const std::string& table, std::int64_t now,
-                      const std::function<void(const std::string&, std::int64_t)>& visit) const {
+void tables::visit_keys(const std::string& table, std::int64_t now,
+                        const std::function<void(const std::string&, std::int64_t)>& visit) const {
   index_.scan(table, "", "", std::nullopt, [&](const std::string& key, const value_ref& p) {
     if (unexpired(&p, now) != nullptr) visit(key, p.expiry);
     return true;
@@ -435,7 +437,7 @@
   std::vector<entry> copies;
   std::vector<std::pair<std::string, std::string>> keys;
   std::uint64_t bytes = 0;
-  const std::uint64_t max_bytes = std::min(options_.slice_bytes, log_->max_frame_bytes() - frame_head);
+  const std::uint64_t max_bytes = std::min(options_.slice_bytes, log_->max_frame_bytes() - frame_header_size);
   std::size_t next_put = c.next_put;
   for (; next_put < c.read.puts.size(); ++next_put) {
     const position& p = c.read.puts[next_put];
@@ -455,7 +457,7 @@
       continue;
     }
     if (!copies.empty() && bytes + p.size > max_bytes) break;
-    copies.push_back({{type, std::string(body)}, never});
+    copies.push_back({{type, std::string(body)}, no_expiry});
     keys.emplace_back(table, key);
     bytes += p.size;
   }
@@ -480,7 +482,7 @@
   latest_time_ = monotonic(now);
   if (expiry_cursor_.first.empty()) {  // no pass is in progress: a table name is never empty
     if (latest_time_ < next_expiry_pass_) return false;
-    next_expiry_pass_ = latest_time_ + shortest_lifetime(options_.life) / expiry_passes_per_lifetime;
+    next_expiry_pass_ = latest_time_ + shortest_lifetime(options_.lifetimes) / expiry_passes_per_lifetime;
   }
   for (std::size_t i = 0; i < options_.slice_keys; ++i) {
     const auto next = index_.next_key(expiry_cursor_.first, expiry_cursor_.second);
@@ -608,11 +610,11 @@
       fs, folder, [&](std::string_view entry) { load_checkpoint_entry(from_checkpoint, entry); });
   const bool intact = found.checkpoint && found.checkpoint->fault.empty();
   found.log = log::inspect(
-      fs, folder, [](std::uint32_t, std::string_view) { return never; },
+      fs, folder, [](std::uint32_t, std::string_view) { return no_expiry; },
       [&](std::uint32_t type, std::string_view body, const position& location) {
         if (oldest == 0) oldest = location.segment;
         if (!is_table_record(type)) {
-          ++found.older;
+          ++found.legacy_records;
           return;
         }
         replay(from_log, type, body, location, ++commit);
--- a/src/store/tables.hpp
+++ b/src/store/tables.hpp
@@ -36,8 +36,8 @@
   std::string folder;
   cleaning_rules disk;
   // By table: the time from a put to its expiry. Rows of tables that are not listed never expire.
-  std::map<std::string, std::chrono::nanoseconds> life = {};
-  std::size_t most_keys = 1'000'000;
+  std::map<std::string, std::chrono::nanoseconds> lifetimes = {};
+  std::size_t max_keys = 1'000'000;
   std::size_t max_key_bytes = 4096;
   // Limit for the lazy batches buffered in memory; they never exceed a quarter of a segment.
   std::uint64_t max_buffered_bytes = std::uint64_t{256} << 10;
@@ -50,7 +50,7 @@
   // Gets the records of an older program in the folder (format::records), in their order. The owner copies
   // the data that it still needs into tables and notes there that it has done so; cleaning then deletes the
   // old records. If this is not set, such records are treated as damage.
-  std::function<void(std::uint32_t type, std::string_view body)> older = {};
+  std::function<void(std::uint32_t type, std::string_view body)> on_legacy_record = {};
 };
 
 // A batch of changes to keys of any tables. The last change to a key wins.
@@ -61,7 +61,7 @@
   }
   void erase(const std::string& table, const std::string& key) { changes_[{table, key}] = std::nullopt; }
   bool empty() const { return changes_.empty(); }
-  const std::map<std::pair<std::string, std::string>, std::optional<std::string>>& all() const {
+  const std::map<std::pair<std::string, std::string>, std::optional<std::string>>& changes() const {
     return changes_;
   }
 
@@ -95,7 +95,7 @@
   // atomic by itself. Disk errors are returned in `fault` and not thrown. Throws std::invalid_argument like
   // check_admission(); then no batch was written.
   struct committed {
-    verdict v;
+    verdict admission;
     std::string fault;  // not empty: the batch is in doubt
   };
   std::vector<committed> commit_all(const std::vector<const batch*>& group, std::int64_t now);
@@ -115,8 +115,8 @@
             std::optional<snapshot> as_of,
             const std::function<bool(const std::string&, const std::string&)>& visit) const;
   // Visits the keys of a table in order, with their expiry (0 = never), without reading values.
-  void each_key(const std::string& table, std::int64_t now,
-                const std::function<void(const std::string& key, std::int64_t expiry)>& visit) const;
+  void visit_keys(const std::string& table, std::int64_t now,
+                  const std::function<void(const std::string& key, std::int64_t expiry)>& visit) const;
   snapshot open_snapshot(std::int64_t now);
   void close_snapshot(snapshot id);
 
@@ -162,7 +162,7 @@
   };
   figures show() const;
   std::uint64_t salt() const { return log_->salt(); }
-  std::int64_t latest() const { return latest_time_; }  // the latest time that the store knows
+  std::int64_t latest_time() const { return latest_time_; }  // the latest time that the store knows
   // Whether a segment is open for writes. After a failure, retry_open() or the next write opens one.
   bool writable() const { return log_->is_open(); }
   void retry_open(std::int64_t now) { reopen(now); }  // throws io_error
@@ -245,7 +245,7 @@
 // What inspect_tables() found in a folder.
 struct store_content {
   recovered_counts log;
-  std::uint64_t older = 0;                  // records of the format that preceded tables
+  std::uint64_t legacy_records = 0;         // records of the format that preceded tables
   std::map<std::string, std::size_t> keys;  // by table
   std::optional<recovered_checkpoint> checkpoint;
 };
--- a/src/telemetry/telemetry.cpp
+++ b/src/telemetry/telemetry.cpp
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-void limit_lines(unsigned lines_per_second) {
+void set_log_rate_limit(unsigned lines_per_second) {
   const std::lock_guard lock(mutex);
   max_lines_per_second = lines_per_second;
 }
@@ -88,19 +88,20 @@
       " failed=%" PRIu64 " given_up=%" PRIu64 " gone=%" PRIu64 " bad_requests=%" PRIu64 " bad_frames=%" PRIu64
       " checks=%" PRIu64 " silent=%" PRIu64 " made_room=%" PRIu64 " turned_away=%" PRIu64
       " links_lost=%" PRIu64 " nacks=%" PRIu64 " console_calls=%" PRIu64 " console_bad=%" PRIu64,
-      totals.connections, totals.taken_in, totals.sent, totals.served, totals.refused, totals.failed,
-      totals.deadline_exceeded, totals.cancelled, totals.bad_requests, totals.bad_frames, totals.checks,
-      totals.silent, totals.made_room, totals.turned_away, totals.links_lost, totals.nacks,
+      totals.accepted_connections, totals.received_requests, totals.started_runs, totals.served,
+      totals.rejected, totals.failed, totals.deadline_exceeded, totals.cancelled, totals.invalid_requests,
+      totals.invalid_frames, totals.health_checks, totals.silent_connections, totals.evicted_connections,
+      totals.rejected_connections, totals.lost_runtime_connections, totals.rejected_runtime_commands,
       totals.console_commands, totals.console_errors);
-  if (totals.results_bytes == 0 && totals.results_known == 0)
+  if (totals.stored_bytes == 0 && totals.stored_keys == 0)
     return;  // the idempotency store is empty or not in use
   log("counters",
       "repeats_answered=%" PRIu64 " repeats_joined=%" PRIu64 " repeats_in_doubt=%" PRIu64
       " key_conflicts=%" PRIu64 " no_room=%" PRIu64 " results_known=%" PRIu64 " results_in_doubt=%" PRIu64
       " results_bytes=%" PRIu64 " results_commits=%" PRIu64,
-      totals.repeats_answered, totals.repeats_joined, totals.repeats_in_doubt, totals.key_conflicts,
-      totals.no_room, totals.results_known, totals.results_in_doubt, totals.results_bytes,
-      totals.results_commits);
+      totals.answered_duplicates, totals.coalesced_duplicates, totals.duplicates_of_unknown_outcome,
+      totals.key_conflicts, totals.rejected_for_key_capacity, totals.stored_keys,
+      totals.keys_with_unknown_outcome, totals.stored_bytes, totals.store_commits);
 }
 
 }  // namespace marblewharf::telemetry
--- a/src/thrift/codec.cpp
+++ b/src/thrift/codec.cpp
@@ -115,7 +115,8 @@
   const type key = in.kind();
   const type item = in.kind();
   const std::uint32_t count = in.u32();
-  if (count > bounds.fields) throw malformed("more than " + std::to_string(bounds.fields) + " fields");
+  if (count > bounds.max_fields)
+    throw malformed("more than " + std::to_string(bounds.max_fields) + " fields");
   if (count > 0 && (key != type::string || item != type::string)) throw malformed("fields that are no text");
   field_map fields;
   for (std::uint32_t i = 0; i < count; ++i) {
@@ -135,7 +136,8 @@
       have_fields = true;
     } else if (*field == field_header{2, type::string}) {
       const std::string_view body = in.string();
-      if (body.size() > bounds.body) throw malformed("a body of " + std::to_string(body.size()) + " bytes");
+      if (body.size() > bounds.max_body_bytes)
+        throw malformed("a body of " + std::to_string(body.size()) + " bytes");
       message.body = body;
       have_body = true;
     } else {
@@ -241,7 +243,7 @@
 std::optional<frame> next_frame(std::string_view bytes, const limits& bounds) {
   if (bytes.size() < length_prefix_size) return std::nullopt;
   const auto size = bytes::from_big_endian<std::uint32_t>(bytes.substr(0, length_prefix_size));
-  if (size == 0 || size > bounds.frame)
+  if (size == 0 || size > bounds.max_frame_bytes)
     throw bad_frame("frame length " + std::to_string(size) + " is out of range");
   if (bytes.size() - length_prefix_size < size) return std::nullopt;
   return frame{bytes.substr(length_prefix_size, size), length_prefix_size + size};
--- a/src/thrift/front.cpp
+++ b/src/thrift/front.cpp
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-class server::connection : public net::stream::owner {
+class server::connection : public net::stream::observer {
  public:
   connection(server& front, const Poco::Net::StreamSocket& socket)
       : server_(front), stream_(front.reactor_, front.config_.bounds, *this, socket) {}
@@ -57,7 +57,7 @@
   void end();
   bool ended() const { return ended_; }
   // Whether a request is open on this connection, or unread bytes may contain one.
-  bool owes_answer() const {
+  bool has_pending_answer() const {
     return !open_requests_.empty() || (!reading_stopped_ && stream_.has_unread_input());
   }
   bool has_incomplete_message() const { return incomplete_since_.count() > 0; }
@@ -124,7 +124,7 @@
 }
 
 void server::connection::stop_reading(const char* reason) {
-  ++server_.counters_.bad_frames;
+  ++server_.counters_.invalid_frames;
   log("bad-frame", "reading from the connection stopped with %zu requests open: %s", open_requests_.size(),
       reason);
   reading_stopped_ = true;
@@ -135,14 +135,15 @@
 
 void server::connection::add_strike() {
   ++strikes_;
-  if (strikes_ >= server_.config_.bounds.strikes && !reading_stopped_) stop_reading("too many bad messages");
+  if (strikes_ >= server_.config_.bounds.max_invalid_messages && !reading_stopped_)
+    stop_reading("too many bad messages");
 }
 
 void server::connection::end() {
   if (std::exchange(ended_, true)) return;
   ask_to_close();
   last_used_ = net::steady_now();
-  stream_.finish();
+  stream_.shutdown_output();
 }
 
 // Order of closing: connections that were asked to close, then those on which no message, one message,
@@ -158,7 +159,7 @@
 }
 
 void server::connection::reject(std::int32_t seqid, app_error error, const std::string& text) {
-  ++server_.counters_.bad_frames;
+  ++server_.counters_.invalid_frames;
   log("bad-request", "message %d rejected: %s", seqid, text.c_str());
   send(encode_exception(seqid, "execute", error, text));
   add_strike();
@@ -172,7 +173,7 @@
   } else if (const auto* unknown = std::get_if<undecodable>(&received.content)) {
     handle(*unknown, received.seqid);
   } else {
-    ++server_.counters_.checks;
+    ++server_.counters_.health_checks;
     send(encode_health(received.seqid, server_.healthy()));
   }
 }
@@ -180,7 +181,7 @@
 void server::connection::handle(const execute& request, std::int32_t seqid) {
   if (open_requests_.contains(seqid)) {
     stop_reading("sequence number of an open request was reused");
-  } else if (open_requests_.size() >= server_.config_.bounds.open_each_connection) {
+  } else if (open_requests_.size() >= server_.config_.bounds.max_in_flight_per_connection) {
     reject(seqid, app_error::internal, "too many open requests");
   } else {
     server_.begin_request(*this, request, seqid);
@@ -201,7 +202,7 @@
     reject(seqid, unknown.error, unknown.text);
     return;
   }
-  ++server_.counters_.bad_frames;
+  ++server_.counters_.invalid_frames;
   log("bad-request", "oneway message ignored: %s", unknown.text.c_str());
   add_strike();
 }
@@ -214,12 +215,12 @@
       backend_(runs),
       counters_(counters),
       connections_(reactor),
-      names_(settings.settings),
+      names_(settings.policy_settings),
       keys_(key_rules_of(settings)),
       listener_(reactor, settings.bounds, settings.listen.host, settings.listen.port,
                 [this](const Poco::Net::StreamSocket& socket) { accept(socket); }),
-      sweeps_(settings.bounds.sweep_every) {
-  requests.add(*this);
+      sweeps_(settings.bounds.sweep_interval) {
+  requests.add_front(*this);
 }
 
 server::~server() = default;
@@ -235,18 +236,18 @@
   if (connections_.size() >= config_.bounds.connections) {
     connection* const unused = connections_.eviction_candidate();
     if (unused == nullptr) {
-      ++counters_.turned_away;
+      ++counters_.rejected_connections;
       log("full", "new connection rejected: all %zu connections are in use", connections_.size());
       net::reject_connection(socket, encode_closing());
       return;
     }
-    ++counters_.made_room;
+    ++counters_.evicted_connections;
     log("full", "closed an unused connection to accept a new one, %zu connections open", connections_.size());
     unused->ask_to_close();
     unused->stream_.close();
     drop(*unused);
   }
-  ++counters_.connections;
+  ++counters_.accepted_connections;
   connection& accepted = connections_.add(std::make_shared<connection>(*this, socket));
   if (draining_) accepted.ask_to_close();
 }
@@ -256,7 +257,7 @@
   try {
     decoded = to_request(message, names_, net::unix_ms(), keys_);
   } catch (const bad_field& error) {
-    ++counters_.bad_requests;
+    ++counters_.invalid_requests;
     log("bad-request", "field %s is missing or invalid", error.what());
     client_connection.send(encode_internal(seqid, {}));
     client_connection.add_strike();
@@ -311,21 +312,22 @@
   const limits& bounds = config_.bounds;
   const duration unused = now - candidate.last_used_;
   const bool ignored_request_to_close =
-      candidate.asked_to_close_ && !draining_ && now - candidate.asked_to_close_at_ > bounds.linger;
-  if (candidate.has_incomplete_message() && now - candidate.incomplete_since_ > bounds.half_frame) {
+      candidate.asked_to_close_ && !draining_ && now - candidate.asked_to_close_at_ > bounds.linger_timeout;
+  if (candidate.has_incomplete_message() &&
+      now - candidate.incomplete_since_ > bounds.partial_frame_timeout) {
     candidate.stop_reading("message incomplete after the time limit");
   } else if (candidate.ended()) {
-    if (unused <= bounds.linger) return;
+    if (unused <= bounds.linger_timeout) return;
     candidate.stream_.close();
     drop(candidate);
-  } else if (candidate.has_incomplete_message() || candidate.owes_answer()) {
+  } else if (candidate.has_incomplete_message() || candidate.has_pending_answer()) {
     return;
   } else if (candidate.reading_stopped_ || ignored_request_to_close) {
     candidate.end();
-  } else if (candidate.messages_ == 0 && unused > bounds.silent) {
-    ++counters_.silent;
+  } else if (candidate.messages_ == 0 && unused > bounds.first_message_timeout) {
+    ++counters_.silent_connections;
     candidate.end();
-  } else if (unused > bounds.idle || (policy_idle_time_.count() > 0 && unused > policy_idle_time_)) {
+  } else if (unused > bounds.idle_timeout || (policy_idle_time_.count() > 0 && unused > policy_idle_time_)) {
     candidate.ask_to_close();
   }
 }
@@ -334,8 +336,8 @@
 // in use. If a connection is closed only then, a request may already be on its way on it; a caller that was
 // asked earlier has stopped sending by then.
 void server::ask_unused_connections_to_close() {
-  const auto connections_to_keep =
-      static_cast<std::size_t>(config_.bounds.kept * static_cast<double>(config_.bounds.connections));
+  const auto connections_to_keep = static_cast<std::size_t>(config_.bounds.idle_eviction_share *
+                                                            static_cast<double>(config_.bounds.connections));
   if (connections_.size() <= connections_to_keep) return;
   struct candidate {
     time_point rank;
--- a/src/thrift/front.hpp
+++ b/src/thrift/front.hpp
@@ -8,7 +8,7 @@
 
 #include "config/config.hpp"
 #include "core/dispatcher.hpp"
-#include "core/vocabulary.hpp"
+#include "core/request_name_index.hpp"
 #include "fronts/sweep_schedule.hpp"
 #include "net/connections.hpp"
 #include "net/listener.hpp"
@@ -59,8 +59,8 @@
   void drop(connection& closed);
   // Closes or ends a connection that exceeds one of its time limits.
   void apply_time_limits(connection& candidate, time_point now);
-  // While more than the fraction `limits::kept` of the permitted connections is in use, asks those with the
-  // lowest eviction_rank() to close.
+  // While more than the fraction `limits::idle_eviction_share` of the permitted connections is in use, asks
+  // those with the lowest eviction_rank() to close.
   void ask_unused_connections_to_close();
   bool healthy() const;
 
@@ -71,7 +71,7 @@
   telemetry::counters& counters_;
   net::connections<connection> connections_;
   std::unordered_map<request_id, open_request> open_requests_;
-  vocabulary names_;
+  request_name_index names_;
   key_rules keys_;
   net::listener listener_;
   std::function<bool()> health_check_;  // empty: the dispatcher's health
