--- a/src/thrift/request.cpp
+++ b/src/thrift/request.cpp
@@ -54,7 +54,7 @@
 void read_key(const execute& message, const key_rules& keys, request& decoded) {
   if (!keys.required && !message.fields.contains(keys.field)) return;
   decoded.key = field(message.fields, keys.field.c_str());
-  if (idempotency::fault_of_key(decoded.key, keys.max_key_size) != nullptr) throw bad_field(keys.field);
+  if (idempotency::key_error(decoded.key, keys.max_key_size) != nullptr) throw bad_field(keys.field);
   const std::array<std::string_view, 2> content = {"thrift", message.body};
   decoded.fingerprint = idempotency::fingerprint_of(content);
 }
@@ -64,19 +64,20 @@
 key_rules key_rules_of(const config& settings) {
   if (const auto& keyed = settings.keyed)
     return {.field = keyed->thrift_field,
-            .max_key_size = keyed->longest_key,
+            .max_key_size = keyed->max_key_bytes,
             .windows = keyed->windows,
             .required = true};
-  if (const auto& keyed = settings.repeats)
-    return {.field = keyed->thrift_field, .max_key_size = keyed->longest_key, .windows = keyed->windows};
+  if (const auto& keyed = settings.memory_idempotency)
+    return {.field = keyed->thrift_field, .max_key_size = keyed->max_key_bytes, .windows = keyed->windows};
   return {};
 }
 
-request to_request(const execute& message, vocabulary& names, std::int64_t now_ms, const key_rules& keys) {
+request to_request(const execute& message, request_name_index& names, std::int64_t now_ms,
+                   const key_rules& keys) {
   const field_map& fields = message.fields;
   request decoded;
-  decoded.label = field(fields, "txn");
-  parse_hex(decoded.label, "txn");
+  decoded.operation = field(fields, "txn");
+  parse_hex(decoded.operation, "txn");
   const auto door = parse_number<std::int64_t>(field(fields, "door"));
   if (!door || *door < now_ms - max_clock_difference_ms || *door > now_ms + max_clock_difference_ms)
     throw bad_field("door");
@@ -89,7 +90,7 @@
   if (decoded.reserved_kb <= 0) throw bad_field("ram");
   decoded.rank = number(fields, "standing", 0, 1);
   if (const auto item = fields.find("item"); item != fields.end())
-    decoded.subject = parse_hex(item->second, "item");
+    decoded.resource_id = parse_hex(item->second, "item");
   decoded.request_class = require(names.class_of(field(fields, "verb")), "verb");
   decoded.tenant = require(names.tenant_of(field(fields, "team")), "team");
   decoded.payload = message.body;
--- a/src/thrift/request.hpp
+++ b/src/thrift/request.hpp
@@ -9,7 +9,7 @@
 
 #include "config/config.hpp"
 #include "core/request.hpp"
-#include "core/vocabulary.hpp"
+#include "core/request_name_index.hpp"
 #include "thrift/codec.hpp"
 
 namespace marblewharf::thrift {
@@ -31,7 +31,7 @@
 key_rules key_rules_of(const config& settings);
 
 // `now_ms`: the time at which the message was read, in Unix milliseconds. Throws bad_field.
-request to_request(const execute& message, vocabulary& names, std::int64_t now_ms,
+request to_request(const execute& message, request_name_index& names, std::int64_t now_ms,
                    const key_rules& keys = {});
 
 }  // namespace marblewharf::thrift
--- a/src/transaction/admission.cpp
+++ b/src/transaction/admission.cpp
@@ -19,10 +19,10 @@
   if (!inputs.log || !inputs.log->writable)
     return rejection{rejection_reason::log_not_writable, inputs.disk_retry_after};
   const auto growth = static_cast<std::int64_t>(inputs.bytes_needed);
-  const store::verdict space = inputs.log->rules.of(inputs.log->disk, inputs.bytes_needed, growth);
-  if (!space.may) {
-    const duration retry_after =
-        space.come_back ? std::max<duration>(min_retry_after, *space.come_back) : until_next_expiry(inputs);
+  const store::verdict space = inputs.log->rules.admit(inputs.log->disk, inputs.bytes_needed, growth);
+  if (!space.accepted) {
+    const duration retry_after = space.retry_after ? std::max<duration>(min_retry_after, *space.retry_after)
+                                                   : until_next_expiry(inputs);
     return rejection{rejection_reason::log_full, retry_after};
   }
   if (!inputs.outcomes.has_capacity())
--- a/src/transaction/coordinator.cpp
+++ b/src/transaction/coordinator.cpp
@@ -18,9 +18,9 @@
   return limits;
 }
 
-duration longest_idempotency_window(const writes_config& writes) {
+duration longest_idempotency_window(const transactions_config& writes) {
   duration longest{};
-  for (const write_plan& plan : writes.plans) longest = std::max(longest, plan.window);
+  for (const transaction_plan& plan : writes.plans) longest = std::max(longest, plan.window);
   return longest;
 }
 
@@ -35,19 +35,19 @@
       fan_out_(fan_out),
       file_system_(std::move(file_system)),
       notify_(std::move(notify)),
-      outcome_retention_(longest_idempotency_window(*settings.writes)),
+      outcome_retention_(longest_idempotency_window(*settings.transactions)),
       random_(random),
       participants_(reactor, settings, random,
                     [this](const transaction_id& id, const send_request& request,
                            const participant_response& response) { on_response(id, request, response); }),
       in_flight_(in_flight_limits(*settings.dependencies),
                  [this](std::size_t dependency) { return fan_out_.calls_at(dependency).in_flight; }),
-      outcomes_(settings.writes->outcomes) {
+      outcomes_(settings.transactions->max_outcomes) {
   try {
     open_log();
-  } catch (const store::held& e) {
+  } catch (const store::folder_locked& e) {
     log("handover", "%s: transactions are rejected until the other process releases the folder", e.what());
-    next_take_over_ = net::steady_now() + config_.keyed->retry_disk;
+    next_take_over_ = net::steady_now() + config_.keyed->disk_retry_interval;
   }
 }
 
@@ -60,7 +60,7 @@
 // ---- Opening the log's folder -----------------------------------------------------------------------------
 
 void coordinator::open_log() {
-  const std::string& folder = config_.writes->folder;
+  const std::string& folder = config_.transactions->folder;
   recovered_log recovered = recover_log(*file_system_, config_, outcome_retention_, random_);
   clock_ = recovered.clock;
   salt_ = recovered.tables->salt();
@@ -91,7 +91,8 @@
 
 // Queues a recovered transaction; it is resumed once its participants have capacity for its calls in flight.
 void coordinator::queue_recovered(open_transaction& restored) {
-  restored.reserved_bytes = disk_space_of_transaction(restored.payload.size(), config_.bounds.write_buffer);
+  restored.reserved_bytes =
+      disk_space_of_transaction(restored.payload.size(), config_.bounds.max_write_buffer_bytes);
   reserved_bytes_ += restored.reserved_bytes;
   participants_.bind(restored);
   restored.needs_calls = true;
@@ -101,22 +102,22 @@
 }
 
 void coordinator::try_take_over(time_point now) {
-  next_take_over_ = now + config_.keyed->retry_disk;
+  next_take_over_ = now + config_.keyed->disk_retry_interval;
   try {
     open_log();
     next_take_over_ = time_point::max();
-    log("handover", "%s: taken over from the other process", config_.writes->folder.c_str());
-  } catch (const store::held&) {
+    log("handover", "%s: taken over from the other process", config_.transactions->folder.c_str());
+  } catch (const store::folder_locked&) {
     // The other process still holds the folder.
   } catch (const std::exception& e) {
     // Do not retry if the folder is damaged: the damage would remain, and each attempt reads the folder on
     // the event loop's thread.
     if (dynamic_cast<const store::damaged*>(&e) != nullptr) next_take_over_ = time_point::max();
     open_transactions_.clear();
-    outcomes_ = outcome_cache(config_.writes->outcomes);
+    outcomes_ = outcome_cache(config_.transactions->max_outcomes);
     log_.abandon();
     log("handover", "%s: taking over the folder failed, transactions remain rejected: %s",
-        config_.writes->folder.c_str(), e.what());
+        config_.transactions->folder.c_str(), e.what());
   }
 }
 
@@ -149,9 +150,9 @@
   waiting_clients_.erase(client);
   reactor_.wake();
   const bool committed = report.outcome == client_outcome::committed;
-  dispatcher_.on_end(client, committed ? run_end::succeeded : run_end::never_started,
-                     committed ? compose_result(transaction, config_) : std::string(),
-                     net::steady_now() - transaction.begun_at);
+  dispatcher_.on_run_ended(client, committed ? run_end::succeeded : run_end::never_started,
+                           committed ? compose_result(transaction, config_) : std::string(),
+                           net::steady_now() - transaction.begun_at);
 }
 
 void coordinator::on_response(const transaction_id& id, const send_request& request,
@@ -183,8 +184,9 @@
 }
 
 void coordinator::on_event(const transaction_log::result_read& read) {
-  dispatcher_.on_inquired(read.client, read.result ? inquiry_end::result : inquiry_end::unknown,
-                          read.result.value_or(std::string()));
+  dispatcher_.on_inquiry_reply(read.client,
+                               read.result ? inquiry_outcome::completed : inquiry_outcome::unknown,
+                               read.result.value_or(std::string()));
 }
 
 void coordinator::end(const std::shared_ptr<open_transaction>& transaction) {
@@ -222,7 +224,7 @@
   }
   if (now >= transaction->retry_at) {
     if (transaction->needs_calls) {
-      transaction->retry_at = now + config_.writes->retry;
+      transaction->retry_at = now + config_.transactions->retry_delay;
     } else {
       retry_requests(*transaction, now);
     }
@@ -243,7 +245,7 @@
 void coordinator::retry_requests(open_transaction& transaction, time_point now) {
   transaction.retry_at = now + transaction.retry_interval;
   transaction.retry_interval =
-      std::min<duration>(transaction.retry_interval * 2, config_.writes->longest_retry);
+      std::min<duration>(transaction.retry_interval * 2, config_.transactions->max_retry_delay);
   for (std::size_t i = 0; i < transaction.calls.size(); ++i) time_out_request(transaction, i, now);
   transaction.machine.retry();
 }
@@ -294,7 +296,7 @@
 
 // ---- Calls in flight and statistics -----------------------------------------------------------------------
 
-void coordinator::routes_changed(const std::function<bool(const std::string&)>& routable) {
+void coordinator::update_reachability(const std::function<bool(const std::string&)>& routable) {
   participants_.set_reachable(routable);
 }
 
@@ -303,11 +305,11 @@
   fan_out_.set_share(dependency, in_flight_.remaining_share(dependency));
 }
 
-fan_out::client::calls coordinator::calls_at(std::size_t dependency) const {
-  fan_out::client::calls calls = fan_out_.calls_at(dependency);
+fan_out::client::call_load coordinator::calls_at(std::size_t dependency) const {
+  fan_out::client::call_load calls = fan_out_.calls_at(dependency);
   calls.in_flight += in_flight_.transactions(dependency);
   calls.waiting += waiting_recovered_;
-  calls.turned_away += in_flight_.rejected(dependency);
+  calls.rejected += in_flight_.rejected(dependency);
   return calls;
 }
 
@@ -318,7 +320,7 @@
     fan_out_.set_share(dependency, in_flight_.remaining_share(dependency));
 }
 
-std::string coordinator::figures() const {
+std::string coordinator::statistics() const {
   std::string lines;
   const auto add = [&](const char* name, std::uint64_t value) {
     lines += "writes." + std::string(name) + "=" + std::to_string(value) + "\n";
@@ -329,8 +331,8 @@
   add("holds_folder", log_.is_open() ? 1 : 0);
   const auto& condition = log_.condition();
   if (!condition) return lines;
-  add("disk_used", condition->disk.used);
-  add("disk_live", condition->disk.live);
+  add("disk_used", condition->disk.used_bytes);
+  add("disk_live", condition->disk.live_bytes);
   add("disk_writable", condition->writable ? 1 : 0);
   return lines;
 }
--- a/src/transaction/coordinator.hpp
+++ b/src/transaction/coordinator.hpp
@@ -61,15 +61,15 @@
   time_point step(time_point now);
   // Updates the reachability of the endpoints after a change in the cluster. `routable`: returns whether
   // calls may go to a place (a zone or a member).
-  void routes_changed(const std::function<bool(const std::string&)>& routable);
+  void update_reachability(const std::function<bool(const std::string&)>& routable);
   // The number of transactions that have started but not ended.
   std::size_t open() const { return open_transactions_.size(); }
   // Sets this node's quota share of calls in flight at a dependency, for transactions and fan-out together.
   void set_share(std::size_t dependency, double share);
   // The current use of a dependency's calls by transactions and fan-out together, and the demand for more.
-  fan_out::client::calls calls_at(std::size_t dependency) const;
+  fan_out::client::call_load calls_at(std::size_t dependency) const;
   // Lines of the form `writes.NAME=VALUE` for the console command show-stat.
-  std::string figures() const;
+  std::string statistics() const;
   // The table service, for background work on the log. Null: another process holds the folder.
   std::shared_ptr<store::table_service> tables() const { return log_.service(); }
 
@@ -87,10 +87,10 @@
   void queue_recovered(open_transaction& restored);
 
   // Start of transactions, and inquiries (coordinator_intake.cpp).
-  std::optional<duration> try_admit(const write_plan& plan, const request& client_request);
+  std::optional<duration> try_admit(const transaction_plan& plan, const request& client_request);
   std::shared_ptr<open_transaction> begin(request_id id, const request& client_request);
   transaction_id next_id() const;
-  const write_plan* plan_of(const request& client_request) const;
+  const transaction_plan* plan_of(const request& client_request) const;
   std::string scoped_key(const request& client_request) const;
   void inquire_result(request_id id, const std::string& key, const outcome_id& outcome);
 
--- a/src/transaction/coordinator_intake.cpp
+++ b/src/transaction/coordinator_intake.cpp
@@ -9,40 +9,40 @@
 
 namespace marblewharf::transaction {
 
-const write_plan* coordinator::plan_of(const request& client_request) const {
-  return find_plan(*config_.writes, client_request.request_class);
+const transaction_plan* coordinator::plan_of(const request& client_request) const {
+  return find_plan(*config_.transactions, client_request.request_class);
 }
 
 // The key with the names of its tenant and class, which are also the scope of keys in the idempotency store.
 // Names are used because the indices may change between restarts: a transaction that is not found under its
 // key would be reported as never run.
 std::string coordinator::scoped_key(const request& client_request) const {
-  const auto& tenants = config_.settings.tenants;
+  const auto& tenants = config_.policy_settings.tenants;
   std::string key =
       client_request.tenant < tenants.size() ? tenants[client_request.tenant].name : std::string();
   key += '\0';
-  key += config_.settings.classes[client_request.request_class].name;
+  key += config_.policy_settings.classes[client_request.request_class].name;
   key += '\0';
   key += client_request.key;
   return key;
 }
 
 // Admits a transaction and acquires its calls in flight, or returns the retry-after of its rejection.
-std::optional<duration> coordinator::try_admit(const write_plan& plan, const request& client_request) {
+std::optional<duration> coordinator::try_admit(const transaction_plan& plan, const request& client_request) {
   const std::uint64_t own_bytes =
-      disk_space_of_transaction(client_request.payload.size(), config_.bounds.write_buffer);
+      disk_space_of_transaction(client_request.payload.size(), config_.bounds.max_write_buffer_bytes);
   const admission_inputs inputs{.log = log_.condition(),
                                 .bytes_needed = reserved_bytes_ + own_bytes,
                                 .outcomes = outcomes_,
                                 .now = aging_now(),
-                                .disk_retry_after = config_.keyed->retry_disk,
-                                .participant_retry_after = config_.writes->retry};
+                                .disk_retry_after = config_.keyed->disk_retry_interval,
+                                .participant_retry_after = config_.transactions->retry_delay};
   const std::optional<rejection> rejected = admit(inputs, plan.participants, in_flight_);
   return rejected ? std::optional(rejected->retry_after) : std::nullopt;
 }
 
 void coordinator::run(request_id id, const request& client_request) {
-  const write_plan* plan = plan_of(client_request);
+  const transaction_plan* plan = plan_of(client_request);
   if (plan == nullptr) {
     fan_out_.run(id, client_request);
     return;
@@ -75,9 +75,10 @@
   transaction->client = id;
   participants_.choose_endpoints(*transaction);
   transaction->decision_deadline = upstream::response_deadline(
-      client_request, config_.settings.classes[client_request.request_class], transaction->plan->reserve);
+      client_request, config_.policy_settings.classes[client_request.request_class],
+      transaction->plan->reserve);
   transaction->reserved_bytes =
-      disk_space_of_transaction(client_request.payload.size(), config_.bounds.write_buffer);
+      disk_space_of_transaction(client_request.payload.size(), config_.bounds.max_write_buffer_bytes);
   reserved_bytes_ += transaction->reserved_bytes;
   update_fan_out_share(*transaction);
   waiting_clients_[id] = transaction->id;
@@ -100,7 +101,7 @@
     transaction->second->client = 0;
   waiting_clients_.erase(found);
   reactor_.wake();
-  dispatcher_.on_end(id, run_end::aborted, {}, {});
+  dispatcher_.on_run_ended(id, run_end::aborted, {}, {});
 }
 
 void coordinator::resume(request_id id) {
@@ -111,7 +112,7 @@
   if (plan_of(client_request) == nullptr) return fan_out_.inquire(id, client_request);
   reactor_.wake();
   if (!log_.is_open()) {  // the outcomes in the folder of another process are not known
-    dispatcher_.on_inquired(id, inquiry_end::unknown, {});
+    dispatcher_.on_inquiry_reply(id, inquiry_outcome::unknown, {});
     return true;
   }
   const std::string key = scoped_key(client_request);
@@ -119,15 +120,17 @@
   const outcome_cache::outcome outcome = outcomes_.find(hash);
   switch (outcome.state) {
     // The transaction was aborted, or its begin record was never durable, so no participant was contacted.
-    case outcome_cache::status::unknown: dispatcher_.on_inquired(id, inquiry_end::never_ran, {}); break;
-    case outcome_cache::status::open: dispatcher_.on_inquired(id, inquiry_end::unknown, {}); break;
+    case outcome_cache::status::unknown:
+      dispatcher_.on_inquiry_reply(id, inquiry_outcome::never_ran, {});
+      break;
+    case outcome_cache::status::open: dispatcher_.on_inquiry_reply(id, inquiry_outcome::unknown, {}); break;
     case outcome_cache::status::committed: inquire_result(id, key, {outcome.number, hash}); break;
   }
   return true;
 }
 
 void coordinator::inquire_result(request_id id, const std::string& key, const outcome_id& outcome) {
-  if (!log_.read_result(id, key, outcome)) dispatcher_.on_inquired(id, inquiry_end::unknown, {});
+  if (!log_.read_result(id, key, outcome)) dispatcher_.on_inquiry_reply(id, inquiry_outcome::unknown, {});
 }
 
 }  // namespace marblewharf::transaction
--- a/src/transaction/log_folder.cpp
+++ b/src/transaction/log_folder.cpp
@@ -18,7 +18,7 @@
                 const std::vector<const store::batch*>& batches, std::int64_t now) {
   for (const store::tables::committed& committed : tables.commit_all(batches, now)) {
     if (!committed.fault.empty()) throw store::io_error(committed.fault);
-    if (!committed.v.may)
+    if (!committed.admission.accepted)
       throw store::io_error(folder + ": not enough space to migrate the legacy log: increase writes.space");
   }
 }
@@ -41,7 +41,7 @@
 std::vector<outcome_found> read_outcomes(const store::tables& tables, const std::string& folder,
                                          std::int64_t now) {
   std::vector<outcome_found> outcomes;
-  tables.each_key(outcome_table, now, [&](const std::string& key, std::int64_t expiry) {
+  tables.visit_keys(outcome_table, now, [&](const std::string& key, std::int64_t expiry) {
     const auto id = parse_outcome_id(key);
     if (!id) throw store::damaged(folder + ": table outcome has a row with an invalid key");
     outcomes.push_back({*id, expiry - extra_retention.count()});
@@ -74,17 +74,17 @@
   store::tables_options tables_options;
   tables_options.folder = options.folder;
   tables_options.disk = {options.segment_bytes, options.space_bytes, space_amplification};
-  tables_options.life = {{outcome_table, options.outcome_retention + extra_retention}};
+  tables_options.lifetimes = {{outcome_table, options.outcome_retention + extra_retention}};
   // No limit of keys: the outcome cache and admission already limit outcomes and open transactions.
-  tables_options.most_keys = std::numeric_limits<std::size_t>::max();
+  tables_options.max_keys = std::numeric_limits<std::size_t>::max();
   tables_options.salt = options.salt;
-  tables_options.older = [&legacy](std::uint32_t type, std::string_view body) {
+  tables_options.on_legacy_record = [&legacy](std::uint32_t type, std::string_view body) {
     legacy.add_record(type, body);
   };
   log_folder found;
   found.tables = std::make_unique<store::tables>(fs, std::move(tables_options), unix_now);
   store::tables& tables = *found.tables;
-  const std::int64_t now = std::max(unix_now, tables.latest());
+  const std::int64_t now = std::max(unix_now, tables.latest_time());
   if (!legacy.empty() && !tables.get(meta_table, migrated_key, now))
     found.migrated_rows = migrate(tables, options.folder, legacy, now);
   found.outcomes = read_outcomes(tables, options.folder, now);
--- a/src/transaction/log_folder.hpp
+++ b/src/transaction/log_folder.hpp
@@ -39,8 +39,8 @@
   std::size_t migrated_rows = 0;        // rows written by the migration of a legacy log
 };
 
-// Throws store::held if another process holds the folder, store::io_error (also if there is not enough space
-// for the migration) or store::damaged. If a migration fails, the next call repeats it.
+// Throws store::folder_locked if another process holds the folder, store::io_error (also if there is not
+// enough space for the migration) or store::damaged. If a migration fails, the next call repeats it.
 log_folder open_log_folder(store::file_system& fs, const log_folder_options& options, std::int64_t unix_now);
 
 }  // namespace marblewharf::transaction
--- a/src/transaction/log_records.cpp
+++ b/src/transaction/log_records.cpp
@@ -24,7 +24,8 @@
 }
 
 std::uint64_t disk_space_of_row(std::size_t key_bytes, std::size_t value_bytes) {
-  return store::room_for(store::row_head + store::longest_table_name + key_bytes + value_bytes);
+  return store::max_bytes_on_disk(store::row_header_size + store::max_table_name_bytes + key_bytes +
+                                  value_bytes);
 }
 
 }  // namespace
--- a/src/transaction/open_transaction.cpp
+++ b/src/transaction/open_transaction.cpp
@@ -8,10 +8,10 @@
 namespace marblewharf::transaction {
 namespace {
 
-std::vector<participant_kind> participant_kinds(const config& settings, const write_plan& plan) {
+std::vector<participant_kind> participant_kinds(const config& settings, const transaction_plan& plan) {
   std::vector<participant_kind> kinds;
   for (const std::size_t dependency : plan.participants) {
-    const bool one_phase = settings.dependencies->endpoints[dependency].one_phase;
+    const bool one_phase = settings.dependencies->upstreams[dependency].one_phase;
     kinds.push_back(one_phase ? participant_kind::one_phase : participant_kind::two_phase);
   }
   return kinds;
@@ -28,8 +28,8 @@
 
 }  // namespace
 
-const write_plan* find_plan(const writes_config& writes, std::size_t request_class) {
-  for (const write_plan& plan : writes.plans)
+const transaction_plan* find_plan(const transactions_config& writes, std::size_t request_class) {
+  for (const transaction_plan& plan : writes.plans)
     if (plan.request_class == request_class) return &plan;
   return nullptr;
 }
@@ -37,7 +37,7 @@
 std::shared_ptr<open_transaction> make_transaction(const config& settings, const transaction_id& id,
                                                    std::size_t request_class, std::string payload,
                                                    std::string key) {
-  const write_plan* plan = find_plan(*settings.writes, request_class);
+  const transaction_plan* plan = find_plan(*settings.transactions, request_class);
   if (plan == nullptr) return nullptr;
   auto transaction = std::make_shared<open_transaction>(participant_kinds(settings, *plan), *plan);
   transaction->id = id;
@@ -46,10 +46,10 @@
   transaction->payload = std::move(payload);
   transaction->key = std::move(key);
   transaction->begun_at = net::steady_now();
-  transaction->retry_interval = settings.writes->retry;
+  transaction->retry_interval = settings.transactions->retry_delay;
   transaction->retry_at = transaction->begun_at + transaction->retry_interval;
   for (std::size_t i = 0; i < transaction->calls.size(); ++i)
-    transaction->calls[i].address = settings.dependencies->endpoints[plan->participants[i]].at.front();
+    transaction->calls[i].address = settings.dependencies->upstreams[plan->participants[i]].endpoints.front();
   return transaction;
 }
 
@@ -58,7 +58,7 @@
   std::vector<fan_out::sub_response> results;
   for (std::size_t i = 0; i < transaction.calls.size(); ++i) {
     const std::size_t dependency = transaction.plan->participants[i];
-    plan.parts.push_back({settings.dependencies->endpoints[dependency].name, dependency, false, {}});
+    plan.parts.push_back({settings.dependencies->upstreams[dependency].name, dependency, false, {}});
     results.push_back(transaction.calls[i].result);
   }
   return fan_out::assemble_response(plan, results);
@@ -67,7 +67,7 @@
 store::batch make_log_batch(const open_transaction& transaction, log_record record, const config& settings,
                             std::uint64_t salt) {
   if (record == log_record::begin) {
-    const std::string& class_name = settings.settings.classes[transaction.request_class].name;
+    const std::string& class_name = settings.policy_settings.classes[transaction.request_class].name;
     return begin_batch(
         {transaction.id, class_name, transaction.key, transaction.payload, join_endpoints(transaction)});
   }
--- a/src/transaction/open_transaction.hpp
+++ b/src/transaction/open_transaction.hpp
@@ -26,7 +26,7 @@
 };
 
 struct open_transaction {
-  open_transaction(std::vector<participant_kind> kinds, const write_plan& transaction_plan)
+  open_transaction(std::vector<participant_kind> kinds, const transaction_plan& transaction_plan)
       : plan(&transaction_plan), machine(std::move(kinds)), calls(transaction_plan.participants.size()) {}
 
   transaction_id id;
@@ -34,7 +34,7 @@
   std::size_t request_class = 0;
   std::string key;      // the request's key, including its tenant and class
   std::string payload;  // the request's payload
-  const write_plan* plan;
+  const transaction_plan* plan;
   state_machine machine;
   request_id client = 0;  // the request to answer; 0: none
   time_point begun_at{};
@@ -50,7 +50,7 @@
 };
 
 // Null: requests of this class are not transactions.
-const write_plan* find_plan(const writes_config& writes, std::size_t request_class);
+const transaction_plan* find_plan(const transactions_config& writes, std::size_t request_class);
 
 // Creates a transaction that has not started, with the first endpoint of each participant. Null: the class
 // has no plan.
--- a/src/transaction/participant_calls.cpp
+++ b/src/transaction/participant_calls.cpp
@@ -27,7 +27,7 @@
   constexpr unsigned first_success_status = 200;
   constexpr unsigned last_success_status = 299;
   constexpr unsigned conflict_status = 409;
-  if (end != uwsgi::exchange_end::whole) return {};
+  if (end != uwsgi::exchange_end::complete) return {};
   if (head->status >= first_success_status && head->status <= last_success_status)
     return {participant_reply::yes, std::string(response.substr(head->size))};
   if (head->status == conflict_status) return {participant_reply::no, {}};
@@ -54,7 +54,7 @@
     const std::size_t dependency = transaction.plan->participants[i];
     call.endpoint_index =
         endpoint_sets_[dependency].choose(transaction.begun_at, random_(), true).value_or(0);
-    call.address = config_.dependencies->endpoints[dependency].at[call.endpoint_index];
+    call.address = config_.dependencies->upstreams[dependency].endpoints[call.endpoint_index];
   }
   bind(transaction);
 }
@@ -78,9 +78,9 @@
                                               const send_request& request) const {
   const auto packet = uwsgi::next_packet(transaction.payload, config_.bounds);
   if (!packet) return {};
-  const writes_config& writes = *config_.writes;
+  const transactions_config& writes = *config_.transactions;
   const std::size_t dependency = transaction.plan->participants[request.participant];
-  const std::string& path = config_.dependencies->endpoints[dependency].path;
+  const std::string& path = config_.dependencies->upstreams[dependency].path;
   std::vector<std::pair<std::string, std::string>> vars = packet->vars;
   std::erase_if(vars, [&](const auto& var) {
     return var.first == writes.step_var || var.first == writes.id_var ||
@@ -134,7 +134,7 @@
 
 void participant_calls::set_reachable(const std::function<bool(const std::string&)>& routable) {
   for (std::size_t dependency = 0; dependency < endpoint_sets_.size(); ++dependency) {
-    const std::vector<std::string>& places = config_.dependencies->endpoints[dependency].places;
+    const std::vector<std::string>& places = config_.dependencies->upstreams[dependency].places;
     for (std::size_t i = 0; i < places.size(); ++i)
       endpoint_sets_[dependency].set_reachable(i, routable(places[i]));
   }
--- a/src/transaction/recovery.cpp
+++ b/src/transaction/recovery.cpp
@@ -25,7 +25,7 @@
   for (std::size_t i = 0; i < transaction.calls.size() && addresses >> address; ++i) {
     participant_call& call = transaction.calls[i];
     call.address = parse_endpoint(address);
-    const auto& configured = settings.dependencies->endpoints[transaction.plan->participants[i]].at;
+    const auto& configured = settings.dependencies->upstreams[transaction.plan->participants[i]].endpoints;
     const auto found = std::find(configured.begin(), configured.end(), call.address);
     call.endpoint_index = static_cast<std::size_t>(found - configured.begin());
   }
@@ -33,7 +33,7 @@
 
 std::shared_ptr<open_transaction> restore(const open_transaction_found& found, const config& settings) {
   const begin_record& begin = found.begin;
-  const auto& classes = settings.settings.classes;
+  const auto& classes = settings.policy_settings.classes;
   const auto named_class = std::find_if(classes.begin(), classes.end(), [&](const auto& candidate) {
     return candidate.name == begin.request_class;
   });
@@ -59,13 +59,14 @@
 
 recovered_log recover_log(store::file_system& fs, const config& settings,
                           std::chrono::nanoseconds outcome_retention, std::uint64_t salt) {
-  const writes_config& writes = *settings.writes;
+  const transactions_config& writes = *settings.transactions;
   const std::chrono::nanoseconds unix_now = std::chrono::system_clock::now().time_since_epoch();
   log_folder found = open_log_folder(
-      fs, {writes.folder, writes.segment, writes.space, outcome_retention, salt}, unix_now.count());
+      fs, {writes.folder, writes.segment_bytes, writes.max_folder_bytes, outcome_retention, salt},
+      unix_now.count());
   recovered_log recovered;
-  recovered.clock =
-      idempotency::aging_clock(unix_now, std::chrono::nanoseconds(found.tables->latest()), net::steady_now());
+  recovered.clock = idempotency::aging_clock(unix_now, std::chrono::nanoseconds(found.tables->latest_time()),
+                                             net::steady_now());
   if (found.migrated_rows > 0)
     log("writes", "%s: migrated the legacy log to %zu table rows", writes.folder.c_str(),
         found.migrated_rows);
--- a/src/transaction/recovery.hpp
+++ b/src/transaction/recovery.hpp
@@ -24,8 +24,8 @@
 };
 
 // Blocks on disk I/O. If the class of an open transaction no longer has a plan, a message is logged and the
-// records of the transaction remain on disk unchanged. `salt`: used for a new folder. Throws store::held if
-// another process holds the folder, store::io_error or store::damaged.
+// records of the transaction remain on disk unchanged. `salt`: used for a new folder. Throws
+// store::folder_locked if another process holds the folder, store::io_error or store::damaged.
 recovered_log recover_log(store::file_system& fs, const config& settings,
                           std::chrono::nanoseconds outcome_retention, std::uint64_t salt);
 
--- a/src/transaction/transaction_log.cpp
+++ b/src/transaction/transaction_log.cpp
@@ -46,12 +46,12 @@
 }
 
 std::optional<transaction_log::event> transaction_log::to_event(const store::table_service::done& done) {
-  if (done.what == store::table_service::kind::commit) {
+  if (done.operation == store::table_service::kind::commit) {
     const auto found = records_.find(done.ticket);
     if (found == records_.end()) return std::nullopt;
     const pending_record pending = std::move(found->second);
     records_.erase(found);
-    return record_written{pending.id, pending.record, done.fault.empty() && done.v.may};
+    return record_written{pending.id, pending.record, done.fault.empty() && done.admission.accepted};
   }
   const auto found = reads_.find(done.ticket);
   if (found == reads_.end()) return std::nullopt;
--- a/src/upstream/endpoint_set.cpp
+++ b/src/upstream/endpoint_set.cpp
@@ -51,7 +51,8 @@
 }
 
 bool endpoint_set::is_full(const endpoint_status& status) const {
-  return locality_.rules.most_each > 0 && status.in_flight >= locality_.rules.most_each;
+  return locality_.rules.max_calls_per_endpoint > 0 &&
+         status.in_flight >= locality_.rules.max_calls_per_endpoint;
 }
 
 // The share of its normal load that an endpoint receives during slow start.
@@ -106,25 +107,25 @@
 // share of calls (failover/locality.hpp).
 std::vector<std::size_t> endpoint_set::usable_by_locality(time_point now, std::uint64_t random,
                                                           std::optional<std::size_t> excluded) const {
-  std::vector<failover::endpoint_state> states(endpoints_.size());
+  std::vector<failover::endpoint_availability> states(endpoints_.size());
   std::vector<bool> blocked(endpoints_.size());  // excluded even in panic mode
   for (std::size_t i = 0; i < endpoints_.size(); ++i) {
     const endpoint_status& status = endpoints_[i];
     blocked[i] = status.rejected_until > now || is_full(status);
-    states[i] = {locality_.where[i], accepts_calls(status) && status.reachable && !blocked[i]};
+    states[i] = {locality_.levels[i], accepts_calls(status) && status.reachable && !blocked[i]};
   }
   const failover::level_shares shares = failover::shares_of(states, locality_.rules);
   std::vector<std::size_t> usable;
   const auto add_level = [&](failover::level level) {
     for (std::size_t i = 0; i < endpoints_.size(); ++i) {
-      const bool can_take = states[i].able || (shares.panic && !blocked[i]);
+      const bool can_take = states[i].available || (shares.panic && !blocked[i]);
       if (i != excluded && states[i].where == level && can_take) usable.push_back(i);
     }
   };
-  if (const auto drawn = failover::draw(shares, draw_uniform(random))) add_level(*drawn);
+  if (const auto drawn = failover::draw_level(shares, draw_uniform(random))) add_level(*drawn);
   // If the drawn level has no usable endpoint except the excluded one, the nearest level with another usable
   // endpoint is used.
-  for (std::size_t level = 0; level < failover::levels && usable.empty(); ++level)
+  for (std::size_t level = 0; level < failover::level_count && usable.empty(); ++level)
     add_level(static_cast<failover::level>(level));
   return usable;
 }
@@ -151,7 +152,7 @@
                                                 std::optional<std::size_t> excluded) {
   if (const auto probed = find_probe(now, may_probe, excluded)) return probed;
   const std::vector<std::size_t> usable =
-      locality_.where.empty() ? usable_endpoints(now, excluded) : usable_by_locality(now, random, excluded);
+      locality_.levels.empty() ? usable_endpoints(now, excluded) : usable_by_locality(now, random, excluded);
   if (usable.empty()) return std::nullopt;
   const auto [first, second] = draw_two(usable, random);
   const endpoint_status& first_status = endpoints_[first];
--- a/src/upstream/endpoint_set.hpp
+++ b/src/upstream/endpoint_set.hpp
@@ -57,7 +57,7 @@
 // Locality of the endpoints relative to this process, and the rules for preferring near ones
 // (docs/failover.md).
 struct endpoint_locality {
-  std::vector<failover::level> where;  // by endpoint; empty: locality is not known and is ignored
+  std::vector<failover::level> levels;  // by endpoint; empty: locality is not known and is ignored
   failover::locality_options rules;
 };
 
--- a/src/upstream/plan.cpp
+++ b/src/upstream/plan.cpp
@@ -18,7 +18,7 @@
 
   void validate() {
     const sub_request_plan& part = plan_.parts[part_index_];
-    add_dependency(part.from);
+    add_dependency(part.dependency);
     check_fallbacks(part.fallbacks);
     const duration available = plan_.latency_objective - plan_.reserve;
     if (total_budget_ > available)
@@ -48,10 +48,10 @@
       if (after_fixed)
         fail(plan_fault::unreachable_fallback,
              "has an unreachable fallback after a fixed one, which never fails");
-      if (candidate.what == fallback::kind::dependency) add_dependency(candidate.from);
-      if (candidate.what == fallback::kind::stale && candidate.oldest.count() <= 0)
+      if (candidate.type == fallback::kind::dependency) add_dependency(candidate.dependency);
+      if (candidate.type == fallback::kind::stale && candidate.max_age.count() <= 0)
         fail(plan_fault::no_stale_age, "has a stale fallback whose maximum age is not above 0");
-      after_fixed = candidate.what == fallback::kind::fixed;
+      after_fixed = candidate.type == fallback::kind::fixed;
     }
   }
 
--- a/src/upstream/plan.hpp
+++ b/src/upstream/plan.hpp
@@ -38,17 +38,17 @@
     stale,       // use the last fresh response for the same subject
     fixed,       // use a fixed text, which is always available
   };
-  kind what = kind::fixed;
-  std::size_t from = 0;  // dependency: its index
-  duration oldest{};     // stale: maximum age
-  std::string bytes{};   // fixed: the text
+  kind type = kind::fixed;
+  std::size_t dependency = 0;    // dependency: its index
+  duration max_age{};            // stale: maximum age
+  std::string fixed_response{};  // fixed: the text
 };
 
 // The plan of one sub-request, which provides one part of the response.
 struct sub_request_plan {
   std::string name;
-  std::size_t from = 0;   // index of its own dependency
-  bool required = false;  // the request fails if this part is missing
+  std::size_t dependency = 0;  // index of its own dependency
+  bool required = false;       // the request fails if this part is missing
   std::vector<fallback> fallbacks;
 };
 
--- a/src/upstream/response_deadline.hpp
+++ b/src/upstream/response_deadline.hpp
@@ -12,7 +12,7 @@
                                     const admission_policy::class_settings& request_class, duration reserve) {
   const bool has_objective = request_class.latency_objective.count() > 0;
   const duration limit = has_objective ? request_class.latency_objective : request_class.deadline;
-  return client_request.arrived + limit - reserve;
+  return client_request.arrival_time + limit - reserve;
 }
 
 }  // namespace marblewharf::upstream
--- a/src/uwsgi/client.cpp
+++ b/src/uwsgi/client.cpp
@@ -39,7 +39,7 @@
 
 void client::run(request_id id, const request& details) {
   const bool safe =
-      config_.settings.classes[details.request_class].effect == admission_policy::request_effect::safe;
+      config_.policy_settings.classes[details.request_class].effect == admission_policy::request_effect::safe;
   begin(std::make_shared<attempt>(id, details.payload, safe, false));
 }
 
@@ -92,13 +92,13 @@
   // The copy keeps the attempt alive: `ended` may refer to the entry of attempts_ that is erased below.
   const auto current = ended;  // NOLINT(performance-unnecessary-copy-initialization): the copy is needed
   switch (end) {
-    case exchange_end::whole:
+    case exchange_end::complete:
       // A 5xx status is the server's report of its own failure.
       finish(*current, head->status < 500 ? run_end::succeeded : run_end::failed, response, head->status);
       return;
-    case exchange_end::unreadable: finish(*current, run_end::lost, {}, 0); return;
-    case exchange_end::unconnected: break;
-    case exchange_end::cut_off:
+    case exchange_end::malformed: finish(*current, run_end::lost, {}, 0); return;
+    case exchange_end::not_connected: break;
+    case exchange_end::incomplete:
       log("uwsgi-server", "attempt ended without a complete response");
       // A byte of the request may have arrived, so only a request that is safe to repeat is sent again.
       if (!current->repeatable || current->repeated || current->servers_tried >= load_.size()) {
@@ -124,14 +124,15 @@
   reactor_.retire(kept_alive);
   reactor_.wake();
   if (!current.inquiry) {
-    dispatcher_.on_end(current.id, end, end == run_end::succeeded ? response : std::string_view(), elapsed);
+    dispatcher_.on_run_ended(current.id, end, end == run_end::succeeded ? response : std::string_view(),
+                             elapsed);
     return;
   }
   const bool succeeded = end == run_end::succeeded;
-  const inquiry_end found = succeeded && status == 404                    ? inquiry_end::never_ran
-                            : succeeded && status >= 200 && status <= 299 ? inquiry_end::result
-                                                                          : inquiry_end::unknown;
-  dispatcher_.on_inquired(current.id, found, response);
+  const inquiry_outcome found = succeeded && status == 404                    ? inquiry_outcome::never_ran
+                                : succeeded && status >= 200 && status <= 299 ? inquiry_outcome::completed
+                                                                              : inquiry_outcome::unknown;
+  dispatcher_.on_inquiry_reply(current.id, found, response);
 }
 
 void client::pause(request_id id) {
--- a/src/uwsgi/exchange.cpp
+++ b/src/uwsgi/exchange.cpp
@@ -30,31 +30,31 @@
   response_ += bytes;
   try {
     if (!head_) head_ = decode_response_head(response_, bounds_);
-    if (head_ && response_.size() > head_->size + bounds_.result)
-      throw bad_response("body is longer than " + std::to_string(bounds_.result) + " bytes");
+    if (head_ && response_.size() > head_->size + bounds_.max_result_bytes)
+      throw bad_response("body is longer than " + std::to_string(bounds_.max_result_bytes) + " bytes");
   } catch (const bad_response& error) {
     telemetry::log("bad-response", "uwsgi server: %s", error.what());
-    end(exchange_end::unreadable);
+    end(exchange_end::malformed);
     return bytes.size();
   }
   if (head_ && head_->content_length && response_.size() >= head_->size + *head_->content_length) {
     response_.resize(head_->size + *head_->content_length);
-    end(exchange_end::whole);
+    end(exchange_end::complete);
   }
   return bytes.size();
 }
 
 void exchange::on_lost(const char*) {
   if (connected_ && head_ && !head_->content_length) {
-    end(exchange_end::whole);  // without a Content-Length, the body ends with the connection
+    end(exchange_end::complete);  // without a Content-Length, the body ends with the connection
   } else {
-    end(connected_ ? exchange_end::cut_off : exchange_end::unconnected);
+    end(connected_ ? exchange_end::incomplete : exchange_end::not_connected);
   }
 }
 
 void exchange::end(exchange_end result) {
   if (std::exchange(ended_, true)) return;
-  report_(result, result == exchange_end::whole ? &*head_ : nullptr, response_);
+  report_(result, result == exchange_end::complete ? &*head_ : nullptr, response_);
 }
 
 }  // namespace marblewharf::uwsgi
--- a/src/uwsgi/exchange.hpp
+++ b/src/uwsgi/exchange.hpp
@@ -14,13 +14,13 @@
 namespace marblewharf::uwsgi {
 
 enum class exchange_end {
-  whole,        // a complete response was received
-  unreadable,   // the received bytes are no valid response, or the response is too long
-  unconnected,  // no connection was established: no byte of the request can have arrived
-  cut_off,      // the connection was lost before a complete response; the request may have arrived
+  complete,       // a complete response was received
+  malformed,      // the received bytes are no valid response, or the response is too long
+  not_connected,  // no connection was established: no byte of the request can have arrived
+  incomplete,     // the connection was lost before a complete response; the request may have arrived
 };
 
-class exchange : public net::stream::owner {
+class exchange : public net::stream::observer {
  public:
   // Called once, unless close() is called first. `response` includes the head. `head` is null unless the
   // response is complete.
@@ -35,7 +35,7 @@
   // Closes the connection without a report.
   void close();
 
-  // net::stream::owner
+  // net::stream::observer
   void on_open() override;
   std::size_t on_bytes(std::string_view bytes) override;
   void on_lost(const char* reason) override;
--- a/src/uwsgi/front.cpp
+++ b/src/uwsgi/front.cpp
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-class server::connection : public net::stream::owner {
+class server::connection : public net::stream::observer {
  public:
   connection(server& front, const Poco::Net::StreamSocket& socket)
       : server_(front), stream_(front.reactor_, front.config_.bounds, *this, socket) {}
@@ -60,7 +60,7 @@
   void end() { respond({}); }
   bool ended() const { return ended_; }
   // Whether the connection's request is open, or unread bytes may contain it.
-  bool owes_answer() const { return id_ != 0 || stream_.has_unread_input(); }
+  bool has_pending_answer() const { return id_ != 0 || stream_.has_unread_input(); }
   // Rank of the connection among those that may be closed to make room for a new one; the lowest is closed
   // first. Answered connections rank before those that have not sent a byte; within each group the oldest
   // comes first. Empty if the request is open or arriving.
@@ -85,12 +85,12 @@
   try {
     const std::optional<packet> received = next_packet(bytes, server_.config_.bounds);
     if (!received) return 0;
-    const std::size_t size = received->whole.size();
+    const std::size_t size = received->bytes.size();
     id_ = server_.begin_request(*received);
     server_.open_requests_.emplace(id_, this);
     return size;
   } catch (const bad_packet& error) {
-    ++server_.counters_.bad_frames;
+    ++server_.counters_.invalid_frames;
     log("bad-packet", "uwsgi: %s", error.what());
     respond(encode_response(error.status));
     return bytes.size();
@@ -102,7 +102,7 @@
   ended_ = true;
   state_since_ = net::steady_now();
   stream_.send(response);
-  stream_.finish();
+  stream_.shutdown_output();
 }
 
 std::optional<time_point> server::connection::eviction_rank() const {
@@ -118,11 +118,11 @@
       backend_(runs),
       counters_(counters),
       connections_(reactor),
-      names_(settings.settings),
+      names_(settings.policy_settings),
       listener_(reactor, settings.bounds, settings.uwsgi->listen.host, settings.uwsgi->listen.port,
                 [this](const Poco::Net::StreamSocket& socket) { accept(socket); }),
-      sweeps_(settings.bounds.sweep_every) {
-  requests.add(*this);
+      sweeps_(settings.bounds.sweep_interval) {
+  requests.add_front(*this);
 }
 
 server::~server() = default;
@@ -131,17 +131,17 @@
   if (connections_.size() >= config_.bounds.uwsgi_connections) {
     connection* const unused = connections_.eviction_candidate();
     if (unused == nullptr) {
-      ++counters_.turned_away;
+      ++counters_.rejected_connections;
       log("full", "new uwsgi connection rejected: all %zu connections are in use", connections_.size());
       net::reject_connection(
           socket, encode_response(service_unavailable, retry_after_header(std::chrono::seconds(1))));
       return;
     }
-    ++counters_.made_room;
+    ++counters_.evicted_connections;
     unused->stream_.close();
     drop(*unused);
   }
-  ++counters_.connections;
+  ++counters_.accepted_connections;
   connections_.add(std::make_shared<connection>(*this, socket));
 }
 
@@ -179,11 +179,12 @@
 }
 
 void server::apply_time_limits(connection& candidate, time_point now) {
-  const duration time_limit = candidate.ended() ? config_.bounds.linger : config_.bounds.half_frame;
+  const duration time_limit =
+      candidate.ended() ? config_.bounds.linger_timeout : config_.bounds.partial_frame_timeout;
   if (candidate.id_ != 0 || now - candidate.state_since_ <= time_limit) return;
   if (!candidate.ended()) {
     if (candidate.stream_.has_unread_input()) return;  // the bytes are read in the next dispatch
-    ++counters_.bad_frames;
+    ++counters_.invalid_frames;
     log("bad-packet", "uwsgi: packet incomplete after the time limit; connection closed");
   }
   candidate.stream_.close();
--- a/src/uwsgi/front.hpp
+++ b/src/uwsgi/front.hpp
@@ -7,7 +7,7 @@
 
 #include "config/config.hpp"
 #include "core/dispatcher.hpp"
-#include "core/vocabulary.hpp"
+#include "core/request_name_index.hpp"
 #include "fronts/sweep_schedule.hpp"
 #include "net/connections.hpp"
 #include "net/listener.hpp"
@@ -57,7 +57,7 @@
   telemetry::counters& counters_;
   net::connections<connection> connections_;
   std::unordered_map<request_id, connection*> open_requests_;
-  vocabulary names_;
+  request_name_index names_;
   net::listener listener_;
   fronts::sweep_schedule sweeps_;
 };
--- a/src/uwsgi/packet.cpp
+++ b/src/uwsgi/packet.cpp
@@ -82,7 +82,7 @@
     throw bad_packet(bad_request,
                      "unsupported modifier1 " + std::to_string(static_cast<std::uint8_t>(bytes[0])));
   const std::size_t size = read_length(bytes.substr(1));
-  if (size > bounds.uwsgi_vars)
+  if (size > bounds.max_uwsgi_vars_bytes)
     throw bad_packet(content_too_large, "block of vars is too long: " + std::to_string(size) + " bytes");
   if (bytes.size() < header_size + size) return std::nullopt;
   packet decoded;
@@ -97,11 +97,11 @@
     if (!count) throw bad_packet(bad_request, "CONTENT_LENGTH is not an unsigned integer");
     content_length = *count;
   }
-  if (content_length > bounds.body)
+  if (content_length > bounds.max_body_bytes)
     throw bad_packet(content_too_large, "body is too long: " + std::to_string(content_length) + " bytes");
   if (bytes.size() < header_size + size + content_length) return std::nullopt;
-  decoded.whole = bytes.substr(0, header_size + size + content_length);
-  decoded.body = decoded.whole.substr(header_size + size);
+  decoded.bytes = bytes.substr(0, header_size + size + content_length);
+  decoded.body = decoded.bytes.substr(header_size + size);
   return decoded;
 }
 
@@ -131,10 +131,10 @@
 std::optional<response_head> decode_response_head(std::string_view bytes, const limits& bounds) {
   const std::size_t end = bytes.find("\r\n\r\n");
   if (end == std::string_view::npos) {
-    if (bytes.size() > bounds.response_head) throw bad_response("response head is too long");
+    if (bytes.size() > bounds.max_response_head_bytes) throw bad_response("response head is too long");
     return std::nullopt;
   }
-  if (end > bounds.response_head)
+  if (end > bounds.max_response_head_bytes)
     throw bad_response("response head is too long: " + std::to_string(end) + " bytes");
   response_head head;
   head.size = end + 4;
--- a/src/uwsgi/packet.hpp
+++ b/src/uwsgi/packet.hpp
@@ -25,7 +25,7 @@
 struct packet {
   std::vector<std::pair<std::string, std::string>> vars;
   std::string_view body;
-  std::string_view whole;  // header, vars and body, as received
+  std::string_view bytes;  // header, vars and body, as received
 
   // The value of a var; nullopt if the packet does not have it.
   std::optional<std::string_view> find(std::string_view name) const;
--- a/src/uwsgi/request.cpp
+++ b/src/uwsgi/request.cpp
@@ -38,7 +38,7 @@
 void read_key(const packet& received, const keyed_config& keys, request& decoded) {
   if (keys.windows[decoded.request_class].count() == 0) return;
   const std::string_view key = received.find(keys.uwsgi_var).value_or(std::string_view());
-  if (const char* fault = idempotency::fault_of_key(key, keys.longest_key))
+  if (const char* fault = idempotency::key_error(key, keys.max_key_bytes))
     throw bad_packet(bad_request, std::string(fault) + " in " + keys.uwsgi_var);
   decoded.key = key;
   decoded.fingerprint = content_fingerprint(received);
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-request to_request(const packet& received, const uwsgi_config& mapping, vocabulary& names,
+request to_request(const packet& received, const uwsgi_config& mapping, request_name_index& names,
                    const keyed_config* keys) {
   request decoded;
   decoded.request_class =
@@ -62,8 +62,8 @@
   decoded.expected_work =
       std::chrono::duration_cast<duration>(std::chrono::duration<double, std::milli>(cost_ms));
   decoded.reserved_kb = mapping.reserved_kb;
-  decoded.payload = received.whole;
-  if (mapping.hash_content) decoded.fingerprint = content_fingerprint(received);
+  decoded.payload = received.bytes;
+  if (mapping.compute_fingerprint) decoded.fingerprint = content_fingerprint(received);
   if (keys != nullptr) read_key(received, *keys, decoded);
   return decoded;
 }
--- a/src/uwsgi/request.hpp
+++ b/src/uwsgi/request.hpp
@@ -3,13 +3,13 @@
 
 #include "config/config.hpp"
 #include "core/request.hpp"
-#include "core/vocabulary.hpp"
+#include "core/request_name_index.hpp"
 #include "uwsgi/packet.hpp"
 
 namespace marblewharf::uwsgi {
 
 // `keys`: settings of keyed requests; null if their results are not kept. Throws bad_packet.
-request to_request(const packet& received, const uwsgi_config& mapping, vocabulary& names,
+request to_request(const packet& received, const uwsgi_config& mapping, request_name_index& names,
                    const keyed_config* keys = nullptr);
 
 }  // namespace marblewharf::uwsgi
--- a/tests/failover/locality_test.cpp
+++ b/tests/failover/locality_test.cpp
@@ -16,8 +16,8 @@
 namespace {
 
 // `total` endpoints in each level, of which `able` are available (can accept calls).
-std::vector<endpoint_state> endpoints_of(std::array<int, 3> total, std::array<int, 3> able) {
-  std::vector<endpoint_state> endpoints;
+std::vector<endpoint_availability> endpoints_of(std::array<int, 3> total, std::array<int, 3> able) {
+  std::vector<endpoint_availability> endpoints;
   for (std::size_t l = 0; l < 3; ++l)
     for (int i = 0; i < total[l]; ++i) endpoints.push_back({static_cast<level>(l), i < able[l]});
   return endpoints;
@@ -84,7 +84,7 @@
       RC_ASSERT(more_shares.share[0] >= shares.share[0] - 1e-9);
     }
     const double uniform = *rc::gen::inRange(0, 1000) / 1000.0;
-    if (sum > 0) RC_ASSERT(shares.share[static_cast<std::size_t>(*draw(shares, uniform))] > 0);
+    if (sum > 0) RC_ASSERT(shares.share[static_cast<std::size_t>(*draw_level(shares, uniform))] > 0);
   }));
 }
 
--- a/tests/fan_out/state_machine_test.cpp
+++ b/tests/fan_out/state_machine_test.cpp
@@ -65,7 +65,7 @@
   // Advances the virtual time to `end`; ends calls and runs timers in order of their time.
   void run_until(time_point end) {
     while (true) {
-      time_point next = std::min(end, machine.due());
+      time_point next = std::min(end, machine.next_timer_at());
       call_id earliest = 0;
       for (const auto& [id, call] : in_flight) {
         if (call.ends_at <= next && (earliest == 0 || call.ends_at < in_flight.at(earliest).ends_at))
@@ -80,7 +80,7 @@
       } else {
         now = std::max(now, next);
         machine.step(now);
-        if (next >= end && machine.due() > end) {
+        if (next >= end && machine.next_timer_at() > end) {
           apply_actions();
           return;
         }
--- a/tests/idempotency/durable_service_test.cpp
+++ b/tests/idempotency/durable_service_test.cpp
@@ -59,7 +59,7 @@
     char name[] = "/tmp/marblewharf-durable-XXXXXX";
     CHECK(::mkdtemp(name) != nullptr);
     folder = name;
-    dispatch.add(*this);
+    dispatch.add_front(*this);
     dispatch.on_server_up(false, steady() - 60s);
     open();
   }
@@ -90,7 +90,7 @@
     o.steady_now = steady();
     service = std::make_unique<idempotency::durable_service>(disk, o, counters, [] {});
     service->set_observer(dispatch);
-    dispatch.use(*service, 10s);
+    dispatch.enable_idempotency(*service, 10s);
   }
   request_id submit(const std::string& key) {
     request arriving;
@@ -132,7 +132,7 @@
   void end_run(const std::string& result) {
     const request_id id = running.back();
     running.pop_back();
-    dispatch.on_end(id, run_end::succeeded, result, 1ms);
+    dispatch.on_run_ended(id, run_end::succeeded, result, 1ms);
   }
 
   telemetry::counters counters;
@@ -171,7 +171,7 @@
   // After a restart, an intent whose write failed does not appear as an unknown outcome.
   f.service.reset();
   f.open();
-  CHECK(f.service->known().size() == 1 && f.service->known().outcomes_unknown() == 0);
+  CHECK(f.service->table().size() == 1 && f.service->table().outcomes_unknown() == 0);
 }
 
 // The run has ended, but its result is not durable yet: no client must be answered, and a duplicate is
@@ -216,7 +216,7 @@
   CHECK(f.results[later] == "done" && f.runs["a"] == 1);
   f.service.reset();
   f.open();
-  CHECK(f.service->known().size() == 1 && f.service->known().outcomes_unknown() == 0);
+  CHECK(f.service->table().size() == 1 && f.service->table().outcomes_unknown() == 0);
 }
 
 // Group commit: writes that arrive during a commit share the next sync, so that 50 keyed requests take fewer
@@ -257,13 +257,13 @@
   f.step();
   f.dispatch.on_client_cancelled(third);
   f.disk.sync_blocked = false;
-  f.step_until([&] { return f.dispatch.open() == 0; });
+  f.step_until([&] { return f.dispatch.open_requests() == 0; });
   CHECK(f.runs["b"] == 0);
   const request_id fourth = f.submit("b");
   f.step_until([&] { return f.runs["b"] == 1; });
   f.end_run("done");
   f.step_until([&] { return f.answered(fourth); });
-  CHECK(f.dispatch.open() == 0 && f.service->known().open() == 0);
+  CHECK(f.dispatch.open_requests() == 0 && f.service->table().open() == 0);
 }
 
 }  // namespace
--- a/tests/idempotency/memory_service_test.cpp
+++ b/tests/idempotency/memory_service_test.cpp
@@ -35,7 +35,7 @@
                  .longest_wait = 4s,
                  .memory = memory,
                  .largest_result = 4096,
-                 .open = 8},
+                 .max_open_keys = 8},
                 counters) {
     service.set_observer(observer);
   }
@@ -45,7 +45,7 @@
     r.fingerprint = fingerprint;
     r.request_class = 1;
     r.key = key;
-    r.arrived = arrival;
+    r.arrival_time = arrival;
     return service.claim(id, r).status;
   }
   // Executes a first request from its arrival to its result.
@@ -86,10 +86,10 @@
     f.service.close_primary(id);
     CHECK(f.service.bytes() <= memory);
   }
-  CHECK(recorded >= 10 && f.counters.no_room == 1);
+  CHECK(recorded >= 10 && f.counters.rejected_for_key_capacity == 1);
   now += 1500ms + 4s + 200ms;
   f.service.step(now);
-  CHECK(f.service.bytes() == 0 && f.service.known().size() == 0);
+  CHECK(f.service.bytes() == 0 && f.service.table().size() == 0);
   f.run(++id, "again", now, result);
 }
 
--- a/tests/idempotency/recorded_folder_test.cpp
+++ b/tests/idempotency/recorded_folder_test.cpp
@@ -147,7 +147,7 @@
     return observer_.results.at(last_id_);
   }
 
-  const key_table& known() const { return service_.known(); }
+  const key_table& known() const { return service_.table(); }
 
  private:
   static durable_service_options options_of(const folder_copy& folder, std::chrono::nanoseconds unix_now,
@@ -157,8 +157,8 @@
     options.windows = {10min, 1h};
     options.classes = {"kurs-abfrage", "kurs-meldung"};
     options.tenants = {"lech-vermoegen", "isar-invest"};
-    options.longest_key = 32;
-    options.largest_result = 256;
+    options.max_key_bytes = 32;
+    options.max_result_bytes = 256;
     options.segment = 4096;
     options.space = 65536;
     options.salt = 99;  // ignored: the salt of the folder is used
--- a/tests/lifecycle/operations_test.cpp
+++ b/tests/lifecycle/operations_test.cpp
@@ -44,7 +44,7 @@
   counters.served_by_class = {3, 0};
   counters.rejected_by_class = {1, 2};
   counters.failed_by_class = {0, 5};
-  counters.sent = 9;
+  counters.started_runs = 9;
   const std::string text = admin::render_statistics(counters, {"a", "b"}, 4);
   CHECK(text ==
         "app.completed.a=3\napp.rejected.a=1\napp.failed.a=0\napp.completed.b=0\napp.rejected.b=2\n"
@@ -81,7 +81,7 @@
 // past the kill time still serves `last_rounds`.
 void graceful_shutdown() {
   limits bounds;
-  bounds.stop = 3200ms;
+  bounds.shutdown_duration = 3200ms;
   const lifecycle::connection_progress open{}, ended{.all_closed = false, .all_ended = true},
       closed{.all_closed = true, .all_ended = true};
   lifecycle::graceful_shutdown without_successor(10s, false, bounds);
--- a/tests/net/dispatcher_test.cpp
+++ b/tests/net/dispatcher_test.cpp
@@ -32,7 +32,7 @@
 
 struct fixture : front, backend {
   explicit fixture(admission_policy::settings settings) : dispatcher_under_test(settings, 1, now, counters) {
-    dispatcher_under_test.add(*this);
+    dispatcher_under_test.add_front(*this);
     dispatcher_under_test.on_server_up(false, now);
     dispatcher_under_test.step(now, {});
   }
@@ -90,16 +90,17 @@
 void each_request_gets_one_answer() {
   fixture test(test_settings());
   const request_id id = test.arrive(1);
-  test.dispatcher_under_test.on_end(id, run_end::succeeded, "early", 1ms);  // the request was not started yet
+  test.dispatcher_under_test.on_run_ended(id, run_end::succeeded, "early",
+                                          1ms);  // the request was not started yet
   CHECK(test.answers.empty());
   test.advance(10ms);
   CHECK(test.runs.contains(id));
-  test.dispatcher_under_test.on_end(id, run_end::succeeded, "x", 5ms);
-  test.dispatcher_under_test.on_end(id, run_end::failed, "", 5ms);
-  test.dispatcher_under_test.on_end(12345, run_end::succeeded, "", 5ms);
+  test.dispatcher_under_test.on_run_ended(id, run_end::succeeded, "x", 5ms);
+  test.dispatcher_under_test.on_run_ended(id, run_end::failed, "", 5ms);
+  test.dispatcher_under_test.on_run_ended(12345, run_end::succeeded, "", 5ms);
   test.dispatcher_under_test.on_client_cancelled(id);
   test.advance(5s);
-  CHECK(test.answers.at(id) == response_status::served && test.dispatcher_under_test.open() == 0 &&
+  CHECK(test.answers.at(id) == response_status::served && test.dispatcher_under_test.open_requests() == 0 &&
         test.counters.served == 1);
 }
 
@@ -110,11 +111,11 @@
   for (const run_end end : {run_end::failed, run_end::aborted, run_end::never_started}) {
     const request_id id = test.arrive(1);
     test.advance(10ms);
-    test.dispatcher_under_test.on_end(id, end, {}, 5ms);
+    test.dispatcher_under_test.on_run_ended(id, end, {}, 5ms);
     test.advance(20ms);
     CHECK(test.answers.at(id) == response_status::failed);
   }
-  CHECK(test.dispatcher_under_test.open() == 0);
+  CHECK(test.dispatcher_under_test.open_requests() == 0);
 }
 
 // A request whose run exceeds its latency objective is failed with a retry-after, and the run is stopped.
@@ -124,8 +125,8 @@
   test.advance(1050ms);
   CHECK(test.answers.at(id) == response_status::failed && test.paused.contains(id) &&
         test.retry_after.at(id) > 0ns);
-  test.dispatcher_under_test.on_end(id, run_end::aborted, {}, 1s);
-  CHECK(test.dispatcher_under_test.open() == 0);
+  test.dispatcher_under_test.on_run_ended(id, run_end::aborted, {}, 1s);
+  CHECK(test.dispatcher_under_test.open_requests() == 0);
 }
 
 void cancelled_requests_get_no_answer() {
@@ -139,8 +140,9 @@
   const std::size_t answered = test.answers.size();
   test.advance(5s);
   CHECK(test.answers.size() == answered);
-  for (const request_id id : test.runs) test.dispatcher_under_test.on_end(id, run_end::aborted, {}, 1ms);
-  CHECK(test.dispatcher_under_test.open() == 0);
+  for (const request_id id : test.runs)
+    test.dispatcher_under_test.on_run_ended(id, run_end::aborted, {}, 1ms);
+  CHECK(test.dispatcher_under_test.open_requests() == 0);
 }
 
 // Guards against a table that grows with the number of requests: every request has a new caller id, and half
@@ -152,7 +154,7 @@
       const request_id served = test.arrive(0), cancelled = test.arrive(0);
       test.dispatcher_under_test.on_client_cancelled(cancelled);
       test.advance(10ms);
-      test.dispatcher_under_test.on_end(served, run_end::succeeded, "x", 5ms);
+      test.dispatcher_under_test.on_run_ended(served, run_end::succeeded, "x", 5ms);
       test.answers.clear();
       test.retry_after.clear();
       test.runs.clear();
--- a/tests/net/event_loop_wakeup_test.cpp
+++ b/tests/net/event_loop_wakeup_test.cpp
@@ -16,7 +16,7 @@
 int main() {
   limits bounds;
   // Without a wake-up the next step runs only after this time.
-  bounds.longest_poll = std::chrono::seconds(30);
+  bounds.max_poll_wait = std::chrono::seconds(30);
   net::reactor reactor(bounds);
   net::event_loop_wakeup wakeup(reactor);
   std::atomic<int> steps = 0, wakeups = 0;
--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -44,7 +44,7 @@
     const auto frame = thrift::next_frame(bytes, bounds);
     if (!frame) return;
     const thrift::message message = thrift::decode(frame->payload, bounds);
-    vocabulary names;
+    request_name_index names;
     if (const auto* execute = std::get_if<thrift::execute>(&message.content))
       thrift::to_request(*execute, names, now_ms);
   };
@@ -73,7 +73,7 @@
   check_malformed_variants(valid, [](const std::string& bytes) { uwsgi::next_packet(bytes, bounds); });
   const std::string with_trailing_bytes = valid + "more";
   const auto packet = uwsgi::next_packet(with_trailing_bytes, bounds);
-  CHECK(packet && packet->whole == valid && packet->body == "abc" && *packet->find("PATH_INFO") == "/kurs" &&
+  CHECK(packet && packet->bytes == valid && packet->body == "abc" && *packet->find("PATH_INFO") == "/kurs" &&
         !packet->find("path_info"));
   const std::string response = "HTTP/1.1 200 OK\r\nA: b\r\ncontent-LENGTH: 12\r\n\r\n";
   check_malformed_variants(response,
--- a/tests/net/settings_test.cpp
+++ b/tests/net/settings_test.cpp
@@ -26,10 +26,12 @@
 
 config platform() {
   config settings;
-  settings.settings.cores = 1;
-  settings.settings.classes.push_back({.name = "kurs-abfrage", .latency_objective = 500ms, .deadline = 2s});
-  settings.settings.classes.push_back({.name = "kurs-meldung", .latency_objective = 1s, .deadline = 3s});
-  settings.settings.tenants.push_back({.name = "isar-invest", .quota = 5});
+  settings.policy_settings.cores = 1;
+  settings.policy_settings.classes.push_back(
+      {.name = "kurs-abfrage", .latency_objective = 500ms, .deadline = 2s});
+  settings.policy_settings.classes.push_back(
+      {.name = "kurs-meldung", .latency_objective = 1s, .deadline = 3s});
+  settings.policy_settings.tenants.push_back({.name = "isar-invest", .quota = 5});
   return settings;
 }
 
@@ -44,7 +46,7 @@
 std::string fault(const std::string& text) {
   try {
     read(text);
-  } catch (const bad_config& error) {
+  } catch (const invalid_config& error) {
     return std::string(error.what()).substr(test_folder().size());
   }
   return "none";
@@ -69,7 +71,7 @@
         settings.uwsgi->tenant.values.at("i") == "isar-invest");
   CHECK(settings.uwsgi->default_cost[1] == 1500 && settings.uwsgi->reserved_kb == 8);
   CHECK(settings.keyed && settings.keyed->windows[0] == 0s && settings.keyed->windows[1] == 90s &&
-        settings.keyed->space == 64u << 20);
+        settings.keyed->max_folder_bytes == 64u << 20);
   CHECK(!read("").uwsgi && !read("").keyed && !read("").fleet);  // a feature without a section is disabled
   const config with_fleet =
       read(two_member_fleet +
@@ -77,7 +79,8 @@
            "  tenant_var = T\n}\ndependency kurse {\n  endpoints = {\"127.0.0.1:1\", \"127.0.0.1:2\"}\n"
            "  places = {\"127.0.0.1:7947\", z0}\n  most_each = 7\n}\n");
   const auto& near = with_fleet.dependencies->rules[0].near;
-  CHECK(near.where.size() == 2 && near.where[0] == failover::level::zone && near.rules.most_each == 7);
+  CHECK(near.levels.size() == 2 && near.levels[0] == failover::level::zone &&
+        near.rules.max_calls_per_endpoint == 7);
   CHECK(with_fleet.fleet && with_fleet.fleet->name == "kurse" && with_fleet.fleet->seeds.size() == 1 &&
         with_fleet.fleet->hold_down == 3s);
   CHECK(with_fleet.fleet->zones.size() == 1 && with_fleet.fleet->zones[0].members.size() == 2);
@@ -145,7 +148,7 @@
     config settings = platform();
     apply_operator_file(settings, test_folder() + "/none.conf");
     CHECK(false);
-  } catch (const bad_config& error) {
+  } catch (const invalid_config& error) {
     CHECK(std::string(error.what()).find("none.conf: cannot be read") != std::string::npos);
   }
 }
@@ -187,9 +190,9 @@
                            "marblewharf-fleet.conf"}) {
     config settings = platform();
     for (const char* extra_class : {"kurs-liste", "kurs-auftrag"}) {
-      settings.settings.classes.push_back(settings.settings.classes[0]);
-      settings.settings.classes.back().name = extra_class;
-      settings.settings.classes.back().latency_objective = 2s;
+      settings.policy_settings.classes.push_back(settings.policy_settings.classes[0]);
+      settings.policy_settings.classes.back().name = extra_class;
+      settings.policy_settings.classes.back().latency_objective = 2s;
     }
     apply_operator_file(settings, std::string(DEPLOY) + "/" + name);
     CHECK(settings.uwsgi);
--- a/tests/scheduler/scheduler_test.cpp
+++ b/tests/scheduler/scheduler_test.cpp
@@ -42,7 +42,7 @@
       scheduler::job_rules rules;
       rules.name = std::to_string(i);
       rules.priority = *rc::gen::inRange(0, 5);
-      rules.every = std::chrono::milliseconds(*rc::gen::inRange(1, 500));
+      rules.interval = std::chrono::milliseconds(*rc::gen::inRange(1, 500));
       rules.deadline = std::chrono::milliseconds(*rc::gen::inRange(0, 2000));
       rules.budget.read = *rc::gen::inRange(0, 20) * 1000.0;
       const scheduler::job_id id = jobs.add(rules, std::chrono::milliseconds(*rc::gen::inRange(0, 300)));
@@ -114,7 +114,7 @@
     scheduler::job_rules rules;
     rules.name = std::to_string(i);
     rules.priority = i % 10;
-    rules.every = 1ns;
+    rules.interval = 1ns;
     ran[jobs.add(rules, 0ns)] = 0;
   }
   scheduler::time_point now = 1s;
@@ -132,16 +132,16 @@
 void dependencies_and_deadlines() {
   scheduler::scheduler jobs({}, 0ns);
   scheduler::job_rules first{
-      .name = "first", .priority = 9, .every = 1h, .deadline = {}, .after = {}, .budget = {}};
+      .name = "first", .priority = 9, .interval = 1h, .deadline = {}, .runs_after = {}, .budget = {}};
   scheduler::job_rules other{
-      .name = "other", .priority = 1, .every = 1h, .deadline = {}, .after = {}, .budget = {}};
+      .name = "other", .priority = 1, .interval = 1h, .deadline = {}, .runs_after = {}, .budget = {}};
   scheduler::job_rules last{
-      .name = "last", .priority = 5, .every = 1h, .deadline = 10s, .after = {"first"}, .budget = {}};
+      .name = "last", .priority = 5, .interval = 1h, .deadline = 10s, .runs_after = {"first"}, .budget = {}};
   jobs.add(first, 0s);
   jobs.add(other, 0s);
   jobs.add(last, 0s);
   scheduler::job_rules cycle{
-      .name = "cycle", .priority = 0, .every = {}, .deadline = {}, .after = {"cycle"}, .budget = {}};
+      .name = "cycle", .priority = 0, .interval = {}, .deadline = {}, .runs_after = {"cycle"}, .budget = {}};
   bool rejected = false;
   try {
     jobs.add(cycle, 0s);
@@ -172,10 +172,10 @@
   options.first_retry_delay = 1s;
   options.max_retry_delay = 8s;
   scheduler::scheduler jobs(options, 0ns);
-  const scheduler::job_id bad =
-      jobs.add({.name = "bad", .priority = 0, .every = 1ms, .deadline = 1ms, .after = {}, .budget = {}}, 0s);
-  const scheduler::job_id good =
-      jobs.add({.name = "good", .priority = 9, .every = 1ms, .deadline = {}, .after = {}, .budget = {}}, 0s);
+  const scheduler::job_id bad = jobs.add(
+      {.name = "bad", .priority = 0, .interval = 1ms, .deadline = 1ms, .runs_after = {}, .budget = {}}, 0s);
+  const scheduler::job_id good = jobs.add(
+      {.name = "good", .priority = 9, .interval = 1ms, .deadline = {}, .runs_after = {}, .budget = {}}, 0s);
   std::map<scheduler::job_id, int> ran;
   for (scheduler::time_point now = 0s; now < 60s; now += 10ms) {
     const auto next = jobs.pick(now);
@@ -228,14 +228,14 @@
         options, [shared] { ++shared->notified; },
         [&](const std::string& job, const std::string& note) { notes.push_back(job + " " + note); }, clock());
     pool.add(
-        {.name = "stuck", .priority = 0, .every = {}, .deadline = {}, .after = {}, .budget = {}},
+        {.name = "stuck", .priority = 0, .interval = {}, .deadline = {}, .runs_after = {}, .budget = {}},
         [shared](const std::atomic<bool>&) {
           while (!shared->release) std::this_thread::sleep_for(5ms);
           return scheduler::slice_result{};
         },
         clock());
     pool.add(
-        {.name = "well", .priority = 1, .every = 1ms, .deadline = {}, .after = {}, .budget = {}},
+        {.name = "well", .priority = 1, .interval = 1ms, .deadline = {}, .runs_after = {}, .budget = {}},
         [shared](const std::atomic<bool>&) {
           if (++shared->inside > 1) ++shared->overlapping;
           ++shared->ran;
@@ -284,7 +284,7 @@
     std::size_t steps = 0;
     for (bool more = true; more; ++steps) {
       const auto result = scrubber.step();
-      more = result.more;
+      more = result.has_more;
       if (!result.fault.empty()) faults.push_back(result.fault);
     }
     CHECK(steps == segments.size() - 1);
@@ -302,8 +302,8 @@
     while (frame < intact.size()) {
       std::uint32_t length = 0;
       std::memcpy(&length, intact.data() + frame + 4, sizeof length);
-      if (offset >= frame + 24 && offset < frame + store::frame_head) return false;
-      frame += store::frame_head + length;
+      if (offset >= frame + 24 && offset < frame + store::frame_header_size) return false;
+      frame += store::frame_header_size + length;
     }
     return true;
   };
--- a/tests/store/processes_test.cpp
+++ b/tests/store/processes_test.cpp
@@ -52,7 +52,7 @@
     changes.put("right", "last", text);
     changes.put("left", "k" + std::to_string(n % 97), text + std::string(n % 300, 'x'));
     const durability mode = random() % 3 == 0 ? durability::lazily : durability::now;
-    if (t.commit(changes, mode, now).may) {
+    if (t.commit(changes, mode, now).accepted) {
       if (mode == durability::now) CHECK(::write(out, &n, sizeof n) == sizeof n);
     } else {
       --n;
@@ -131,7 +131,7 @@
   const auto refused = [&](const auto& open_store) {
     try {
       open_store();
-    } catch (const held&) {
+    } catch (const folder_locked&) {
       return true;
     }
     return false;
--- a/tests/store/tables_test.cpp
+++ b/tests/store/tables_test.cpp
@@ -33,7 +33,7 @@
   tables_options o;
   o.folder = "f";
   o.disk = {segment, 16 * segment, 1.5};
-  o.life = {{"short", std::chrono::seconds(5)}};
+  o.lifetimes = {{"short", std::chrono::seconds(5)}};
   o.max_buffered_bytes = segment / 8;
   o.slice_keys = 4;
   o.slice_bytes = segment / 8;
@@ -49,7 +49,7 @@
 using state = std::map<std::pair<std::string, std::string>, stored_value>;
 
 state after(state s, const batch& b, std::int64_t now) {
-  for (const auto& [row_key, value] : b.all()) {
+  for (const auto& [row_key, value] : b.changes()) {
     s.erase(row_key);
     if (value) s[row_key] = {*value, row_key.first == "short" ? now + 5 * second : 0};
   }
@@ -150,7 +150,7 @@
           in_doubt.push_back(next);
           const verdict v = t->commit(b, mode, now);
           in_doubt.pop_back();
-          if (!v.may) break;
+          if (!v.accepted) break;
           possible.push_back(next);
           if (mode == durability::now) durable();
           break;
@@ -261,7 +261,7 @@
           std::to_string(i) + std::string(static_cast<std::size_t>(i * 7 % 40), 'x'));
     if (i % 4 == 0) b.put("short", "s" + std::to_string(i % 5), std::to_string(i));
     if (i % 9 == 0) b.erase("for-ever", "k" + std::to_string((i + 3) % 11));
-    CHECK(t->commit(b, i % 3 == 0 ? durability::lazily : durability::now, r.now).may);
+    CHECK(t->commit(b, i % 3 == 0 ? durability::lazily : durability::now, r.now).accepted);
     r.states.push_back(after(r.states.back(), b, r.now));
     while (t->clean_step(r.now)) {
     }
@@ -358,7 +358,7 @@
     tables t(other, o, r.now);
     batch b;
     b.put("for-ever", "z", "z");
-    for (int i = 0; i < 90; ++i) CHECK(t.commit(b, durability::now, r.now).may);
+    for (int i = 0; i < 90; ++i) CHECK(t.commit(b, durability::now, r.now).accepted);
     while (t.checkpoint_step(r.now)) {
     }
   }
@@ -385,7 +385,7 @@
     const auto write = [&](const std::string& key) {
       batch b;
       b.put("for-ever", key, std::string(100, 'v'));
-      while (!t.commit(b, durability::lazily, second).may) CHECK(t.clean_step(second));
+      while (!t.commit(b, durability::lazily, second).accepted) CHECK(t.clean_step(second));
     };
     for (int i = 0; i < 200; ++i) write("cold" + std::to_string(i));
     double excess = 0;  // number of segments above the amplification bound
@@ -393,9 +393,9 @@
       write("hot" + std::to_string(random() % 40));
       t.clean_step(second);
       const auto f = t.show();
-      excess = std::max(
-          excess,
-          (static_cast<double>(f.disk.used) - amplification_bound * static_cast<double>(f.disk.live)) / 4096);
+      excess = std::max(excess, (static_cast<double>(f.disk.used_bytes) -
+                                 amplification_bound * static_cast<double>(f.disk.live_bytes)) /
+                                    4096);
     }
     const auto f = t.show();
     const double write_cost = static_cast<double>(f.written + f.copied) / static_cast<double>(f.written);
@@ -418,29 +418,31 @@
   batch b;
   b.put("for-ever", "k", std::string(100, 'v'));
   verdict v{true, std::nullopt};
-  for (int i = 0; i < 10000 && (v = t.commit(b, durability::now, second)).may; ++i) {
+  for (int i = 0; i < 10000 && (v = t.commit(b, durability::now, second)).accepted; ++i) {
   }
-  CHECK(!v.may && v.come_back);
+  CHECK(!v.accepted && v.retry_after);
   while (t.clean_step(second)) {
   }
-  CHECK(t.commit(b, durability::now, second).may);
+  CHECK(t.commit(b, durability::now, second).accepted);
   int kept = 0;
   for (; kept < 10000; ++kept) {
     batch fresh;
     fresh.put("for-ever", "f" + std::to_string(kept), std::string(100, 'v'));
-    while (!(v = t.commit(fresh, durability::now, second)).may && v.come_back) CHECK(t.clean_step(second));
-    if (!v.may) break;
+    while (!(v = t.commit(fresh, durability::now, second)).accepted && v.retry_after)
+      CHECK(t.clean_step(second));
+    if (!v.accepted) break;
   }
   CHECK(kept > 20 && kept < 10000);
-  CHECK(t.commit(b, durability::now, second).may ||
+  CHECK(t.commit(b, durability::now, second).accepted ||
         t.clean_step(second));  // existing keys can be overwritten
   batch erasures;
   erasures.erase("for-ever", "f0");
   erasures.erase("for-ever", "f1");
-  while (!t.commit(erasures, durability::now, second).may) CHECK(t.clean_step(second));
+  while (!t.commit(erasures, durability::now, second).accepted) CHECK(t.clean_step(second));
   batch fresh;
   fresh.put("for-ever", "one-more", std::string(100, 'v'));
-  while (!(v = t.commit(fresh, durability::now, second)).may) CHECK(v.come_back && t.clean_step(second));
+  while (!(v = t.commit(fresh, durability::now, second)).accepted)
+    CHECK(v.retry_after && t.clean_step(second));
 }
 
 // An open snapshot blocks the cleaning of records that only it sees, and is closed when it is too old.
@@ -451,18 +453,18 @@
   tables t(fs, o, second);
   batch b;
   b.put("for-ever", "k", "first");
-  CHECK(t.commit(b, durability::now, second).may);
+  CHECK(t.commit(b, durability::now, second).accepted);
   const auto s = t.open_snapshot(second);
   b.put("for-ever", "k", std::string(100, 'v'));
-  while (t.commit(b, durability::now, second).may) {
+  while (t.commit(b, durability::now, second).accepted) {
   }
   while (t.clean_step(second)) {
   }
   CHECK(t.show().blocked_by_snapshot && t.get("for-ever", "k", second, s) == "first");
-  CHECK(!t.commit(b, durability::now, second).may);
+  CHECK(!t.commit(b, durability::now, second).accepted);
   while (t.clean_step(12 * second)) {
   }
-  CHECK(t.commit(b, durability::now, 12 * second).may && t.show().snapshots == 0);
+  CHECK(t.commit(b, durability::now, 12 * second).accepted && t.show().snapshots == 0);
   try {
     t.get("for-ever", "k", 12 * second, s);
     CHECK(false);
@@ -482,7 +484,7 @@
         batch b;
         b.put("for-ever", "k" + std::to_string(i), std::string(60, 'v'));
         b.put("short", "s", "aged soon");
-        CHECK(t.commit(b, durability::now, 100 * second).may);
+        CHECK(t.commit(b, durability::now, 100 * second).accepted);
       }
       if (with_checkpoint)
         while (t.checkpoint_step(100 * second)) {
@@ -513,7 +515,8 @@
       batch older, newer;
       older.put("for-ever", "k", "1");
       newer.put("for-ever", "k", "2");
-      CHECK(t.commit(older, durability::now, second).may && t.commit(newer, durability::lazily, second).may);
+      CHECK(t.commit(older, durability::now, second).accepted &&
+            t.commit(newer, durability::lazily, second).accepted);
       while (t.checkpoint_step(second)) {
       }
     }
@@ -535,7 +538,7 @@
     batch b;
     b.put("for-ever", "k" + std::to_string(i % 13), std::to_string(i));
     b.put("for-ever", "twin" + std::to_string(i % 13), std::to_string(i));
-    while (!t.commit(b, durability::now, second).may) CHECK(t.clean_step(second));
+    while (!t.commit(b, durability::now, second).accepted) CHECK(t.clean_step(second));
     states.push_back(after(states.back(), b, second));
   };
   for (int i = 0; i < 300; ++i) {
@@ -588,7 +591,8 @@
   kept.put("for-ever", "kept", "1");
   lost.put("for-ever", "lost", "1");
   waiting.put("for-ever", "waiting", "1");
-  CHECK(t.commit(kept, durability::now, second).may && t.commit(waiting, durability::lazily, second).may);
+  CHECK(t.commit(kept, durability::now, second).accepted &&
+        t.commit(waiting, durability::lazily, second).accepted);
   fs.how = crash::fault::error;
   fs.stays_broken = true;
   fs.calls = 0;
@@ -600,7 +604,7 @@
   }
   CHECK(!t.get("for-ever", "lost", second) && t.get("for-ever", "waiting", second) == "1");
   const verdict v = t.commit(lost, durability::now, second);
-  CHECK(!v.may && v.come_back);  // rejected with a retry time, and nothing was written
+  CHECK(!v.accepted && v.retry_after);  // rejected with a retry time, and nothing was written
   fs.fail_at = 0;
   try {
     t.flush(second);
@@ -608,7 +612,7 @@
     t.flush(second);
   }
   CHECK(!t.flush_due() && t.get("for-ever", "waiting", second) == "1" && !t.get("for-ever", "lost", second));
-  CHECK(t.commit(lost, durability::now, second).may);
+  CHECK(t.commit(lost, durability::now, second).accepted);
 }
 
 // Each file system call of cleaning and checkpoints fails in turn, once or until the disk is repaired (a full
@@ -627,7 +631,7 @@
             batch b;
             b.put("for-ever", "k" + std::to_string(i % 7), std::to_string(i) + std::string(60, 'v'));
             if (i % 5 == 0) b.erase("for-ever", "k" + std::to_string((i + 2) % 7));
-            if (!t.commit(b, durability::now, second).may) break;
+            if (!t.commit(b, durability::now, second).accepted) break;
             expected = after(expected, b, second);
           }
           fs.how = fault_kind;
@@ -653,7 +657,7 @@
           CHECK(read_all(t, second) == visible(expected, second));
           batch b;
           b.put("for-ever", "after", "1");
-          for (int i = 0; !t.commit(b, durability::now, second).may; ++i) CHECK(i < 5);
+          for (int i = 0; !t.commit(b, durability::now, second).accepted; ++i) CHECK(i < 5);
           expected = after(expected, b, second);
         }
         std::mt19937 random(static_cast<unsigned>(call));
@@ -669,7 +673,7 @@
 void limits_reject_batches() {
   crash::fs fs;
   tables_options o = options();
-  o.most_keys = 3;
+  o.max_keys = 3;
   tables t(fs, o, second);
   const auto always_rejected = [&](const batch& b) {
     try {
@@ -686,14 +690,16 @@
   CHECK(always_rejected(large) && always_rejected(long_key) && always_rejected(no_table));
   batch largest;
   largest.put("for-ever", "k", std::string(440, 'v'));
-  CHECK(t.commit(largest, durability::lazily, second).may && t.get("for-ever", "k", second)->size() == 440);
+  CHECK(t.commit(largest, durability::lazily, second).accepted &&
+        t.get("for-ever", "k", second)->size() == 440);
   three.put("for-ever", "",
             std::string("\0\xff", 2));  // keys and values may have any bytes, and keys may be empty
   three.put("for-ever", "b", "");
-  CHECK(t.commit(three, durability::now, second).may &&
+  CHECK(t.commit(three, durability::now, second).accepted &&
         t.get("for-ever", "", second) == std::string("\0\xff", 2));
   fourth.put("for-ever", "c", "");
-  CHECK(!t.commit(fourth, durability::now, second).may && t.commit(three, durability::now, second).may);
+  CHECK(!t.commit(fourth, durability::now, second).accepted &&
+        t.commit(three, durability::now, second).accepted);
   o.disk.space = 3 * o.disk.segment;
   try {
     tables none(fs, o, second);
@@ -742,7 +748,7 @@
       std::vector<table_service::done> out;
       s.collect(out);
       for (const auto& d : out) {
-        CHECK(d.ticket == completed && d.v.may && d.fault.empty());  // in request order
+        CHECK(d.ticket == completed && d.admission.accepted && d.fault.empty());  // in request order
         ++completed;
       }
     }
@@ -772,7 +778,7 @@
       s.collect(out);
       all.insert(all.end(), out.begin(), out.end());
     }
-    CHECK(all[0].value == "3807" && !all[1].value && all[2].v.may);
+    CHECK(all[0].value == "3807" && !all[1].value && all[2].admission.accepted);
   }
   CHECK(tables(disk, o, second).get("for-ever", "last", second) == "lazy");
   std::filesystem::remove_all(folder);
@@ -787,7 +793,7 @@
   two.put("for-ever", "two", "2");
   for (const auto& c : t.commit_all({&one, &two}, second)) CHECK(!c.fault.empty());
   CHECK(!t.get("for-ever", "one", second));
-  for (const auto& c : t.commit_all({&one, &two}, second)) CHECK(c.fault.empty() && c.v.may);
+  for (const auto& c : t.commit_all({&one, &two}, second)) CHECK(c.fault.empty() && c.admission.accepted);
   CHECK(t.get("for-ever", "two", second) == "2");
 }
 
@@ -844,15 +850,15 @@
   CHECK(wait_until_writable_is(false).fault.find("injected fault") != std::string::npos);
   disk->failing = false;
   const table_service::condition c = wait_until_writable_is(true);
-  CHECK(c.fault.empty() && c.rules.of(c.disk, 1000, 1000).may);
-  CHECK(!c.rules.of(c.disk, 1000, static_cast<std::int64_t>(c.rules.max_live_bytes()) + 1).may);
+  CHECK(c.fault.empty() && c.rules.admit(c.disk, 1000, 1000).accepted);
+  CHECK(!c.rules.admit(c.disk, 1000, static_cast<std::int64_t>(c.rules.max_live_bytes()) + 1).accepted);
   CHECK(s.commit(2, b, durability::now));
   std::vector<table_service::done> all;
   while (all.empty()) {
     s.collect(all);
     std::this_thread::sleep_for(std::chrono::milliseconds(1));
   }
-  CHECK(all[0].ticket == 2 && all[0].fault.empty() && all[0].v.may);
+  CHECK(all[0].ticket == 2 && all[0].fault.empty() && all[0].admission.accepted);
   s.stop();  // slices still run, requests are refused
   CHECK(!s.commit(3, b, durability::now) && s.step(table_service::work::clean).fault.empty());
   std::filesystem::remove_all(name);
@@ -870,15 +876,15 @@
   for (int i = 0; i < 40; ++i) {
     batch b;
     b.put("short", "k" + std::to_string(i), "v");
-    CHECK(t.commit(b, durability::now, second).may);
+    CHECK(t.commit(b, durability::now, second).accepted);
   }
   expiry_pass(second);
   CHECK(t.show().keys == 40);
   expiry_pass(6 * second);
-  CHECK(t.show().keys == 0 && t.show().disk.live == 0);
+  CHECK(t.show().keys == 0 && t.show().disk.live_bytes == 0);
   batch b;
   b.put("short", "again", "v");
-  CHECK(t.commit(b, durability::now, 6 * second).may);
+  CHECK(t.commit(b, durability::now, 6 * second).accepted);
   expiry_pass(11 * second - second / 10);
   CHECK(t.show().keys == 1);
   expiry_pass(11 * second + second / 10);  // expired, but the next pass is not due
@@ -891,7 +897,7 @@
 void group_is_accepted_up_to_the_limits() {
   crash::fs fs;
   tables_options o = options();
-  o.most_keys = 10;
+  o.max_keys = 10;
   tables t(fs, o, second);
   std::vector<batch> all(30);
   std::vector<const batch*> group;
@@ -900,17 +906,17 @@
     group.push_back(&all[i]);
   }
   std::size_t accepted = 0;
-  for (const auto& c : t.commit_all(group, second)) accepted += c.v.may;
+  for (const auto& c : t.commit_all(group, second)) accepted += c.admission.accepted;
   CHECK(accepted == 10 && t.show().keys == 10);
   crash::fs small;
   tables u(small, options(), second);
   std::vector<const batch*> same(2000, &all[0]);
   accepted = 0;
-  for (const auto& c : u.commit_all(same, second)) accepted += c.v.may && c.fault.empty();
+  for (const auto& c : u.commit_all(same, second)) accepted += c.admission.accepted && c.fault.empty();
   CHECK(accepted > 20 && accepted < 2000);
   while (u.clean_step(second)) {
   }
-  CHECK(u.commit_all({&all[1]}, second)[0].v.may);
+  CHECK(u.commit_all({&all[1]}, second)[0].admission.accepted);
 }
 
 }  // namespace
--- a/tests/store/versions_test.cpp
+++ b/tests/store/versions_test.cpp
@@ -94,26 +94,26 @@
     const std::uint64_t bytes = *rc::gen::inRange<std::uint64_t>(1, segment / 4 + 1);
     const std::uint64_t room = (rules.space - used) / segment * (segment - segment / 4 - 80);
     const disk_sizes disk{used, live, room};
-    const verdict v = c.of(disk, bytes, static_cast<std::int64_t>(bytes));
-    if (v.may) RC_ASSERT(room >= c.reserve() + bytes && live + bytes <= c.max_live_bytes());
-    if (!v.may && !v.come_back) RC_ASSERT(live + bytes > c.max_live_bytes());
-    if (!c.is_needed(disk) && live + bytes <= c.max_live_bytes()) RC_ASSERT(v.may);
-    RC_ASSERT(c.of({used, live, rules.space}, bytes, -1).may || rules.space < c.reserve() + bytes);
+    const verdict v = c.admit(disk, bytes, static_cast<std::int64_t>(bytes));
+    if (v.accepted) RC_ASSERT(room >= c.reserve() + bytes && live + bytes <= c.max_live_bytes());
+    if (!v.accepted && !v.retry_after) RC_ASSERT(live + bytes > c.max_live_bytes());
+    if (!c.is_needed(disk) && live + bytes <= c.max_live_bytes()) RC_ASSERT(v.accepted);
+    RC_ASSERT(c.admit({used, live, rules.space}, bytes, -1).accepted || rules.space < c.reserve() + bytes);
     RC_ASSERT(!c.is_needed(
         {static_cast<std::uint64_t>(rules.amplification * static_cast<double>(live)), live, room}));
   }));
-  CHECK(cleaning({1000, 100'000, 2}).of({96'000, 10'000, 2100}, 100, 100).may);
-  CHECK(!cleaning({1000, 100'000, 2}).of({96'000, 10'000, 2099}, 100, 100).may);
+  CHECK(cleaning({1000, 100'000, 2}).admit({96'000, 10'000, 2100}, 100, 100).accepted);
+  CHECK(!cleaning({1000, 100'000, 2}).admit({96'000, 10'000, 2099}, 100, 100).accepted);
   // The retry time depends on the measured cleaning rate, within bounds.
   cleaning c({1000, 100'000, 2});
   const disk_sizes full{99'000, 10'000, 0};
-  CHECK(c.of(full, 100, 100).come_back ==
+  CHECK(c.admit(full, 100, 100).retry_after ==
         std::chrono::milliseconds(100));  // no rate measured yet: the minimum
   c.on_cleaned(1000, 500, std::chrono::seconds(1));
-  CHECK(c.of(full, 100, 100).come_back ==
+  CHECK(c.admit(full, 100, 100).retry_after ==
         std::chrono::milliseconds(4200));  // 2,100 bytes at 500 bytes per second
   for (int i = 0; i < 40; ++i) c.on_cleaned(1000, 999, std::chrono::seconds(1));
-  CHECK(c.of(full, 100, 100).come_back == std::chrono::seconds(30));
+  CHECK(c.admit(full, 100, 100).retry_after == std::chrono::seconds(30));
 }
 
 }  // namespace
--- a/tests/transaction/log_folder_test.cpp
+++ b/tests/transaction/log_folder_test.cpp
@@ -36,7 +36,7 @@
   CHECK(rc::check("rows decode to the encoded values, and truncated or longer rows are invalid", [] {
     const auto text = [] { return *rc::gen::arbitrary<std::string>(); };
     const begin_record begin{id_of(*rc::gen::inRange(1, 1'000'000)), text(), text(), text(), text()};
-    const std::string begin_row = *begin_batch(begin).all().at({open_table, begin.id});
+    const std::string begin_row = *begin_batch(begin).changes().at({open_table, begin.id});
     const auto parsed = parse_begin_record(begin.id, begin_row);
     RC_ASSERT(parsed && parsed->request_class == begin.request_class && parsed->key == begin.key &&
               parsed->payload == begin.payload && parsed->endpoints == begin.endpoints);
@@ -52,12 +52,12 @@
     RC_ASSERT((encode_outcome_id(id) < encode_outcome_id(other_id)) == (id.number < other_id.number));
     const store::batch end =
         end_batch(begin.id, committed_outcome{id, result_record{begin.key, begin.payload}});
-    const auto result = parse_result_record(*end.all().at({outcome_table, encode_outcome_id(id)}));
+    const auto result = parse_result_record(*end.changes().at({outcome_table, encode_outcome_id(id)}));
     RC_ASSERT(result && result->key == begin.key && result->result == begin.payload);
-    RC_ASSERT(!end.all().at({open_table, begin.id}) && !end.all().at({record_table, begin.id}));
+    RC_ASSERT(!end.changes().at({open_table, begin.id}) && !end.changes().at({record_table, begin.id}));
   }));
   for (const log_record record : {log_record::last_agent, log_record::commit, log_record::abort})
-    CHECK(parse_log_record(*record_batch("x", record).all().at({record_table, "x"})) == record);
+    CHECK(parse_log_record(*record_batch("x", record).changes().at({record_table, "x"})) == record);
   for (const char* invalid : {"", "\x01", "\x05", "\x03\x03"}) CHECK(!parse_log_record(invalid));
 }
 
@@ -90,7 +90,7 @@
   std::mt19937 random(seed);
   expected_folder expected;
   store::log log(
-      fs, {"f", segment, 16 * segment, 7}, [](std::uint32_t, std::string_view) { return store::never; },
+      fs, {"f", segment, 16 * segment, 7}, [](std::uint32_t, std::string_view) { return store::no_expiry; },
       [](std::uint32_t, std::string_view, const store::position&) {});
   log.open(second);
   const auto append = [&](const store::entry& entry) { log.append(std::span(&entry, 1), second); };
@@ -171,12 +171,12 @@
       for (int i = 0; i < 200; ++i) {  // enough writes that compaction removes all legacy segments
         store::batch batch;
         batch.put("open-for-test", "k", std::string(1000, 'x'));
-        CHECK(folder.tables->commit(batch, store::durability::now, now + second).may);
+        CHECK(folder.tables->commit(batch, store::durability::now, now + second).accepted);
         while (folder.tables->clean_step(now + second)) {
         }
       }
     }
-    CHECK(store::inspect_tables(fs, "f", now + second).older == 0);
+    CHECK(store::inspect_tables(fs, "f", now + second).legacy_records == 0);
     check_folder(open_log_folder(fs, options(), now + second), expected, now + second);
     try {
       store::log earlier_version(
@@ -232,7 +232,7 @@
   crash::fs fs;
   const expected_folder expected = write_legacy_folder(fs, 3, 120, now);
   try {
-    open_log_folder(fs, options(store::least_segments * segment), now);
+    open_log_folder(fs, options(store::min_segments * segment), now);
     CHECK(false);
   } catch (const store::io_error& e) {
     CHECK(std::string(e.what()).find("increase writes.space") != std::string::npos);
@@ -301,12 +301,13 @@
     CHECK(found.begin.payload == request_of(expected[i].key));
     CHECK(found.begin.endpoints == "127.1.95.75:51027 127.1.95.75:48723 127.1.95.75:39001");
     // Encoding the record again gives the same row, byte for byte.
-    CHECK(begin_batch(found.begin).all().at({open_table, found.begin.id}) ==
+    CHECK(begin_batch(found.begin).changes().at({open_table, found.begin.id}) ==
           folder.tables->get("open", expected[i].id, now));
     const auto record_row = folder.tables->get("mark", expected[i].id, now);
     CHECK(record_row.has_value() == (found.last != log_record::begin));
     if (record_row)
-      CHECK(record_batch(found.begin.id, found.last).all().at({record_table, found.begin.id}) == record_row);
+      CHECK(record_batch(found.begin.id, found.last).changes().at({record_table, found.begin.id}) ==
+            record_row);
   }
 }
 
@@ -328,7 +329,7 @@
     CHECK(result && result->key == scoped_key(expected[i].key) &&
           result->result == result_of(expected[i].key));
     const auto rewritten = end_batch("id", committed_outcome{found.id, *result});
-    CHECK(rewritten.all().at({outcome_table, encode_outcome_id(found.id)}) == row);
+    CHECK(rewritten.changes().at({outcome_table, encode_outcome_id(found.id)}) == row);
   }
 }
 
--- a/tests/upstream/endpoint_set_test.cpp
+++ b/tests/upstream/endpoint_set_test.cpp
@@ -152,7 +152,7 @@
   using failover::level;
   return {{level::zone, level::zone, level::zone, level::region, level::region, level::region, level::rest,
            level::rest, level::rest},
-          {.most_each = most_each}};
+          {.max_calls_per_endpoint = most_each}};
 }
 // Makes `calls` calls and returns how many went to each level.
 std::array<int, 3> calls_by_level(endpoint_set& endpoints, time_point now, int calls) {
--- a/tests/upstream/rules_test.cpp
+++ b/tests/upstream/rules_test.cpp
@@ -188,7 +188,7 @@
   cycle.parts[0].fallbacks = {{kind::dependency, 1, {}, ""}, {kind::dependency, 0, {}, ""}};
   CHECK(fault(cycle) == "falls back on d0, which the part already calls");
   request_plan unknown = valid;
-  unknown.parts[0].from = 9;
+  unknown.parts[0].dependency = 9;
   CHECK(fault(unknown) == "refers to an unknown dependency");
   request_plan unreachable = valid;
   unreachable.parts[0].fallbacks = {{kind::fixed, 0, {}, "x"}, {kind::stale, 0, 1s, ""}};
