--- a/src/store/segment.cpp
+++ b/src/store/segment.cpp
@@ -22,13 +22,13 @@
 
 // The size of the intact frame at the start of these bytes; 0 = there is none.
 std::uint64_t intact_frame_size(std::string_view bytes, std::uint64_t segment) {
-  if (bytes.size() < frame_header_size || get<std::uint32_t>(bytes, 0) != frame_magic) return 0;
+  if (bytes.size() < frame_head || get<std::uint32_t>(bytes, 0) != frame_magic) return 0;
   const auto length = get<std::uint32_t>(bytes, 4);
-  if (length % 8 != 0 || length > bytes.size() - frame_header_size) return 0;
+  if (length % 8 != 0 || length > bytes.size() - frame_head) return 0;
   const auto sequence = get<std::uint64_t>(bytes, 8);
-  const std::string_view payload = bytes.substr(frame_header_size, length);
+  const std::string_view payload = bytes.substr(frame_head, length);
   if (get<std::uint64_t>(bytes, 16) != checksum(payload, segment ^ sequence ^ length)) return 0;
-  return frame_header_size + length;
+  return frame_head + length;
 }
 
 }  // namespace
@@ -73,7 +73,7 @@
   std::string payload;
   offsets.clear();
   for (const record& r : records) {
-    offsets.push_back(frame_header_size + payload.size());
+    offsets.push_back(frame_head + payload.size());
     put(payload, static_cast<std::uint32_t>(r.body.size()));
     put(payload, r.type);
     put(payload, checksum(r.body, r.type));
@@ -81,7 +81,7 @@
     payload.resize(padded(payload.size()), '\0');
   }
   std::string out;
-  out.reserve(frame_header_size + payload.size());
+  out.reserve(frame_head + payload.size());
   put(out, frame_magic);
   put(out, static_cast<std::uint32_t>(payload.size()));
   put(out, sequence);
@@ -109,7 +109,7 @@
   result.end = std::min<std::uint64_t>(header_size, segment.size());
   if (required_end > 0 && required_end < segment.size()) segment = segment.substr(0, required_end);
   while (const std::uint64_t size = intact_frame_size(segment.substr(result.end), header.number)) {
-    std::uint64_t offset = result.end + frame_header_size;
+    std::uint64_t offset = result.end + frame_head;
     const std::uint64_t frame_end = result.end + size;
     while (offset < frame_end) {
       std::uint32_t type = 0;
@@ -126,7 +126,7 @@
     throw damaged(location_text(file, result.end) + ": damaged, intact up to byte " +
                   std::to_string(result.end) + " of " + std::to_string(required_end) + " bytes");
   // Distinguishes damage in the middle from a torn tail: no intact frame ever follows a torn one.
-  for (std::uint64_t offset = result.end; offset + frame_header_size <= segment.size(); offset += 8) {
+  for (std::uint64_t offset = result.end; offset + frame_head <= segment.size(); offset += 8) {
     if (get<std::uint32_t>(segment, offset) == frame_magic && offset > result.end &&
         intact_frame_size(segment.substr(offset), header.number) > 0)
       throw damaged(location_text(file, result.end) + ": damaged, but an intact frame follows at byte " +
--- a/src/store/segment.hpp
+++ b/src/store/segment.hpp
@@ -25,7 +25,7 @@
 constexpr std::uint32_t newest = tables;
 }  // namespace format
 constexpr std::size_t header_size = 80;         // bytes
-constexpr std::size_t frame_header_size = 32;   // bytes of a frame's header
+constexpr std::size_t frame_head = 32;          // bytes of a frame's header
 constexpr std::size_t record_header_size = 16;  // bytes of a record's header
 
 // Data on disk is not as it was written. The text names file and offset.
@@ -54,7 +54,7 @@
 // The bytes that a record with a body of `body` bytes takes on disk if it has a frame of its own. A record
 // never takes more.
 constexpr std::uint64_t max_bytes_on_disk(std::uint64_t body) {
-  return frame_header_size + record_header_size + padded(body);
+  return frame_head + record_header_size + padded(body);
 }
 
 std::string encode_header(const segment_header& header);
--- a/src/store/table_service.cpp
+++ b/src/store/table_service.cpp
@@ -164,14 +164,14 @@
       const std::vector<tables::committed> results = tables_->commit_all(group, now);
       for (const tables::committed& c : results) {
         if (!c.fault.empty()) fault_ = c.fault;
-        completed.push_back({tasks[i++].ticket, kind::commit, c.admission, {}, c.fault});
+        completed.push_back({tasks[i++].ticket, kind::commit, c.result, {}, c.fault});
       }
       continue;
     }
     done d{t.ticket, t.operation, {}, {}, {}};
     try {
       if (t.operation == kind::commit) {
-        d.admission = tables_->commit(t.changes, t.mode, now);
+        d.result = tables_->commit(t.changes, t.mode, now);
       } else {
         d.value = tables_->get(t.table, t.key, now);
       }
--- a/src/store/table_service.hpp
+++ b/src/store/table_service.hpp
@@ -32,7 +32,7 @@
   struct done {
     std::uint64_t ticket = 0;
     kind operation = kind::commit;
-    verdict admission;                 // after a commit
+    verdict result;                    // after a commit
     std::optional<std::string> value;  // after a get; nothing: no such key
     std::string fault;                 // not empty: the commit is in doubt, or the read failed
   };
--- a/src/store/tables.cpp
+++ b/src/store/tables.cpp
@@ -140,7 +140,7 @@
 // ---- Writing ----------------------------------------------------------------------------------------------
 
 std::uint64_t tables::buffer_limit() const {
-  return std::min(options_.max_buffered_bytes, log_->max_frame_bytes() - frame_header_size);
+  return std::min(options_.max_buffered_bytes, log_->max_frame_bytes() - frame_head);
 }
 
 disk_sizes tables::disk() const {
@@ -158,7 +158,7 @@
       throw std::invalid_argument("key too long: " + std::to_string(key.size()) + " bytes");
     bytes += record_bytes(table, key, value ? value->size() : 0);
   }
-  if (frame_header_size + bytes > options_.disk.segment / 4)  // log::max_frame_bytes()
+  if (frame_head + bytes > options_.disk.segment / 4)  // log::max_frame_bytes()
     throw std::invalid_argument("batch too large: " + std::to_string(bytes) +
                                 " bytes, the limit is a quarter of a segment");
   return bytes;
@@ -185,7 +185,7 @@
   if (!log_->is_open()) return {false, retry_after};
   disk_sizes s = disk();
   s.free_bytes = s.free_bytes > group_bytes ? s.free_bytes - group_bytes : 0;
-  return cleaning_.admit(s, frame_header_size + bytes_of(changes),
+  return cleaning_.admit(s, frame_head + bytes_of(changes),
                          g.bytes > 0 ? g.bytes + std::max<std::int64_t>(group_growth, 0) : g.bytes);
 }
 
@@ -212,7 +212,7 @@
   if (mode == durability::now || bytes_of(changes) > buffer_limit()) {
     const committed c = commit_all({&changes}, now).front();
     if (!c.fault.empty()) throw io_error(c.fault);
-    return c.admission;
+    return c.result;
   }
   if (changes.empty()) return {true, std::nullopt};
   const std::uint64_t bytes = bytes_of(changes);
@@ -251,7 +251,7 @@
     try {
       reopen(now);
     } catch (const io_error&) {
-      for (; done < group.size(); ++done) out[done].admission = {false, retry_after};
+      for (; done < group.size(); ++done) out[done].result = {false, retry_after};
       return out;
     }
     sequence commit = last_commit_;
@@ -260,12 +260,10 @@
       const batch& changes = *group[next];
       const std::uint64_t batch_bytes = bytes_of(changes);
       const std::uint64_t buffered = included.empty() ? 0 : buffered_bytes_;
-      if (!included.empty() && frame_header_size + buffered + bytes + batch_bytes > log_->max_frame_bytes())
-        break;
-      out[next].admission = changes.empty()
-                                ? verdict{true, std::nullopt}
-                                : verdict_of(changes, bytes, frame_growth.bytes, frame_growth.keys);
-      if (!out[next].admission.accepted || changes.empty()) continue;
+      if (!included.empty() && frame_head + buffered + bytes + batch_bytes > log_->max_frame_bytes()) break;
+      out[next].result = changes.empty() ? verdict{true, std::nullopt}
+                                         : verdict_of(changes, bytes, frame_growth.bytes, frame_growth.keys);
+      if (!out[next].result.accepted || changes.empty()) continue;
       const growth g = growth_of(changes);
       frame_growth = {frame_growth.bytes + g.bytes, frame_growth.keys + g.keys};
       for (pending& p : records_of(changes, ++commit)) frame.push_back(std::move(p));
@@ -275,7 +273,7 @@
     done = next;
     if (included.empty()) continue;
     try {
-      if (frame_header_size + buffered_bytes_ + bytes > log_->max_frame_bytes()) flush(now);
+      if (frame_head + buffered_bytes_ + bytes > log_->max_frame_bytes()) flush(now);
       const std::size_t old_size = buffered_.size();
       buffered_.insert(buffered_.end(), std::make_move_iterator(frame.begin()),
                        std::make_move_iterator(frame.end()));
@@ -437,7 +435,7 @@
   std::vector<entry> copies;
   std::vector<std::pair<std::string, std::string>> keys;
   std::uint64_t bytes = 0;
-  const std::uint64_t max_bytes = std::min(options_.slice_bytes, log_->max_frame_bytes() - frame_header_size);
+  const std::uint64_t max_bytes = std::min(options_.slice_bytes, log_->max_frame_bytes() - frame_head);
   std::size_t next_put = c.next_put;
   for (; next_put < c.read.puts.size(); ++next_put) {
     const position& p = c.read.puts[next_put];
--- a/src/store/tables.hpp
+++ b/src/store/tables.hpp
@@ -95,7 +95,7 @@
   // atomic by itself. Disk errors are returned in `fault` and not thrown. Throws std::invalid_argument like
   // check_admission(); then no batch was written.
   struct committed {
-    verdict admission;
+    verdict result;
     std::string fault;  // not empty: the batch is in doubt
   };
   std::vector<committed> commit_all(const std::vector<const batch*>& group, std::int64_t now);
--- a/src/transaction/log_folder.cpp
+++ b/src/transaction/log_folder.cpp
@@ -18,7 +18,7 @@
                 const std::vector<const store::batch*>& batches, std::int64_t now) {
   for (const store::tables::committed& committed : tables.commit_all(batches, now)) {
     if (!committed.fault.empty()) throw store::io_error(committed.fault);
-    if (!committed.admission.accepted)
+    if (!committed.result.accepted)
       throw store::io_error(folder + ": not enough space to migrate the legacy log: increase writes.space");
   }
 }
--- a/src/transaction/transaction_log.cpp
+++ b/src/transaction/transaction_log.cpp
@@ -51,7 +51,7 @@
     if (found == records_.end()) return std::nullopt;
     const pending_record pending = std::move(found->second);
     records_.erase(found);
-    return record_written{pending.id, pending.record, done.fault.empty() && done.admission.accepted};
+    return record_written{pending.id, pending.record, done.fault.empty() && done.result.accepted};
   }
   const auto found = reads_.find(done.ticket);
   if (found == reads_.end()) return std::nullopt;
--- a/tests/scheduler/scheduler_test.cpp
+++ b/tests/scheduler/scheduler_test.cpp
@@ -302,8 +302,8 @@
     while (frame < intact.size()) {
       std::uint32_t length = 0;
       std::memcpy(&length, intact.data() + frame + 4, sizeof length);
-      if (offset >= frame + 24 && offset < frame + store::frame_header_size) return false;
-      frame += store::frame_header_size + length;
+      if (offset >= frame + 24 && offset < frame + store::frame_head) return false;
+      frame += store::frame_head + length;
     }
     return true;
   };
--- a/tests/store/tables_test.cpp
+++ b/tests/store/tables_test.cpp
@@ -748,7 +748,7 @@
       std::vector<table_service::done> out;
       s.collect(out);
       for (const auto& d : out) {
-        CHECK(d.ticket == completed && d.admission.accepted && d.fault.empty());  // in request order
+        CHECK(d.ticket == completed && d.result.accepted && d.fault.empty());  // in request order
         ++completed;
       }
     }
@@ -778,7 +778,7 @@
       s.collect(out);
       all.insert(all.end(), out.begin(), out.end());
     }
-    CHECK(all[0].value == "3807" && !all[1].value && all[2].admission.accepted);
+    CHECK(all[0].value == "3807" && !all[1].value && all[2].result.accepted);
   }
   CHECK(tables(disk, o, second).get("for-ever", "last", second) == "lazy");
   std::filesystem::remove_all(folder);
@@ -793,7 +793,7 @@
   two.put("for-ever", "two", "2");
   for (const auto& c : t.commit_all({&one, &two}, second)) CHECK(!c.fault.empty());
   CHECK(!t.get("for-ever", "one", second));
-  for (const auto& c : t.commit_all({&one, &two}, second)) CHECK(c.fault.empty() && c.admission.accepted);
+  for (const auto& c : t.commit_all({&one, &two}, second)) CHECK(c.fault.empty() && c.result.accepted);
   CHECK(t.get("for-ever", "two", second) == "2");
 }
 
@@ -858,7 +858,7 @@
     s.collect(all);
     std::this_thread::sleep_for(std::chrono::milliseconds(1));
   }
-  CHECK(all[0].ticket == 2 && all[0].fault.empty() && all[0].admission.accepted);
+  CHECK(all[0].ticket == 2 && all[0].fault.empty() && all[0].result.accepted);
   s.stop();  // slices still run, requests are refused
   CHECK(!s.commit(3, b, durability::now) && s.step(table_service::work::clean).fault.empty());
   std::filesystem::remove_all(name);
@@ -906,17 +906,17 @@
     group.push_back(&all[i]);
   }
   std::size_t accepted = 0;
-  for (const auto& c : t.commit_all(group, second)) accepted += c.admission.accepted;
+  for (const auto& c : t.commit_all(group, second)) accepted += c.result.accepted;
   CHECK(accepted == 10 && t.show().keys == 10);
   crash::fs small;
   tables u(small, options(), second);
   std::vector<const batch*> same(2000, &all[0]);
   accepted = 0;
-  for (const auto& c : u.commit_all(same, second)) accepted += c.admission.accepted && c.fault.empty();
+  for (const auto& c : u.commit_all(same, second)) accepted += c.result.accepted && c.fault.empty();
   CHECK(accepted > 20 && accepted < 2000);
   while (u.clean_step(second)) {
   }
-  CHECK(u.commit_all({&all[1]}, second)[0].admission.accepted);
+  CHECK(u.commit_all({&all[1]}, second)[0].result.accepted);
 }
 
 }  // namespace
