--- a/include/marblewharf/gathering.hpp
+++ b/include/marblewharf/gathering.hpp
@@ -59,7 +59,7 @@
   std::string source;  // another source, from which the part is requested
   // Maximum age for a fallback to the last successful part of the same subject.
   std::chrono::nanoseconds oldest{};
-  std::string fixed;  // a fixed value
+  std::string fixed;  // a fixed text that becomes the part; empty: not set
 };
 
 // One part of the answer and the source that it comes from.
--- a/src/admin/console_server.cpp
+++ b/src/admin/console_server.cpp
@@ -29,11 +29,11 @@
   void reject(const char* reason);
 
   bool answered() const { return answered_; }
-  // Whether no complete line arrived within `console_wait`.
+  // Whether no complete line arrived within `limits::console_line_timeout`.
   bool line_overdue(time_point now) const {
     return !answered_ && now - opened_at_ > server_.bounds_.console_line_timeout;
   }
-  // Whether the connection was answered, and the caller has closed it or the `linger` time has passed.
+  // Whether the connection was answered, and the caller has closed it or `limits::linger_timeout` has passed.
   bool finished(time_point now) const {
     if (!answered_) return false;
     return now - answered_at_ > server_.bounds_.linger_timeout || (stream_.flushed() && !stream_.is_open());
--- a/src/admission_policy/dependency_call_admission.cpp
+++ b/src/admission_policy/dependency_call_admission.cpp
@@ -35,8 +35,8 @@
 // Overuse counts as debt up to this many seconds at the cap, so that one stuck call does not block others for
 // long.
 constexpr double max_debt_s = 2;
-// Fraction by which the best round trip approaches a lower mean with each call, so that one fast call does
-// not define the best.
+// If the mean round trip is below the best one, each call lowers the best by this fraction of the difference,
+// so that one fast call does not determine it.
 constexpr double best_gain_fraction = 0.06;
 // Fraction by which the best round trip grows with every other call, so that it adapts to a dependency that
 // has become slower.
--- a/src/admission_policy/rate_quota_buckets.hpp
+++ b/src/admission_policy/rate_quota_buckets.hpp
@@ -19,7 +19,7 @@
   void update(const std::vector<rate_quota>& quotas, time_point now);
 
   // Takes a token from every bucket that covers the request, or from none if any of them is empty.
-  // `next_quota_in`: the retry-after of a bucket whose rate is 0.
+  // `next_quota_in`: the retry-after if an empty bucket has rate 0 and therefore does not refill.
   rate_decision take(unsigned tenant, unsigned request_class, duration next_quota_in, time_point now);
 
  private:
--- a/src/core/duplicate_coalescer.cpp
+++ b/src/core/duplicate_coalescer.cpp
@@ -61,7 +61,7 @@
   arrival.group = std::make_unique<coalesced_group>();
   arrival.group->stage = stage;
   arrival.group->respond_by = now_ - arrival.details.read_delay + deadline - response_margin;
-  // The policy treats an inquiry as a duplicate of the same request.
+  // An inquiry is reported to the policy as a duplicate of itself, so that it gets no run of its own.
   const request_id duplicate_of = stage == group_stage::inquiring ? arrival.id : 0;
   admission_.report(arrived{arrival.id, &arrival.details, duplicate_of});
 }
--- a/src/lifecycle/graceful_shutdown.hpp
+++ b/src/lifecycle/graceful_shutdown.hpp
@@ -6,16 +6,17 @@
 //
 //   phase     begins                                          what happens
 //   serving   at the notice                                   the node serves as before the notice
-//   draining  `leave_early` before the kill, or at the        the node accepts no connections and asks
-//             notice if a successor accepts connections       callers to close theirs
-//   closing   `end_early` before the kill                     the node ends connections that are still open
+//   draining  `ask_to_close_before_kill` before the kill, or  the node accepts no connections and asks
+//             at the notice if a successor accepts            callers to close theirs
+//             connections
+//   closing   `close_before_kill` before the kill             the node ends connections that are still open
 //   complete  in phase draining or closing, when every        the process ends
 //             connection is closed; in phase closing, from
-//             `exit_early` before the kill on, also when
-//             every connection is ended
+//             `exit_before_kill` before the kill on, also
+//             when every connection is ended
 //
-// The process ends at the latest `last_rounds` after the later of two times: `exit_early` before the kill,
-// and the first check of the phase closing.
+// The process ends at the latest `late_answer_time` after the later of two times: `exit_before_kill` before
+// the kill, and the first check of the phase closing.
 #pragma once
 
 #include <chrono>
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -28,9 +28,9 @@
  public:
   using handler = std::function<void(const Poco::Net::StreamSocket&)>;
 
-  // Calls `on_accept` for each accepted connection. `event_loop` and `bounds` outlive the listener. Throws
-  // address_held if the address is in use and `sharing` is `exclusive`, and otherwise std::runtime_error with
-  // the address on which it cannot listen.
+  // Calls `on_accept` for each accepted connection. `event_loop` and `bounds` must outlive the listener. If
+  // it cannot listen, throws address_in_use if the address is in use and `sharing` is `exclusive`, otherwise
+  // std::runtime_error, which names the address.
   listener(reactor& event_loop, const limits& bounds, const std::string& host, std::uint16_t port,
            handler on_accept, port_sharing sharing = port_sharing::shared);
   ~listener();
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -38,8 +38,8 @@
   stream(const stream&) = delete;
   stream& operator=(const stream&) = delete;
 
-  // Sends bytes. Closes the connection and reports it as lost if the unsent output exceeds `write_buffer`, or
-  // the buffers of all connections together exceed `buffered`.
+  // Sends bytes. Closes the connection and reports it as lost if the unsent output exceeds
+  // `max_write_buffer_bytes`, or the buffers of all connections together exceed `buffered`.
   void send(std::string_view bytes);
   // Closes the connection gracefully and at once (net/graceful_close.hpp).
   void close();
--- a/src/quota/message.hpp
+++ b/src/quota/message.hpp
@@ -25,7 +25,7 @@
 struct quota_entry {
   double held = 0;    // request: amount in force at the sender; grant: amount in force from now on
   double demand = 0;  // request: what the sender could use beyond its guaranteed share
-  double leased = 0;  // request: part of `held` with a valid lease; the rest is in flight without a lease
+  double leased = 0;  // request: part of `held` that a valid lease covers; units in flight use the rest
   bool operator==(const quota_entry&) const = default;
 };
 
--- a/src/runtime/gauge_queries.hpp
+++ b/src/runtime/gauge_queries.hpp
@@ -31,7 +31,7 @@
   // number.
   std::uint64_t on_answer(const gauges_notice& answer, time_point now);
 
-  // The gauges of the latest answer; empty if that answer is older than `gauges_stale`.
+  // The gauges of the latest answer; empty if that answer is older than `gauge_max_age`.
   std::vector<double> gauges(time_point now) const;
 
  private:
--- a/src/runtime/link.cpp
+++ b/src/runtime/link.cpp
@@ -251,7 +251,7 @@
   tracked_run& run = position->second;
   const bool probed = std::exchange(run.probing, false);
   if (probed && notice.outcome == run_end::aborted && !run.stop_wanted) {
-    // The probe paused the run, so it has to continue.
+    // The stop command of the probe has paused this run, and no stop is wanted: the run is continued.
     run.start = start_progress::delivered;
     run.stop_sent = true;
     if (state_ == state::up) commands_.stop_or_continue(run);
--- a/src/runtime/link.hpp
+++ b/src/runtime/link.hpp
@@ -12,14 +12,14 @@
 // old connection by the new one.
 //
 //   state         event                                               next state
-//   down          `reconnect_every` has passed since the last attempt  connecting
+//   down          reconnect_interval since the last attempt            connecting
 //   connecting    the connection is open                               syncing
-//   connecting    no connection within `connect`                       down
+//   connecting    no connection within connect_timeout                 down
 //   syncing       ready notice                                         catching_up
 //   catching_up   answer to the gauge query sent on the ready notice   up
 //   up            the address has changed and an attempt is due        handing_over
 //   handing_over  the new connection is open                           syncing
-//   handing_over  new connection fails or not open within `hand_over`  up
+//   handing_over  new connection fails or exceeds the time limit       up
 //   any           ready notice                                         catching_up
 //   any           connection lost, or address changed while not up     down
 #pragma once
@@ -65,7 +65,7 @@
   // Whether the runtime is connected and executes requests.
   bool connected() const { return state_ == state::up || state_ == state::handing_over; }
 
-  // The latest gauges; empty if they are older than `gauges_stale`.
+  // The latest gauges; empty if they are older than `gauge_max_age`.
   std::vector<double> gauges(time_point now) const { return commands_.queries().gauges(now); }
 
  private:
--- a/src/telemetry/telemetry.hpp
+++ b/src/telemetry/telemetry.hpp
@@ -24,7 +24,7 @@
   std::uint64_t accepted_connections = 0;              // connections accepted
   std::uint64_t received_requests = 0;                 // requests received, whatever their outcome
   std::uint64_t started_runs = 0;                      // runs passed to a backend
-  std::uint64_t served = 0, rejected = 0, failed = 0;  // requests answered; refused: answered as rejected
+  std::uint64_t served = 0, rejected = 0, failed = 0;  // requests answered, by status
   std::uint64_t cancelled = 0;                         // requests cancelled by their clients
   std::uint64_t deadline_exceeded = 0;                 // failed requests whose deadline was exceeded
   std::uint64_t invalid_requests = 0;  // requests failed at once because of an invalid field, class or tenant
--- a/src/thrift/front.cpp
+++ b/src/thrift/front.cpp
@@ -50,7 +50,7 @@
   void ask_to_close();
   // Stops reading because the caller violated the protocol. Open requests are still answered.
   void stop_reading(const char* reason);
-  // Counts a bad message; stops reading after `strikes` bad messages on the connection.
+  // Counts a bad message; stops reading after `max_invalid_messages` of them on the connection.
   void add_strike();
   // Ends the connection in such a way that the caller receives everything sent before. No request may be
   // open.
--- a/src/thrift/front.hpp
+++ b/src/thrift/front.hpp
@@ -43,8 +43,8 @@
   bool end_connections();
   bool empty() const { return connections_.empty(); }
 
-  // Replaces the dispatcher's health as the result of health checks. `healthy` is called on the reactor's
-  // thread.
+  // Health checks are answered with the result of `healthy` from now on, instead of the dispatcher's health.
+  // `healthy` is called on the reactor's thread.
   void set_health_check(std::function<bool()> healthy) { health_check_ = std::move(healthy); }
 
  private:
--- a/tests/admission_policy/policy_test.cpp
+++ b/tests/admission_policy/policy_test.cpp
@@ -244,7 +244,7 @@
   arrival attempt = make_arrival(1);
   attempt.expected_work = 200ms;
   harness.send({attempt});
-  for (request_id id = 50; id < 62; ++id) {  // the server learns its best time
+  for (request_id id = 50; id < 62; ++id) {  // the policy measures 200 ms as its best time
     attempt.id = id;
     harness.now += 200ms;
     harness.send({timer_with_cpu_busy(1), successful_completion(id == 50 ? 1 : id - 1, 200ms), attempt});
@@ -762,7 +762,7 @@
     for (int k = 1; k < 3; ++k) harness.send_at(t + k * 100ms, {timer_with_cpu_busy(0.5)});
     harness.send_at(t += 300ms, {successful_completion(id, 300ms), timer_with_cpu_busy(0.5)});
   }
-  for (int i = 0; i < 3; ++i) {  // two at a time, stopped after 600 ms
+  for (int i = 0; i < 3; ++i) {  // two runs at a time, cancelled after 600 ms
     harness.send_at(t, {make_arrival(id + 1), make_arrival(id + 2)});
     for (int k = 1; k <= 6; ++k) harness.send_at(t + k * 100ms, {timer_with_cpu_busy(1)});
     harness.send_at(t += 610ms, {client_cancelled{id + 1}, client_cancelled{id + 2}});
--- a/tests/lifecycle/operations_test.cpp
+++ b/tests/lifecycle/operations_test.cpp
@@ -78,7 +78,7 @@
 }
 
 // The phases begin on time, a successor makes the drain begin at the notice, and a process that was suspended
-// past the kill time still serves `last_rounds`.
+// past the kill time still serves `late_answer_time`.
 void graceful_shutdown() {
   limits bounds;
   bounds.shutdown_duration = 3200ms;
--- a/tests/membership/swim_test.cpp
+++ b/tests/membership/swim_test.cpp
@@ -161,8 +161,8 @@
   CHECK(time_until_dead(true) <= observer.suspicion_timeout(3) + 10ms);
 }
 
-// Two members join at different times, so neither receives the gossiped change of the other. They must learn
-// of each other from the round-robin entries of the member table.
+// Two members join at different times, and changes are gossiped once only, so a member may miss the change of
+// the other. They must learn of each other from the round-robin entries of the member table.
 void round_robin_entries_reach_later_members() {
   std::mt19937_64 random(1);
   time_point now = 0s;
--- a/tests/store/tables_test.cpp
+++ b/tests/store/tables_test.cpp
@@ -821,8 +821,8 @@
 };
 
 // Clients that know that the disk is not writable do not send commits, so the service must detect by itself
-// that it is writable again. The reported condition must lead to the same admission decisions as the store's
-// own.
+// that it is writable again. The rules of the condition that the service reports must accept and reject the
+// same batches as the store does.
 void service_detects_disk_recovery() {
   char name[] = "/tmp/marblewharf-outage-XXXXXX";
   CHECK(::mkdtemp(name) != nullptr);
